--- a/crates/notchwalk_route/src/placement/call.rs
+++ b/crates/notchwalk_route/src/placement/call.rs
@@ -1,58 +1,59 @@
-//! Calls of plain services.
+//! Placement of requests on plain services.
 
 use notchwalk_core::Instant;
 
-use super::{Part, Plan};
+use super::{Plan, PlannedServer};
 use crate::{Board, Fleet, Grounds, ServerKey};
 
-/// Chooses the server of a plain service with the fewest calls for its slots,
-/// one of the near failure domain if all else is equal. What runs there counts
-/// once more as likely as the call crashes its server.
+/// Chooses the server of a plain service with the lowest ratio of running requests to
+/// slots. Servers in the local failure domain win ties. A request that may crash its server
+/// also counts the requests that the crash would affect.
 pub(crate) fn place_call(
     fleet: &Fleet,
-    board: &Board,
+    load_view: &Board,
     service: &str,
-    near: &str,
-    tried: &[ServerKey],
+    local_domain: &str,
+    excluded: &[ServerKey],
     crash_risk: f64,
     now: Instant,
 ) -> Option<Plan> {
-    /// Added to the load of a server for its failure rate of 1.
-    const DISTRUST: f64 = 3.0;
-    /// Added to the load of a server in another failure domain.
-    const FAR: f64 = 0.05;
+    /// Load added at a failure rate of 1.
+    const FAILURE_RATE_COST: f64 = 3.0;
+    /// Load added for a server in another failure domain.
+    const REMOTE_DOMAIN_COST: f64 = 0.05;
     let mut best: Option<(f64, ServerKey)> = None;
     for &key in fleet.in_use(service, now) {
         let Some(server) = fleet.get(key) else {
             continue;
         };
-        if !server.takes_work(now) || tried.contains(&key) {
+        if !server.takes_work(now) || excluded.contains(&key) {
             continue;
         }
-        let load = board.load(key, now);
-        let far = if server.record.failure_domain == near {
+        let load = load_view.load(key, now);
+        let domain_cost = if server.record.failure_domain == local_domain {
             0.0
         } else {
-            FAR
+            REMOTE_DOMAIN_COST
         };
-        let used = load.occupied() as f64 / f64::from(server.record.slots.max(1));
-        let at_stake = crash_risk * load.occupied() as f64;
-        let cost = used + DISTRUST * server.failure_rate(now) + far + at_stake;
-        if best.is_none_or(|(least, _)| cost < least) {
+        let used_slots = load.occupied() as f64 / f64::from(server.record.slots.max(1));
+        let crash_cost = crash_risk * load.occupied() as f64;
+        let cost =
+            used_slots + FAILURE_RATE_COST * server.failure_rate(now) + domain_cost + crash_cost;
+        if best.is_none_or(|(lowest, _)| cost < lowest) {
             best = Some((cost, key));
         }
     }
     best.map(|(_, server)| Plan {
-        first: Part {
+        primary: PlannedServer {
             server,
-            read_end_ms: 0.0,
+            prefill_end_ms: 0.0,
         },
-        helpers: Vec::new(),
+        prefill_workers: Vec::new(),
         reserve_tokens: None,
-        part_ms: 0.0,
-        first_ms: 0.0,
+        segment_ms: 0.0,
+        ttft_ms: 0.0,
         loss_ms: 0.0,
-        worth_ms: 0.0,
+        value_ms: 0.0,
         grounds: Grounds::LeastLoss,
     })
 }
--- a/crates/notchwalk_route/src/placement/long.rs
+++ b/crates/notchwalk_route/src/placement/long.rs
@@ -1,289 +1,308 @@
-//! Long prompts: engines with room, so that nobody else becomes late.
+//! Placement of long prompts on engines with prefill headroom, so that no other request
+//! misses its objective.
 
 use super::{
-    late_part, short::SOONER_SHARE, Demand, EnginePlacement, Plan, View, MAX_NAMED, RESERVED_MORE,
+    late_loss_fraction, short::LATENCY_WEIGHT, Candidate, Demand, EnginePlacement, Plan,
+    MAX_ENGINES_PER_REQUEST, RESERVATION_MARGIN,
 };
 use crate::{Grounds, ServerKey};
 
-/// The tightest pause objective taken for requests whose own is not known yet,
-/// in milliseconds.
-const SHORT_PAUSE_MS: f64 = 250.0;
-/// Part of a pause objective that a pass may take as predicted.
-const PAUSE_SHARE: f64 = 0.85;
-/// The same on an engine without short requests, where parts of several
-/// prompts meet.
-const LONG_PAUSE_SHARE: f64 = 0.75;
-/// The longest pass that is planned on an engine without short requests, in
-/// milliseconds: long streams too must go on.
-const LONGEST_PASS_MS: f64 = 900.0;
-/// Engines outside the short pool that a prompt over one engine leaves to
-/// others: the next questions and the next long prompt need one each.
-const KEPT_IDLE: usize = 2;
-/// The longest part of a prompt on an engine where nothing generates, in
+/// Inter-token objective assumed for short requests that have not started decoding, in
 /// milliseconds.
-const LONGEST_PART_MS: f64 = 2_000.0;
-/// The longest part of a long prompt on an engine with short requests, in
-/// milliseconds: their first events wait for it.
-const THINNEST_MS: f64 = 60.0;
-/// What it costs that one engine more reads a long prompt of its own, in
-/// milliseconds: it gets no parts of others meanwhile.
-const OPENING_MS: f64 = 60.0;
-/// What each further engine costs a long prompt, in milliseconds: it may fail,
-/// and it begins only with its next pass.
-const EACH_PART_MS: f64 = 15.0;
+const DEFAULT_INTER_TOKEN_MS: f64 = 250.0;
+/// Fraction of an inter-token objective that a predicted engine step may take.
+const STEP_FRACTION: f64 = 0.85;
+/// The same for an engine without short requests, where segments of several prompts can
+/// share a step.
+const LONG_STEP_FRACTION: f64 = 0.75;
+/// Longest step planned on an engine without short requests, in milliseconds.
+const MAX_STEP_MS: f64 = 900.0;
+/// Engines outside the short pool that an oversized prompt leaves to other requests.
+const SPARE_ENGINES: usize = 2;
+/// Longest prompt segment on an engine that decodes nothing, in milliseconds.
+const MAX_IDLE_SEGMENT_MS: f64 = 2_000.0;
+/// Longest segment of a long prompt on an engine with short requests, in milliseconds. It
+/// delays their first tokens.
+const MAX_SHARED_SEGMENT_MS: f64 = 60.0;
+/// Cost of opening another engine for long prompts, in milliseconds. That engine can't
+/// prefill for others in the meantime.
+const NEW_LONG_ENGINE_PENALTY_MS: f64 = 60.0;
+/// Cost of each further engine of a prompt, in milliseconds. Each one may fail, and starts
+/// only with its next step.
+const PER_ENGINE_PENALTY_MS: f64 = 15.0;
 
-/// Engines that a prompt may hope for while it waits to be read in time: about
-/// a third of a small fleet. With fewer it is given up too early, with more it waits
-/// in vain.
-const USUALLY_FREE: usize = 6;
+/// Free engines assumed when deciding whether a queued prompt can still meet its objective.
+const EXPECTED_FREE_ENGINES: usize = 6;
 
 /// The memory that a prompt takes, in tokens.
-struct Held {
-    /// On the engine that generates.
-    generating: f64,
-    /// On each of the others.
-    elsewhere: f64,
-    /// To set aside on each; `None` if nothing has to be.
-    reserved: Option<u32>,
+struct MemoryDemand {
+    /// On the decoding engine.
+    on_decoder: f64,
+    /// On each prefill worker.
+    per_worker: f64,
+    /// To reserve on each engine; `None` if no reservation is needed.
+    reserve_tokens: Option<u32>,
 }
 
 impl EnginePlacement<'_> {
-    /// Returns the memory that a prompt takes on each of `k` engines: all of it
-    /// on the one that generates, or equal shares that are set aside if it
-    /// exceeds an engine.
-    fn held(&self, demand: &Demand, k: usize) -> Held {
+    /// Returns the memory that a prompt takes on each of `k` engines: all of it on the
+    /// decoding engine, or equal reserved shares if the prompt exceeds one engine.
+    fn memory_demand(&self, demand: &Demand, k: usize) -> MemoryDemand {
         if !self.exceeds_engine(demand) {
-            return Held {
-                generating: demand.prompt + demand.answer,
-                elsewhere: 0.0,
-                reserved: None,
+            return MemoryDemand {
+                on_decoder: demand.prompt + demand.answer,
+                per_worker: 0.0,
+                reserve_tokens: None,
             };
         }
-        let share = (demand.prompt + demand.answer) / k as f64 * RESERVED_MORE;
-        Held {
-            generating: share,
-            elsewhere: share,
-            reserved: Some(share.ceil() as u32),
+        let share = (demand.prompt + demand.answer) / k as f64 * RESERVATION_MARGIN;
+        MemoryDemand {
+            on_decoder: share,
+            per_worker: share,
+            reserve_tokens: Some(share.ceil() as u32),
         }
     }
 
-    /// Chooses engines for a long prompt so that nobody's pauses grow beyond
-    /// their objectives; `None` if that can't be had now.
+    /// Chooses engines for a long prompt without exceeding the inter-token objectives of
+    /// other requests; `None` if no engines have the headroom.
     ///
-    /// An engine reads parts for others before prompts of its own, so that an
-    /// engine that generates for a long request must not get parts while it
-    /// still reads.
-    pub fn place_long(&self, service: &str, demand: &Demand, tried: &[ServerKey]) -> Option<Plan> {
-        if self.most_engines(demand) == 1 && demand.crash_risk > 0.0 {
-            // Where least is at stake, rather than where it fits in best.
-            return self.place_whole(&self.views(service, tried), demand);
+    /// An engine prefills segments for other engines before its own prompts, so an engine
+    /// that still prefills a prompt of its own gets no segments.
+    pub fn place_long(
+        &self,
+        service: &str,
+        demand: &Demand,
+        excluded: &[ServerKey],
+    ) -> Option<Plan> {
+        if self.max_engines(demand) == 1 && demand.crash_risk > 0.0 {
+            // Minimise the impact of a crash instead of the time to first token.
+            return self.place_on_one(&self.candidates(service, excluded), demand);
         }
         let cost = self.cost();
-        let worth_ms = demand.worth_ms();
-        let mut views = self.views(service, tried);
-        views.sort_by(|a, b| {
-            let busy = |view: &View| view.wait_ms + view.load.reading_ms + view.distrust_ms;
+        let value_ms = demand.value_ms();
+        let mut candidates = self.candidates(service, excluded);
+        candidates.sort_by(|a, b| {
+            let busy = |candidate: &Candidate| {
+                candidate.start_delay_ms + candidate.load.reading_ms + candidate.failure_penalty_ms
+            };
             let order = a.in_short_pool.cmp(&b.in_short_pool);
             order.then(busy(a).total_cmp(&busy(b)))
         });
-        let most = self.most_engines(demand).min(views.len());
+        let limit = self.max_engines(demand).min(candidates.len());
         let mut best: Option<Plan> = None;
-        for k in 1..=most {
-            let part_ms = cost.read_ms(demand.prompt / k as f64, demand.prompt);
-            let part_tokens = demand.prompt / k as f64;
-            let held = self.held(demand, k);
-            let Some(generating) = self.generating(&views, &held, part_tokens, part_ms) else {
+        for k in 1..=limit {
+            let segment_ms = cost.read_ms(demand.prompt / k as f64, demand.prompt);
+            let segment_tokens = demand.prompt / k as f64;
+            let memory = self.memory_demand(demand, k);
+            let Some(decoder) =
+                self.choose_decoder(&candidates, &memory, segment_tokens, segment_ms)
+            else {
                 continue;
             };
-            let roomy = views.iter().filter(|view| {
-                view.key != generating.key
-                    && self.has_memory(view, held.elsewhere)
-                    && view.may_help()
-                    && self.room_ms(view) >= part_ms
+            let with_headroom = candidates.iter().filter(|candidate| {
+                candidate.key != decoder.key
+                    && self.has_memory(candidate, memory.per_worker)
+                    && candidate.can_prefill()
+                    && self.prefill_headroom_ms(candidate) >= segment_ms
             });
-            let mut chosen: Vec<&View> = roomy.take(k - 1).collect();
+            let mut chosen: Vec<&Candidate> = with_headroom.take(k - 1).collect();
             if chosen.len() + 1 < k {
                 continue;
             }
-            chosen.push(generating);
-            let mut first_ms = self.first_ms(generating, part_tokens, part_ms);
+            chosen.push(decoder);
+            let mut ttft_ms = self.ttft_ms(decoder, segment_tokens, segment_ms);
             let mut loss_ms = 0.0;
-            for view in &chosen {
-                let end_ms = view.wait_ms + view.load.reading_ms + part_ms;
-                first_ms = first_ms.max(end_ms + generating.pass_ms);
-                loss_ms += EACH_PART_MS + view.distrust_ms;
-                if view.in_short_pool {
-                    loss_ms += part_ms * view.load.short as f64 / self.short_per_engine();
+            for candidate in &chosen {
+                let end_ms = candidate.start_delay_ms + candidate.load.reading_ms + segment_ms;
+                ttft_ms = ttft_ms.max(end_ms + decoder.engine_step_ms);
+                loss_ms += PER_ENGINE_PENALTY_MS + candidate.failure_penalty_ms;
+                if candidate.in_short_pool {
+                    loss_ms += segment_ms * candidate.load.short as f64 / self.short_per_engine();
                 }
             }
-            loss_ms += worth_ms * late_part(first_ms, demand.objective_ms) + first_ms;
+            loss_ms += value_ms * late_loss_fraction(ttft_ms, demand.objective_ms) + ttft_ms;
             if best.as_ref().is_some_and(|best| best.loss_ms <= loss_ms) {
                 continue;
             }
             best = Some(Plan {
-                reserve_tokens: held.reserved,
+                reserve_tokens: memory.reserve_tokens,
                 loss_ms,
                 grounds: Grounds::Room,
-                ..self.spread_plan(&chosen, generating.key, demand, part_ms, first_ms)
+                ..self.split_plan(&chosen, decoder.key, demand, segment_ms, ttft_ms)
             });
         }
         best
     }
 
-    /// Chooses the engine that generates for a long prompt: the soonest one with
-    /// room and memory, rather one that generates for long prompts already.
-    fn generating<'v>(
+    /// Chooses the decoding engine of a long prompt: the soonest one with headroom and
+    /// memory, preferring engines that already decode long prompts.
+    fn choose_decoder<'a>(
         &self,
-        views: &'v [View],
-        held: &Held,
-        part_tokens: f64,
-        part_ms: f64,
-    ) -> Option<&'v View> {
-        let mut best: Option<(f64, &View)> = None;
-        for view in views {
-            if !self.has_memory(view, held.generating) || self.room_ms(view) < part_ms {
+        candidates: &'a [Candidate],
+        memory: &MemoryDemand,
+        segment_tokens: f64,
+        segment_ms: f64,
+    ) -> Option<&'a Candidate> {
+        let mut best: Option<(f64, &Candidate)> = None;
+        for candidate in candidates {
+            if !self.has_memory(candidate, memory.on_decoder)
+                || self.prefill_headroom_ms(candidate) < segment_ms
+            {
                 continue;
             }
-            let opening_ms = if view.in_short_pool { 0.0 } else { OPENING_MS };
-            let first_ms = self.first_ms(view, part_tokens, part_ms);
-            // Parts that were promised before go first.
-            let cost_ms = first_ms + view.load.reading_ms + opening_ms;
-            if best.is_none_or(|(least, _)| cost_ms < least) {
-                best = Some((cost_ms, view));
+            let new_engine_penalty_ms = if candidate.in_short_pool {
+                0.0
+            } else {
+                NEW_LONG_ENGINE_PENALTY_MS
+            };
+            let ttft_ms = self.ttft_ms(candidate, segment_tokens, segment_ms);
+            // Queued segments for other engines are prefilled first.
+            let cost_ms = ttft_ms + candidate.load.reading_ms + new_engine_penalty_ms;
+            if best.is_none_or(|(lowest, _)| cost_ms < lowest) {
+                best = Some((cost_ms, candidate));
             }
         }
-        best.map(|(_, view)| view)
+        best.map(|(_, candidate)| candidate)
     }
 
-    /// Returns the time to the first event of a long prompt if engines were
-    /// idle, in milliseconds.
-    pub fn soonest_ms(&self, demand: &Demand) -> f64 {
-        let most = self.most_engines(demand).min(USUALLY_FREE) as f64;
-        let part_ms = self.cost().read_ms(demand.prompt / most, demand.prompt);
-        part_ms + self.cost().pass_ms(1, demand.prompt)
+    /// Returns the time to first token of a long prompt on idle engines, in milliseconds.
+    pub fn min_ttft_ms(&self, demand: &Demand) -> f64 {
+        let limit = self.max_engines(demand).min(EXPECTED_FREE_ENGINES) as f64;
+        let segment_ms = self.cost().read_ms(demand.prompt / limit, demand.prompt);
+        segment_ms + self.cost().pass_ms(1, demand.prompt)
     }
 
-    /// Chooses one engine that serves a long prompt within `limit_ms`, though
-    /// late: the one with the fewest short requests, then the least to read.
+    /// Chooses one engine that serves a late long prompt within `limit_ms`: the one with
+    /// the fewest short requests, then the least prefill.
     ///
-    /// Engines read parts for others before prompts of their own, so that a late
-    /// prompt gives way where it is read whole. Spread, it would hold up those
-    /// that can still be in time.
+    /// The prompt isn't split: engines prefill segments for others first, so a late prompt
+    /// on one engine yields to those that can still meet their objective.
     pub fn place_late(
         &self,
         service: &str,
         demand: &Demand,
-        tried: &[ServerKey],
+        excluded: &[ServerKey],
         limit_ms: f64,
     ) -> Option<Plan> {
-        let part_ms = self.read_ms(demand);
+        let segment_ms = self.prefill_ms(demand);
         let tokens = demand.prompt + demand.answer;
         let mut best: Option<((usize, usize), f64, Plan)> = None;
-        for view in &self.views(service, tried) {
-            let first_ms = self.first_ms(view, demand.prompt, part_ms);
-            if first_ms > limit_ms || !self.has_memory(view, tokens) {
+        for candidate in &self.candidates(service, excluded) {
+            let ttft_ms = self.ttft_ms(candidate, demand.prompt, segment_ms);
+            if ttft_ms > limit_ms || !self.has_memory(candidate, tokens) {
                 continue;
             }
-            let long = view.load.writers + view.load.own_long_reads;
-            let disturbed = (view.load.short, long);
-            let busy_ms = view.load.reading_ms + view.distrust_ms + self.at_stake_ms(view, demand);
-            let order = (disturbed, busy_ms);
+            let long = candidate.load.writers + candidate.load.own_long_reads;
+            let disturbance = (candidate.load.short, long);
+            let busy_ms = candidate.load.reading_ms
+                + candidate.failure_penalty_ms
+                + self.crash_penalty_ms(candidate, demand);
+            let order = (disturbance, busy_ms);
             if best.as_ref().is_some_and(|best| (best.0, best.1) <= order) {
                 continue;
             }
             let plan = Plan {
-                loss_ms: self.harm_ms(view, part_ms),
+                loss_ms: self.penalty_ms(candidate, segment_ms),
                 grounds: Grounds::Late,
-                ..self.whole_plan(view, demand, part_ms, first_ms)
+                ..self.single_engine_plan(candidate, demand, segment_ms, ttft_ms)
             };
-            best = Some((disturbed, busy_ms, plan));
+            best = Some((disturbance, busy_ms, plan));
         }
         best.map(|(_, _, plan)| plan)
     }
 
-    /// Chooses engines for a prompt over one engine so that its first event
-    /// comes within `limit_ms` and its parts keep engines from other work no
-    /// longer than `longest_part_ms`. `None` if too few are idle.
+    /// Chooses engines for an oversized prompt such that its first token arrives within
+    /// `limit_ms` and no segment takes longer than `max_segment_ms`. Returns `None` if too
+    /// few engines are idle.
     pub fn place_oversized(
         &self,
         service: &str,
         demand: &Demand,
-        tried: &[ServerKey],
+        excluded: &[ServerKey],
         limit_ms: f64,
-        longest_part_ms: f64,
+        max_segment_ms: f64,
     ) -> Option<Plan> {
-        let mut views = self.views(service, tried);
-        views.retain(|view| !view.in_short_pool && view.may_help());
+        let mut candidates = self.candidates(service, excluded);
+        candidates.retain(|candidate| !candidate.in_short_pool && candidate.can_prefill());
         let cost = self.cost();
-        let trial_ms = cost.read_ms(demand.prompt / MAX_NAMED as f64, demand.prompt);
-        let harm = |view: &View| self.harm_ms(view, trial_ms) + view.distrust_ms;
-        views.sort_by(|a, b| {
-            let busy = |view: &View| view.load.reading_ms + view.load.context_tokens / 1e3;
-            harm(a)
-                .total_cmp(&harm(b))
+        let sample_segment_ms = cost.read_ms(
+            demand.prompt / MAX_ENGINES_PER_REQUEST as f64,
+            demand.prompt,
+        );
+        let penalty = |candidate: &Candidate| {
+            self.penalty_ms(candidate, sample_segment_ms) + candidate.failure_penalty_ms
+        };
+        candidates.sort_by(|a, b| {
+            let busy = |candidate: &Candidate| {
+                candidate.load.reading_ms + candidate.load.context_tokens / 1e3
+            };
+            penalty(a)
+                .total_cmp(&penalty(b))
                 .then(busy(a).total_cmp(&busy(b)))
         });
-        let kept = KEPT_IDLE.min(views.len());
-        let most = self.most_engines(demand).min(views.len() - kept);
+        let spare = SPARE_ENGINES.min(candidates.len());
+        let limit = self.max_engines(demand).min(candidates.len() - spare);
         let mut best: Option<Plan> = None;
-        for k in 2..=most {
-            let part_ms = cost.read_ms(demand.prompt / k as f64, demand.prompt);
-            let held = self.held(demand, k);
-            let Some((generating, chosen)) = self.with_memory(&views, &held, k) else {
+        for k in 2..=limit {
+            let segment_ms = cost.read_ms(demand.prompt / k as f64, demand.prompt);
+            let memory = self.memory_demand(demand, k);
+            let Some((decoder, chosen)) = self.select_with_memory(&candidates, &memory, k) else {
                 continue;
             };
-            let part_tokens = demand.prompt / k as f64;
-            let firsts = chosen.iter();
-            let firsts = firsts.map(|view| self.first_ms(view, part_tokens, part_ms));
-            let first_ms = firsts.fold(0.0, f64::max);
-            if first_ms > limit_ms || part_ms > longest_part_ms {
+            let segment_tokens = demand.prompt / k as f64;
+            let ttfts = chosen.iter();
+            let ttfts = ttfts.map(|candidate| self.ttft_ms(candidate, segment_tokens, segment_ms));
+            let ttft_ms = ttfts.fold(0.0, f64::max);
+            if ttft_ms > limit_ms || segment_ms > max_segment_ms {
                 continue;
             }
-            let harm_ms: f64 = chosen.iter().map(|view| self.harm_ms(view, part_ms)).sum();
-            let loss_ms = harm_ms + part_ms * SOONER_SHARE;
+            let penalty_ms: f64 = chosen
+                .iter()
+                .map(|candidate| self.penalty_ms(candidate, segment_ms))
+                .sum();
+            let loss_ms = penalty_ms + segment_ms * LATENCY_WEIGHT;
             if best.as_ref().is_some_and(|best| best.loss_ms <= loss_ms) {
                 continue;
             }
             best = Some(Plan {
-                reserve_tokens: held.reserved,
+                reserve_tokens: memory.reserve_tokens,
                 loss_ms,
                 grounds: Grounds::Late,
-                ..self.spread_plan(&chosen, generating, demand, part_ms, first_ms)
+                ..self.split_plan(&chosen, decoder, demand, segment_ms, ttft_ms)
             });
         }
         best
     }
 
-    /// Returns the first `k` engines with the memory for a prompt, and which of
-    /// them generates.
-    fn with_memory<'v>(
+    /// Returns the first `k` engines with enough memory, and which of them decodes.
+    fn select_with_memory<'a>(
         &self,
-        views: &'v [View],
-        held: &Held,
+        candidates: &'a [Candidate],
+        memory: &MemoryDemand,
         k: usize,
-    ) -> Option<(ServerKey, Vec<&'v View>)> {
-        let mut generating = views.iter();
-        let generating = generating.find(|view| self.has_memory(view, held.generating))?;
-        let others = views
-            .iter()
-            .filter(|view| view.key != generating.key && self.has_memory(view, held.elsewhere));
-        let mut chosen = vec![generating];
+    ) -> Option<(ServerKey, Vec<&'a Candidate>)> {
+        let mut decoder = candidates.iter();
+        let decoder = decoder.find(|candidate| self.has_memory(candidate, memory.on_decoder))?;
+        let others = candidates.iter().filter(|candidate| {
+            candidate.key != decoder.key && self.has_memory(candidate, memory.per_worker)
+        });
+        let mut chosen = vec![decoder];
         chosen.extend(others.take(k - 1));
-        (chosen.len() == k).then_some((generating.key, chosen))
+        (chosen.len() == k).then_some((decoder.key, chosen))
     }
 
-    /// Returns how much an engine can read in its next pass without making
-    /// those that it serves late, in milliseconds.
-    fn room_ms(&self, view: &View) -> f64 {
-        let busy = view.pass_ms + view.load.reading_ms;
-        if view.in_short_pool || view.load.short > 0 {
-            let pause = view.load.tightest_pause_ms.min(SHORT_PAUSE_MS);
-            return (PAUSE_SHARE * pause - busy).min(THINNEST_MS);
+    /// Returns the prefill time that fits into an engine's next step without making its
+    /// requests late, in milliseconds.
+    fn prefill_headroom_ms(&self, candidate: &Candidate) -> f64 {
+        let busy = candidate.engine_step_ms + candidate.load.reading_ms;
+        if candidate.in_short_pool || candidate.load.short > 0 {
+            let inter_token_ms = candidate.load.tightest_pause_ms.min(DEFAULT_INTER_TOKEN_MS);
+            return (STEP_FRACTION * inter_token_ms - busy).min(MAX_SHARED_SEGMENT_MS);
         }
-        if view.load.writers == 0 && view.load.own_long_reads == 0 {
-            return LONGEST_PART_MS - view.load.reading_ms;
+        if candidate.load.writers == 0 && candidate.load.own_long_reads == 0 {
+            return MAX_IDLE_SEGMENT_MS - candidate.load.reading_ms;
         }
-        let pause = view.load.tightest_coming_pause_ms.min(LONGEST_PASS_MS);
-        LONG_PAUSE_SHARE * pause - busy
+        let inter_token_ms = candidate.load.tightest_coming_pause_ms.min(MAX_STEP_MS);
+        LONG_STEP_FRACTION * inter_token_ms - busy
     }
 }
--- a/crates/notchwalk_route/src/placement/mod.rs
+++ b/crates/notchwalk_route/src/placement/mod.rs
@@ -1,14 +1,12 @@
-//! Chooses the server of a request and, for a long prompt, the engines that
-//! read parts of it.
+//! Chooses the server of a request and, for a long prompt, the engines that prefill
+//! segments of it.
 //!
-//! Every choice is the one with the least expected loss. What a request is
-//! worth follows its tokens, read and generated, so that requests of all kinds
-//! are weighed alike. Engine time would overrate the longest prompts: it grows
-//! with the square of their length.
+//! Every choice minimises the expected loss. The value of a request is proportional to its
+//! prompt and output tokens, so that requests of all sizes are comparable. Engine time
+//! would overrate the longest prompts, as attention is quadratic in the prompt length.
 //!
-//! An engine reads parts of others' prompts before its own, the newest part
-//! first (seen on the users' engines; see docs/PLATFORM.md). A part that is
-//! added to an engine with reading left therefore delays all of it.
+//! An engine prefills segments for other engines before its own prompts, newest segment
+//! first, so a segment added to an engine with unfinished prefill delays all of it.
 
 mod call;
 mod long;
@@ -23,75 +21,68 @@
 
 pub(crate) use call::place_call;
 
-/// Part of a request's worth that is lost when its answer is late; on the
-/// deployments known a late answer earns a quarter.
-const LATE_LOSS: f64 = 0.75;
-/// Predicted over allowed time from which a miss is thought possible.
-const SURELY_IN_TIME: f64 = 0.75;
-/// Predicted over allowed time from which a miss is thought certain.
-const SURELY_LATE: f64 = 1.15;
-/// Part of an engine's slots that short requests fill before the next engine is
-/// opened for them.
-const SHORT_SLOT_SHARE: f64 = 0.875;
-/// Engines beyond those in use that are kept for short requests.
+/// Fraction of a request's value that is lost when its answer is late.
+const LATE_LOSS_FRACTION: f64 = 0.75;
+/// Ratio of predicted to allowed time from which a miss is possible.
+const POSSIBLY_LATE_RATIO: f64 = 0.75;
+/// Ratio of predicted to allowed time from which a miss is certain.
+const CERTAINLY_LATE_RATIO: f64 = 1.15;
+/// Fraction of an engine's slots filled by short requests before the short pool grows.
+const SHORT_SLOT_FRACTION: f64 = 0.875;
+/// Extra engines kept in the short pool.
 const SPARE_SHORT_ENGINES: usize = 0;
-/// How much a short request on an engine speaks for keeping the engine in the
-/// short pool, in milliseconds of reading that speak against it.
-const SHORT_SUITS_MS: f64 = 40.0;
-/// Added to the loss for an engine of the short pool, for a part of a long
-/// prompt.
-const INSIDE_POOL_MS: f64 = 20.0;
-/// Least tokens of a part.
-const SMALLEST_PART_TOKENS: f64 = 2_500.0;
-/// Engines named with one request at most, as engines allow: helpers, and the
-/// engine that generates if it has a reservation too.
-const MAX_NAMED: usize = 16;
-/// Mean time between deciding and the request's arrival at the engine, in
+/// Prefill backlog that each short request outweighs when engines are ranked for the short
+/// pool, in milliseconds.
+const SHORT_POOL_AFFINITY_MS: f64 = 40.0;
+/// Loss added for a segment of a long prompt on an engine of the short pool.
+const SHORT_POOL_PENALTY_MS: f64 = 20.0;
+const MIN_SEGMENT_TOKENS: f64 = 2_500.0;
+/// Upper bound that engines set on the engines named in one request: prefill workers, plus
+/// the decoding engine if it holds a reservation.
+const MAX_ENGINES_PER_REQUEST: usize = 16;
+/// Mean delay between the decision and the request's arrival at the engine, in
 /// milliseconds.
-const TRANSIT_MS: f64 = 3.0;
-/// Events of a short answer over which its slot costs others time.
-const USUAL_EVENTS: f64 = 25.0;
-/// What a generated token is worth in tokens of the prompt; the users' rules
-/// state it.
-const GENERATED_WEIGHT: f64 = 10.0;
-/// Tokens that are worth a millisecond of engine time.
-const WORTH_TOKENS_PER_MS: f64 = 100.0;
-/// Tokens of an answer whose length is not known, as on the deployments known.
-const USUAL_ANSWER_TOKENS: f64 = 1_000.0;
-/// Memory that is set aside over what a prompt and its answer are thought to
-/// take.
-const RESERVED_MORE: f64 = 1.03;
-/// Part of an engine's memory that prompts may fill, leaving room for what is
-/// generated.
-const MEMORY_SHARE: f64 = 0.92;
-
-/// A server of a choice.
+const DISPATCH_LATENCY_MS: f64 = 3.0;
+/// Stream events of a typical short answer, used to estimate the wait for a slot.
+const TYPICAL_SHORT_ANSWER_EVENTS: f64 = 25.0;
+/// Value of an output token, in prompt tokens.
+const OUTPUT_TOKEN_WEIGHT: f64 = 10.0;
+/// Token value equivalent to a millisecond of engine time.
+const VALUE_TOKENS_PER_MS: f64 = 100.0;
+/// Answer length assumed where it is unknown.
+const DEFAULT_ANSWER_TOKENS: f64 = 1_000.0;
+/// Factor of reserved over estimated memory.
+const RESERVATION_MARGIN: f64 = 1.03;
+/// Fraction of an engine's memory that prompts may fill; the rest is left for output
+/// tokens.
+const USABLE_MEMORY_FRACTION: f64 = 0.92;
+
+/// A server of a [`Plan`].
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Part {
+pub(crate) struct PlannedServer {
     pub server: ServerKey,
-    /// Predicted time until its reading is done, in milliseconds.
-    pub read_end_ms: f64,
+    /// Predicted time until its prefill ends, in milliseconds.
+    pub prefill_end_ms: f64,
 }
 
-/// A choice.
+/// A placement decision.
 #[derive(Clone, Debug)]
 pub(crate) struct Plan {
-    /// Where the request goes.
-    pub first: Part,
-    /// Engines that read parts of its prompt.
-    pub helpers: Vec<Part>,
-    /// Memory to set aside on each of the servers, in tokens, for a prompt that
-    /// no single one has room for.
+    /// The server that answers the request.
+    pub primary: PlannedServer,
+    /// Engines that prefill segments of the prompt.
+    pub prefill_workers: Vec<PlannedServer>,
+    /// Memory to reserve on each server, in tokens; set if the prompt exceeds one engine.
     pub reserve_tokens: Option<u32>,
-    /// Reading at each of the servers, in milliseconds.
-    pub part_ms: f64,
-    /// Predicted time to the first event, in milliseconds.
-    pub first_ms: f64,
+    /// Prefill time at each server, in milliseconds.
+    pub segment_ms: f64,
+    /// Predicted time to first token, in milliseconds.
+    pub ttft_ms: f64,
     /// Expected loss, in milliseconds of engine time.
     pub loss_ms: f64,
-    /// What the request is worth, in milliseconds of engine time.
-    pub worth_ms: f64,
-    /// Why it was chosen.
+    /// Value of the request, in milliseconds of engine time.
+    pub value_ms: f64,
+    /// Reason for the choice, for logs.
     pub grounds: Grounds,
 }
 
@@ -99,13 +90,13 @@
 pub(crate) struct Demand {
     pub prompt: f64,
     pub answer: f64,
-    /// Time left for the first event to be in time, in milliseconds.
+    /// Time left until the first-token objective, in milliseconds.
     pub objective_ms: f64,
-    /// Time left until the caller gives up, in milliseconds.
-    pub patience_ms: f64,
-    /// Sends that failed by a helper.
-    pub helpers_failed: u32,
-    /// How likely it crashes its server, 0 to 1.
+    /// Time left until the caller times out, in milliseconds.
+    pub caller_timeout_ms: f64,
+    /// Attempts that failed because of a prefill worker.
+    pub worker_failures: u32,
+    /// Probability that the request crashes its server.
     pub crash_risk: f64,
 }
 
@@ -114,9 +105,9 @@
 }
 
 impl Demand {
-    /// Returns what the request is worth, in milliseconds of engine time.
-    pub fn worth_ms(&self) -> f64 {
-        worth_ms(self.prompt, self.answer)
+    /// Returns the value of the request, in milliseconds of engine time.
+    pub fn value_ms(&self) -> f64 {
+        value_ms(self.prompt, self.answer)
     }
 
     pub fn new(request: &Request, crash_risk: f64, now: Instant) -> Self {
@@ -125,36 +116,37 @@
             prompt: f64::from(facts.prompt_tokens),
             answer: f64::from(facts.answer_tokens),
             objective_ms: ms_until(request.objective_at(), now).max(1.0),
-            patience_ms: ms_until(request.patience_end(), now).max(1.0),
-            helpers_failed: request.helpers_failed,
+            caller_timeout_ms: ms_until(request.patience_end(), now).max(1.0),
+            worker_failures: request.helpers_failed,
             crash_risk,
         }
     }
 }
 
-/// One engine as placement sees it.
-struct View {
+/// An engine that may be chosen.
+struct Candidate {
     key: ServerKey,
     load: ServerLoad,
-    /// A pass as it is now, without reading.
-    pass_ms: f64,
-    /// Until the engine looks at a new request.
-    wait_ms: f64,
-    /// Added to the loss for a server that often fails.
-    distrust_ms: f64,
+    /// Current step time without prefill.
+    engine_step_ms: f64,
+    /// Time until the engine's next step.
+    start_delay_ms: f64,
+    /// Loss added for recent failures.
+    failure_penalty_ms: f64,
     in_short_pool: bool,
-    /// Whether its limit leaves no requests for parts.
-    is_scarce: bool,
+    /// Whether its rate limit is too low for prompt segments.
+    has_low_limit: bool,
 }
 
-impl View {
-    /// Tells whether the engine may read a part of a prompt: what it still has
-    /// to read would be delayed by it.
-    fn may_help(&self) -> bool {
-        /// Enough that an engine never waits for its next part, little enough
-        /// that few are delayed.
-        const QUEUED_MS: f64 = 150.0;
-        !self.is_scarce && self.load.own_long_reads == 0 && self.load.reading_ms <= QUEUED_MS
+impl Candidate {
+    /// Returns whether the engine may prefill a segment for another engine without delaying
+    /// its own prompts.
+    fn can_prefill(&self) -> bool {
+        /// Keeps the engine busy until its next segment, without delaying many requests.
+        const MAX_QUEUED_PREFILL_MS: f64 = 150.0;
+        !self.has_low_limit
+            && self.load.own_long_reads == 0
+            && self.load.reading_ms <= MAX_QUEUED_PREFILL_MS
     }
 }
 
@@ -162,24 +154,25 @@
 pub(crate) struct EnginePlacement<'a> {
     pub parameters: &'a EngineParameters,
     pub fleet: &'a Fleet,
-    pub board: &'a Board,
+    pub load_view: &'a Board,
     pub now: Instant,
-    /// Whether what others have on the engines is not known: the entry has just
-    /// started.
-    pub blind: bool,
-    /// Tells entries apart, so that those that know nothing of each other don't
-    /// all choose the same engines.
+    /// Whether the load caused by peers is unknown because this node has just started.
+    pub peer_load_unknown: bool,
+    /// Differs between nodes, so that nodes without load information don't all choose the
+    /// same engines.
     pub salt: u32,
 }
 
-/// Returns what a request is worth, in milliseconds of engine time.
-fn worth_ms(prompt_tokens: f64, answer_tokens: f64) -> f64 {
-    (prompt_tokens + GENERATED_WEIGHT * answer_tokens) / WORTH_TOKENS_PER_MS
+/// Returns the value of a request, in milliseconds of engine time.
+fn value_ms(prompt_tokens: f64, answer_tokens: f64) -> f64 {
+    (prompt_tokens + OUTPUT_TOKEN_WEIGHT * answer_tokens) / VALUE_TOKENS_PER_MS
 }
 
-fn late_part(predicted_ms: f64, allowed_ms: f64) -> f64 {
+fn late_loss_fraction(predicted_ms: f64, allowed_ms: f64) -> f64 {
     let ratio = predicted_ms / allowed_ms;
-    LATE_LOSS * ((ratio - SURELY_IN_TIME) / (SURELY_LATE - SURELY_IN_TIME)).clamp(0.0, 1.0)
+    LATE_LOSS_FRACTION
+        * ((ratio - POSSIBLY_LATE_RATIO) / (CERTAINLY_LATE_RATIO - POSSIBLY_LATE_RATIO))
+            .clamp(0.0, 1.0)
 }
 
 impl EnginePlacement<'_> {
@@ -187,232 +180,257 @@
         EngineCost::new(self.parameters)
     }
 
-    /// Returns over how many engines a prompt may be spread.
+    /// Returns over how many engines a prompt may be split.
     ///
-    /// After a send that failed by a helper it is half as many: when several
-    /// engines die at once, a dozen helpers hardly ever all live, and each send
-    /// finds one dead engine only.
-    fn most_engines(&self, demand: &Demand) -> usize {
-        /// Halvings after which any number of named engines is down to one.
-        const MOST_HALVINGS: u32 = usize::BITS - (MAX_NAMED + 1).leading_zeros();
+    /// Each failure of a prefill worker halves the number: when several engines crash at
+    /// once, a large set nearly always contains another crashed one.
+    fn max_engines(&self, demand: &Demand) -> usize {
+        /// Halvings that reduce any engine count to one.
+        const MAX_HALVINGS: u32 = usize::BITS - (MAX_ENGINES_PER_REQUEST + 1).leading_zeros();
         let exceeds = self.exceeds_engine(demand);
-        // What may crash its server is read by one only.
+        // A crash must not affect more than one engine.
         if demand.crash_risk > 0.0 && !exceeds {
             return 1;
         }
-        let by_size = (demand.prompt / SMALLEST_PART_TOKENS) as usize;
-        let named = match exceeds {
-            true => MAX_NAMED,
-            false => MAX_NAMED + 1,
+        let by_size = (demand.prompt / MIN_SEGMENT_TOKENS) as usize;
+        let limit = match exceeds {
+            true => MAX_ENGINES_PER_REQUEST,
+            false => MAX_ENGINES_PER_REQUEST + 1,
         };
         by_size.clamp(
             1,
-            (named >> demand.helpers_failed.min(MOST_HALVINGS)).max(1),
+            (limit >> demand.worker_failures.min(MAX_HALVINGS)).max(1),
         )
     }
 
-    /// Returns how many short requests fill an engine before the next one is
-    /// opened for them.
+    /// Returns how many short requests fill an engine before the short pool grows.
     fn short_per_engine(&self) -> f64 {
-        (f64::from(self.parameters.slots) * SHORT_SLOT_SHARE).max(1.0)
+        (f64::from(self.parameters.slots) * SHORT_SLOT_FRACTION).max(1.0)
     }
 
-    /// Tells whether no engine has the memory for a prompt and its answer.
+    /// Returns whether a prompt and its answer exceed the memory of one engine.
     pub fn exceeds_engine(&self, demand: &Demand) -> bool {
-        demand.prompt + demand.answer > MEMORY_SHARE * self.parameters.memory_tokens as f64
+        demand.prompt + demand.answer
+            > USABLE_MEMORY_FRACTION * self.parameters.memory_tokens as f64
     }
 
-    /// Returns the engine time of a prompt, in milliseconds.
-    pub fn read_ms(&self, demand: &Demand) -> f64 {
+    /// Returns the prefill time of a prompt on one engine, in milliseconds.
+    pub fn prefill_ms(&self, demand: &Demand) -> f64 {
         self.cost().read_ms(demand.prompt, demand.prompt)
     }
 
-    fn views(&self, service: &str, tried: &[ServerKey]) -> Vec<View> {
+    fn candidates(&self, service: &str, excluded: &[ServerKey]) -> Vec<Candidate> {
         let servers = self.fleet.in_use(service, self.now);
-        let mut views = Vec::with_capacity(servers.len());
+        let mut candidates = Vec::with_capacity(servers.len());
         let mut short = 0;
         for &key in servers {
             let Some(server) = self.fleet.get(key) else {
                 continue;
             };
-            let load = self.board.load(key, self.now);
+            let load = self.load_view.load(key, self.now);
             short += load.short;
-            if !server.takes_work(self.now) || tried.contains(&key) {
+            if !server.takes_work(self.now) || excluded.contains(&key) {
                 continue;
             }
-            let pass_ms = self.cost().pass_ms(load.writers, load.pass_tokens);
-            let wait_ms = match load.writers {
+            let engine_step_ms = self.cost().pass_ms(load.writers, load.pass_tokens);
+            let start_delay_ms = match load.writers {
                 0 => 0.0,
-                _ => (pass_ms + load.reading_ms) / 2.0,
+                _ => (engine_step_ms + load.reading_ms) / 2.0,
             };
-            views.push(View {
+            candidates.push(Candidate {
                 key,
                 load,
-                pass_ms,
-                wait_ms,
-                distrust_ms: 400.0 * server.failure_rate(self.now),
-                in_short_pool: self.blind,
-                is_scarce: server.is_scarce(),
+                engine_step_ms,
+                start_delay_ms,
+                failure_penalty_ms: 400.0 * server.failure_rate(self.now),
+                in_short_pool: self.peer_load_unknown,
+                has_low_limit: server.is_scarce(),
             });
         }
-        if self.blind {
-            return views;
+        if self.peer_load_unknown {
+            return candidates;
         }
         let pool =
             ((short + 1) as f64 / self.short_per_engine()).ceil() as usize + SPARE_SHORT_ENGINES;
-        let mut order: Vec<usize> = (0..views.len()).collect();
-        // Engines that serve short requests already stay in the pool; those
-        // that long work keeps busy enter it last.
+        let mut order: Vec<usize> = (0..candidates.len()).collect();
+        // Engines with short requests stay in the pool; engines with a long prefill backlog
+        // join it last.
         order.sort_by(|&a, &b| {
-            let suits =
-                |view: &View| view.load.short as f64 * SHORT_SUITS_MS - view.load.reading_ms;
-            suits(&views[b]).total_cmp(&suits(&views[a]))
+            let affinity = |candidate: &Candidate| {
+                candidate.load.short as f64 * SHORT_POOL_AFFINITY_MS - candidate.load.reading_ms
+            };
+            affinity(&candidates[b]).total_cmp(&affinity(&candidates[a]))
         });
         for index in order.into_iter().take(pool) {
-            views[index].in_short_pool = true;
+            candidates[index].in_short_pool = true;
         }
-        views
+        candidates
     }
 
-    /// Returns what is lost on the requests of an engine when `part_ms` more
-    /// are read in its next pass.
-    fn harm_ms(&self, view: &View, part_ms: f64) -> f64 {
-        let before = view.pass_ms + view.load.reading_ms;
-        let after = before + part_ms;
-        let mut harm = 0.0;
-        for work in self.board.on(view.key) {
+    /// Returns the expected loss of an engine's other requests if its next step takes on
+    /// `segment_ms` more prefill.
+    fn penalty_ms(&self, candidate: &Candidate, segment_ms: f64) -> f64 {
+        let before = candidate.engine_step_ms + candidate.load.reading_ms;
+        let after = before + segment_ms;
+        let mut loss = 0.0;
+        for work in self.load_view.on(candidate.key) {
             let allowed = match work.phase {
                 crate::WorkPhase::Writing => work.pause_ms,
                 crate::WorkPhase::Reading => work.pause_ms * 1.2,
                 _ => continue,
             };
-            let more = late_part(after, allowed) - late_part(before, allowed);
-            if more <= 0.0 {
+            let added = late_loss_fraction(after, allowed) - late_loss_fraction(before, allowed);
+            if added <= 0.0 {
                 continue;
             }
-            harm += more * worth_ms(work.context_tokens, USUAL_ANSWER_TOKENS);
+            loss += added * value_ms(work.context_tokens, DEFAULT_ANSWER_TOKENS);
         }
-        harm
+        loss
     }
 
-    /// Returns what is lost on the requests of an engine, as likely as this one
-    /// crashes it.
-    fn at_stake_ms(&self, view: &View, demand: &Demand) -> f64 {
+    /// Returns the expected loss of an engine's other requests from a crash caused by this
+    /// one.
+    fn crash_penalty_ms(&self, candidate: &Candidate, demand: &Demand) -> f64 {
         if demand.crash_risk <= 0.0 {
             return 0.0;
         }
-        let works = self.board.on(view.key).iter();
-        let worth = works.map(|work| worth_ms(work.context_tokens, USUAL_ANSWER_TOKENS));
-        demand.crash_risk * LATE_LOSS * worth.sum::<f64>()
+        let works = self.load_view.on(candidate.key).iter();
+        let value = works.map(|work| value_ms(work.context_tokens, DEFAULT_ANSWER_TOKENS));
+        demand.crash_risk * LATE_LOSS_FRACTION * value.sum::<f64>()
     }
 
-    fn first_ms(&self, view: &View, part_tokens: f64, part_ms: f64) -> f64 {
-        let load = &view.load;
+    fn ttft_ms(&self, candidate: &Candidate, segment_tokens: f64, segment_ms: f64) -> f64 {
+        let load = &candidate.load;
         let writers = load.writers + load.readers + 1;
-        let context = load.pass_tokens + part_tokens;
-        let pass = self.cost().pass_ms(writers, context);
-        // Beyond its slots an engine makes requests wait for a place.
-        let excess = (load.occupied() + 1) as f64 - f64::from(self.parameters.slots);
-        let queued = excess.max(0.0) / f64::from(self.parameters.slots) * USUAL_EVENTS * pass;
-        TRANSIT_MS + view.wait_ms + load.reading_ms + part_ms + pass + queued
+        let context = load.pass_tokens + segment_tokens;
+        let step_ms = self.cost().pass_ms(writers, context);
+        // Requests beyond the slots are queued by the engine.
+        let excess_requests = (load.occupied() + 1) as f64 - f64::from(self.parameters.slots);
+        let queued = excess_requests.max(0.0) / f64::from(self.parameters.slots)
+            * TYPICAL_SHORT_ANSWER_EVENTS
+            * step_ms;
+        DISPATCH_LATENCY_MS
+            + candidate.start_delay_ms
+            + load.reading_ms
+            + segment_ms
+            + step_ms
+            + queued
     }
 
-    fn memory_fits(&self, view: &View, demand: &Demand) -> bool {
-        self.has_memory(view, demand.prompt + demand.answer)
+    fn memory_fits(&self, candidate: &Candidate, demand: &Demand) -> bool {
+        self.has_memory(candidate, demand.prompt + demand.answer)
     }
 
-    fn has_memory(&self, view: &View, tokens: f64) -> bool {
-        let room = MEMORY_SHARE * self.parameters.memory_tokens as f64;
-        view.load.context_tokens + tokens <= room
+    fn has_memory(&self, candidate: &Candidate, tokens: f64) -> bool {
+        let capacity = USABLE_MEMORY_FRACTION * self.parameters.memory_tokens as f64;
+        candidate.load.context_tokens + tokens <= capacity
     }
 
-    fn part(&self, view: &View, part_ms: f64) -> Part {
-        Part {
-            server: view.key,
-            read_end_ms: TRANSIT_MS + view.wait_ms + view.load.reading_ms + part_ms,
+    fn planned_server(&self, candidate: &Candidate, segment_ms: f64) -> PlannedServer {
+        PlannedServer {
+            server: candidate.key,
+            prefill_end_ms: DISPATCH_LATENCY_MS
+                + candidate.start_delay_ms
+                + candidate.load.reading_ms
+                + segment_ms,
         }
     }
 
-    /// Returns the plan that one engine reads a prompt whole.
-    fn whole_plan(&self, view: &View, demand: &Demand, part_ms: f64, first_ms: f64) -> Plan {
+    /// Returns a plan with the whole prompt on one engine.
+    fn single_engine_plan(
+        &self,
+        candidate: &Candidate,
+        demand: &Demand,
+        segment_ms: f64,
+        ttft_ms: f64,
+    ) -> Plan {
         Plan {
-            first: self.part(view, part_ms),
-            helpers: Vec::new(),
+            primary: self.planned_server(candidate, segment_ms),
+            prefill_workers: Vec::new(),
             reserve_tokens: None,
-            part_ms,
-            first_ms,
+            segment_ms,
+            ttft_ms,
             loss_ms: 0.0,
-            worth_ms: demand.worth_ms(),
+            value_ms: demand.value_ms(),
             grounds: Grounds::LeastLoss,
         }
     }
 
-    /// Returns the plan that engines read equal parts of a prompt, one of which
-    /// generates.
-    fn spread_plan(
+    /// Returns a plan that splits a prompt evenly over engines, one of which decodes.
+    fn split_plan(
         &self,
-        chosen: &[&View],
-        generating: ServerKey,
+        chosen: &[&Candidate],
+        decoder: ServerKey,
         demand: &Demand,
-        part_ms: f64,
-        first_ms: f64,
+        segment_ms: f64,
+        ttft_ms: f64,
     ) -> Plan {
-        let (first, helpers) = self.parts(chosen, generating, part_ms);
+        let (primary, prefill_workers) = self.planned_servers(chosen, decoder, segment_ms);
         Plan {
-            first,
-            helpers,
+            primary,
+            prefill_workers,
             reserve_tokens: None,
-            part_ms,
-            first_ms,
+            segment_ms,
+            ttft_ms,
             loss_ms: 0.0,
-            worth_ms: demand.worth_ms(),
+            value_ms: demand.value_ms(),
             grounds: Grounds::LeastLoss,
         }
     }
 
-    /// Returns the part of the engine that generates, and those of the others.
-    fn parts(&self, views: &[&View], first: ServerKey, part_ms: f64) -> (Part, Vec<Part>) {
-        let mut generating = None;
-        let mut helpers = Vec::with_capacity(views.len());
-        for view in views {
-            let part = self.part(view, part_ms);
-            if view.key == first {
-                generating = Some(part);
+    /// Returns the decoding engine and the prefill workers.
+    fn planned_servers(
+        &self,
+        candidates: &[&Candidate],
+        decoder: ServerKey,
+        segment_ms: f64,
+    ) -> (PlannedServer, Vec<PlannedServer>) {
+        let mut primary = None;
+        let mut prefill_workers = Vec::with_capacity(candidates.len());
+        for candidate in candidates {
+            let planned = self.planned_server(candidate, segment_ms);
+            if candidate.key == decoder {
+                primary = Some(planned);
             } else {
-                helpers.push(part);
+                prefill_workers.push(planned);
             }
         }
-        let first = generating.unwrap_or(Part {
-            server: first,
-            read_end_ms: part_ms,
+        let primary = primary.unwrap_or(PlannedServer {
+            server: decoder,
+            prefill_end_ms: segment_ms,
         });
-        (first, helpers)
+        (primary, prefill_workers)
     }
 
-    /// Chooses the engine that generates: one with memory for the whole prompt
-    /// and the least other work that its passes wait for. If none has the
-    /// memory, tells how much to set aside on each of the engines; `None` if
-    /// that doesn't fit either.
-    fn first_of(&self, views: &[&View], demand: &Demand) -> Option<(ServerKey, Option<u32>)> {
-        let order = |a: &&&View, b: &&&View| {
+    /// Chooses the decoding engine: the least loaded one with memory for the whole prompt.
+    /// If there is none, also returns the memory to reserve on each engine, or `None` if
+    /// the shares don't fit either.
+    fn choose_split_decoder(
+        &self,
+        candidates: &[&Candidate],
+        demand: &Demand,
+    ) -> Option<(ServerKey, Option<u32>)> {
+        let order = |a: &&&Candidate, b: &&&Candidate| {
             let a = (a.in_short_pool, a.load.context_tokens);
             let b = (b.in_short_pool, b.load.context_tokens);
             a.0.cmp(&b.0).then(a.1.total_cmp(&b.1))
         };
-        let fitting = views.iter().filter(|view| self.memory_fits(view, demand));
-        if let Some(view) = fitting.min_by(order) {
-            return Some((view.key, None));
+        let fitting = candidates
+            .iter()
+            .filter(|candidate| self.memory_fits(candidate, demand));
+        if let Some(candidate) = fitting.min_by(order) {
+            return Some((candidate.key, None));
         }
-        if views.len() > MAX_NAMED {
+        if candidates.len() > MAX_ENGINES_PER_REQUEST {
             return None;
         }
-        let share = (demand.prompt + demand.answer) / views.len() as f64 * RESERVED_MORE;
-        let room = MEMORY_SHARE * self.parameters.memory_tokens as f64;
-        let mut views_with_room = views.iter();
-        if !views_with_room.all(|view| view.load.context_tokens + share <= room) {
+        let share = (demand.prompt + demand.answer) / candidates.len() as f64 * RESERVATION_MARGIN;
+        let capacity = USABLE_MEMORY_FRACTION * self.parameters.memory_tokens as f64;
+        let mut unchecked = candidates.iter();
+        if !unchecked.all(|candidate| candidate.load.context_tokens + share <= capacity) {
             return None;
         }
-        let view = views.iter().min_by(order)?;
-        Some((view.key, Some(share.ceil() as u32)))
+        let candidate = candidates.iter().min_by(order)?;
+        Some((candidate.key, Some(share.ceil() as u32)))
     }
 }
--- a/crates/notchwalk_route/src/router/ending.rs
+++ b/crates/notchwalk_route/src/router/ending.rs
@@ -1,30 +1,27 @@
-//! What follows when sending a request to a server ended, and how a request
-//! ends.
+//! Handles the end of an attempt, and refuses or completes requests.
 
 use std::time::Duration;
 
 use notchwalk_core::Instant;
 
-use super::{Router, LEAST_TIME_LEFT};
+use super::{Router, MIN_TIME_LEFT};
 use crate::{AttemptEnd, Availability, Effect, Refusal, RequestKey, ServerKey, WorkPhase};
 
-/// Sends of one request at most, refused ones included, as a multiple of the
-/// servers it may run on.
-const SENDS_PER_ATTEMPT: u32 = 3;
-/// When a caller may come back whose request had to make way. Waves of long
-/// work last for seconds.
-const OVERLOAD_RETRY: Duration = Duration::from_millis(4_000);
-/// When a caller may come back whose request the servers turned away.
-const NEXT_TRY: Duration = Duration::from_millis(300);
-/// The same where all servers leave: those that take their place write their records
-/// about once a second.
-const SUCCESSOR_IN: Duration = Duration::from_millis(1_000);
-/// When a caller may come back under whose request servers ended: by then their
-/// records mostly tell whether they crashed.
-const SUSPECTED_RETRY: Duration = Duration::from_millis(2_000);
+/// Limit on the sends of a request, rejected ones included, as a multiple of its route's
+/// attempts.
+const MAX_SENDS_PER_ATTEMPT: u32 = 3;
+/// Retry delay after an overload refusal. Bursts of long prompts last for seconds.
+const RETRY_AFTER_OVERLOAD: Duration = Duration::from_millis(4_000);
+/// Retry delay after servers rejected the request.
+const RETRY_AFTER_NOT_RUN: Duration = Duration::from_millis(300);
+/// Retry delay while all servers are draining. Replacements register about once a second.
+const RETRY_AFTER_ALL_DRAINING: Duration = Duration::from_millis(1_000);
+/// Retry delay for suspected content. By then the registrations usually show whether its
+/// servers crashed.
+const RETRY_AFTER_SUSPECTED: Duration = Duration::from_millis(2_000);
 
 impl Router {
-    pub(super) fn started(&mut self, key: RequestKey, now: Instant) {
+    pub(super) fn handle_started(&mut self, key: RequestKey, now: Instant) {
         let Some(Some(request)) = self.requests.get_mut(key) else {
             return;
         };
@@ -32,35 +29,38 @@
         let Some(server) = request.at else {
             return;
         };
-        self.board.set_phase(server, key, WorkPhase::Writing);
+        self.load_view.set_phase(server, key, WorkPhase::Writing);
         if request.holds {
-            for &helper in &request.helpers {
-                self.board.set_phase(helper, key, WorkPhase::Holding);
+            for &worker in &request.helpers {
+                self.load_view.set_phase(worker, key, WorkPhase::Holding);
             }
         } else {
-            for helper in std::mem::take(&mut request.helpers) {
-                self.board.remove(helper, key);
+            for worker in std::mem::take(&mut request.helpers) {
+                self.load_view.remove(worker, key);
             }
         }
         self.fleet.note_success(server, now);
     }
 
-    /// Takes a request off the servers that it was on.
-    pub(super) fn lift(&mut self, key: RequestKey) {
+    /// Removes a request from its servers.
+    pub(super) fn remove_from_servers(&mut self, key: RequestKey) {
         let Some(Some(request)) = self.requests.get_mut(key) else {
             return;
         };
         let helpers = std::mem::take(&mut request.helpers);
         for server in request.at.take().into_iter().chain(helpers) {
-            self.board.remove(server, key);
+            self.load_view.remove(server, key);
         }
     }
 
-    pub(super) fn forget(&mut self, key: RequestKey, now: Instant, out: &mut Vec<Effect>) {
-        self.waiting.remove(key);
-        self.lift(key);
-        self.give_back(key, now, out);
-        debug_assert!(!self.board.has_request(key), "work of an ended request");
+    pub(super) fn remove_request(&mut self, key: RequestKey, now: Instant, out: &mut Vec<Effect>) {
+        self.queue.remove(key);
+        self.remove_from_servers(key);
+        self.release_reservations(key, now, out);
+        debug_assert!(
+            !self.load_view.has_request(key),
+            "removed request still has work in the load view"
+        );
         self.requests.remove(key);
     }
 
@@ -71,22 +71,22 @@
         now: Instant,
         out: &mut Vec<Effect>,
     ) {
-        let ran_on = self.requests.get(key).and_then(Option::as_ref);
-        let may_have_run = ran_on.is_some_and(|request| request.ran_on > 0);
+        let request = self.requests.get(key).and_then(Option::as_ref);
+        let may_have_run = request.is_some_and(|request| request.ran_on > 0);
         let reason = match reason.has_not_run() && may_have_run {
             true => Refusal::Unknown,
             false => reason,
         };
-        let left = self.quarantine_left(key, now);
-        let server_in = self.server_in(key, now);
-        self.forget(key, now, out);
+        let quarantine_left = self.quarantine_left(key, now);
+        let server_retry_after = self.server_retry_after(key, now);
+        self.remove_request(key, now, out);
         let retry_after = match reason {
             Refusal::NotReady => Some(Duration::from_millis(500)),
             Refusal::Draining => Some(Duration::from_millis(50)),
-            Refusal::Overloaded => Some(OVERLOAD_RETRY),
-            Refusal::Suspected => Some(SUSPECTED_RETRY),
-            Refusal::Quarantined => left,
-            Refusal::NoServer | Refusal::NotRun | Refusal::Limited => Some(server_in),
+            Refusal::Overloaded => Some(RETRY_AFTER_OVERLOAD),
+            Refusal::Suspected => Some(RETRY_AFTER_SUSPECTED),
+            Refusal::Quarantined => quarantine_left,
+            Refusal::NoServer | Refusal::NotRun | Refusal::Limited => Some(server_retry_after),
             Refusal::Unknown | Refusal::TimedOut => None,
         };
         out.push(Effect::Refuse {
@@ -96,23 +96,25 @@
         });
     }
 
-    /// Returns when a caller may come back whom no server served: when the first one
-    /// takes requests again, where none does now.
-    fn server_in(&mut self, key: RequestKey, now: Instant) -> Duration {
+    /// Returns the retry delay for a request that no server took: the time until the first
+    /// server accepts requests again.
+    fn server_retry_after(&mut self, key: RequestKey, now: Instant) -> Duration {
         let Some(Some(request)) = self.requests.get(key) else {
-            return NEXT_TRY;
+            return RETRY_AFTER_NOT_RUN;
         };
         let service = request.service.clone();
         match self.fleet.availability(&service, &[], now) {
-            Availability::Now => NEXT_TRY,
-            Availability::WithinLimits(first) => self.limited_retry(&service, first, now),
+            Availability::Now => RETRY_AFTER_NOT_RUN,
+            Availability::WithinLimits(first) => self.limited_retry_after(&service, first, now),
             Availability::Later(time) => time,
-            Availability::Never if self.fleet.of_service(&service).is_empty() => NEXT_TRY,
-            Availability::Never => SUCCESSOR_IN,
+            Availability::Never if self.fleet.of_service(&service).is_empty() => {
+                RETRY_AFTER_NOT_RUN
+            }
+            Availability::Never => RETRY_AFTER_ALL_DRAINING,
         }
     }
 
-    pub(super) fn attempt_ended(
+    pub(super) fn handle_attempt_ended(
         &mut self,
         key: RequestKey,
         end: AttemptEnd,
@@ -123,12 +125,12 @@
             return;
         };
         request.waits_since = now;
-        self.note_end(key, end, now);
+        self.record_content_outcome(key, end, now);
         let Some(Some(request)) = self.requests.get_mut(key) else {
             return;
         };
         let server = request.at;
-        // A helper that turned its part away would do so again.
+        // Don't choose a prefill worker that rejected its segment again.
         if let AttemptEnd::NotRun {
             at_fault: Some(addr),
             ..
@@ -147,22 +149,22 @@
             request.ran_on += 1;
         }
         if matches!(end, AttemptEnd::NotConnected | AttemptEnd::NotSent) {
-            self.take_back_sends(key, now);
+            self.roll_back_sends(key, now);
         }
-        self.judge_server(server, end, now, out);
-        self.give_back(key, now, out);
-        self.lift(key);
+        self.record_server_outcome(server, end, now, out);
+        self.release_reservations(key, now, out);
+        self.remove_from_servers(key);
         if matches!(end, AttemptEnd::Delivered { .. }) {
-            return self.forget(key, now, out);
+            return self.remove_request(key, now, out);
         }
-        if self.may_resend(key, end, now) {
-            self.scatter_suspect(key, now);
-            return self.queue_or_send(key, now, out);
+        if self.may_retry(key, end, now) {
+            self.restrict_suspect(key, now);
+            return self.enqueue_and_dispatch(key, now, out);
         }
-        self.give_up(key, end, now, out);
+        self.finish_failed(key, end, now, out);
     }
 
-    pub(super) fn judge_server(
+    pub(super) fn record_server_outcome(
         &mut self,
         server: Option<ServerKey>,
         end: AttemptEnd,
@@ -181,10 +183,10 @@
             } => {
                 let at_fault = self.fleet.by_addr(addr);
                 match at_fault.filter(|&at_fault| at_fault != server) {
-                    // A helper turns a part away if it is gone, leaves or is
-                    // full; the next prompt would fail by it as well.
-                    Some(helper) => {
-                        self.fleet.note_unreachable(helper, now);
+                    // A worker that rejects a segment is unreachable, draining or full, and
+                    // would fail the next prompt too.
+                    Some(worker) => {
+                        self.fleet.note_unreachable(worker, now);
                         None
                     }
                     None => at_fault,
@@ -217,12 +219,12 @@
         }
     }
 
-    pub(super) fn may_resend(&mut self, key: RequestKey, end: AttemptEnd, now: Instant) -> bool {
+    pub(super) fn may_retry(&mut self, key: RequestKey, end: AttemptEnd, now: Instant) -> bool {
         let Some(Some(request)) = self.requests.get(key) else {
             return false;
         };
         let attempts = request.facts.route.max_attempts;
-        if request.left(now) < LEAST_TIME_LEFT || request.sends >= attempts * SENDS_PER_ATTEMPT {
+        if request.left(now) < MIN_TIME_LEFT || request.sends >= attempts * MAX_SENDS_PER_ATTEMPT {
             return false;
         }
         if request.ran_on > 0 && !request.may_repeat() {
@@ -231,14 +233,14 @@
         if request.ran_on >= attempts {
             return false;
         }
-        // A send that reached no server costs no server anything.
+        // The attempt put no load on a server.
         if matches!(end, AttemptEnd::NotConnected | AttemptEnd::NotSent) {
             return true;
         }
-        self.budget.take(now, self.entries)
+        self.retry_budget.take(now, self.node_count)
     }
 
-    pub(super) fn give_up(
+    pub(super) fn finish_failed(
         &mut self,
         key: RequestKey,
         end: AttemptEnd,
@@ -246,7 +248,7 @@
         out: &mut Vec<Effect>,
     ) {
         if end == AttemptEnd::Failed {
-            self.forget(key, now, out);
+            self.remove_request(key, now, out);
             out.push(Effect::DeliverFailure { request: key });
             return;
         }
--- a/crates/notchwalk_route/src/router/limits.rs
+++ b/crates/notchwalk_route/src/router/limits.rs
@@ -1,5 +1,5 @@
-//! Requests for services whose servers name limits: what one entry sends to them, and
-//! who waits for what they allow.
+//! Requests for services whose servers announce rate limits: which of them may be queued,
+//! and for how long.
 
 use std::time::Duration;
 
@@ -9,47 +9,45 @@
 use super::Router;
 use crate::{request::Request, Effect, RequestKey, ToldLimit};
 
-/// Part of its caller's patience within which a late request is expected to be sent, for
-/// it to wait: one that came back was told to, one whose server failed would be lost. The
-/// rest is left for its answer.
-const LATE_WAIT_SHARE: f64 = 0.75;
-/// By how much more than predicted callers are told to come back at most, as a part of it:
-/// those that were refused together come back apart.
-const RETRY_SPREAD: f64 = 0.25;
+/// Fraction of the caller's remaining timeout within which a late request must be sent to
+/// be queued. The rest is left for the answer.
+const MAX_LATE_WAIT_FRACTION: f64 = 0.75;
+/// Random addition to retry delays, as a fraction, so that refused callers don't retry in
+/// step.
+const RETRY_JITTER: f64 = 0.25;
 
-/// How many requests wait before the next one for what a service's servers allow, while
-/// all that wait are looked at in order.
+/// Counts the requests queued ahead for each service during one scan of the queue.
 #[derive(Debug, Default)]
-pub(super) struct Ahead {
+pub(super) struct QueuedAhead {
     by_service: Vec<(String, u32)>,
 }
 
-impl Ahead {
-    /// Counts a request that waits.
+impl QueuedAhead {
+    /// Counts a queued request.
     fn push(&mut self, service: &str) {
-        let mut known = self.by_service.iter_mut();
-        match known.find(|(name, _)| name == service) {
+        let mut counts = self.by_service.iter_mut();
+        match counts.find(|(name, _)| name == service) {
             Some((_, count)) => *count += 1,
             None => self.by_service.push((service.to_owned(), 1)),
         }
     }
 
     fn count(&self, service: &str) -> u32 {
-        let mut known = self.by_service.iter();
-        let known = known.find(|(name, _)| name == service);
-        known.map_or(0, |(_, count)| *count)
+        let mut counts = self.by_service.iter();
+        let found = counts.find(|(name, _)| name == service);
+        found.map_or(0, |(_, count)| *count)
     }
 }
 
 impl Router {
-    pub(super) fn told_limits(
+    pub(super) fn apply_peer_limits(
         &mut self,
         near: Option<(u32, &str)>,
-        told: &[ToldLimit],
+        limits: &[ToldLimit],
         now: Instant,
         out: &mut Vec<Effect>,
     ) {
-        for (server, word) in self.fleet.hear_limits(near, told, now) {
+        for (server, word) in self.fleet.hear_limits(near, limits, now) {
             let by_peer = true;
             out.push(Effect::Heard {
                 server,
@@ -59,8 +57,8 @@
         }
     }
 
-    /// Takes back the sends of a request that reached no server.
-    pub(super) fn take_back_sends(&mut self, key: RequestKey, now: Instant) {
+    /// Rolls back the sends of a request that reached no server.
+    pub(super) fn roll_back_sends(&mut self, key: RequestKey, now: Instant) {
         let Some(Some(request)) = self.requests.get(key) else {
             return;
         };
@@ -69,64 +67,73 @@
         }
     }
 
-    /// Tells whether a request may wait for what the limits of its servers allow: the
-    /// first send in `first`, one after the other from then on.
+    /// Returns whether a request may be queued for its servers' rate limits. The first
+    /// queued request is sent in `first_send`, the others at the allowed rate.
     ///
-    /// One whose turn comes too late for its objective is told at once when to come back:
-    /// it has lost nothing yet, and would make those behind it late as well.
-    pub(super) fn may_wait_for_limits(
+    /// A request whose first token would miss its objective is refused with a retry delay.
+    /// Queueing it would also delay those behind it.
+    pub(super) fn may_wait_for_limit(
         &self,
         request: &Request,
-        first: Duration,
-        ahead: &mut Ahead,
+        first_send: Duration,
+        ahead: &mut QueuedAhead,
         now: Instant,
     ) -> bool {
-        let before = ahead.count(&request.service);
-        let turn = self.limited_turn(&request.service, first, before, now);
-        let came_back = request.first_tried < request.facts.arrived;
-        let is_late = came_back || request.sends > 0 || now >= request.objective_at();
+        let queued_before = ahead.count(&request.service);
+        let wait = self.limited_wait(&request.service, first_send, queued_before, now);
+        let is_retry = request.first_tried < request.facts.arrived;
+        let is_late = is_retry || request.sends > 0 || now >= request.objective_at();
         let allowed = match is_late {
-            true => request.gives_up_at().since(now).mul_f64(LATE_WAIT_SHARE),
+            true => request
+                .gives_up_at()
+                .since(now)
+                .mul_f64(MAX_LATE_WAIT_FRACTION),
             false => request.objective_at().since(now),
         };
-        let waits = turn + self.least_time(request, now) < allowed;
-        if waits {
+        let may_wait = wait + self.min_ttft(request, now) < allowed;
+        if may_wait {
             ahead.push(&request.service);
         }
-        waits
+        may_wait
     }
 
-    /// Returns when a request has its turn before which so many others wait.
-    fn limited_turn(&self, service: &str, first: Duration, before: u32, now: Instant) -> Duration {
-        /// A turn later than this is none.
-        const NEVER: Duration = Duration::from_secs(3_600);
+    /// Returns the time until a request is sent, with `queued_before` requests ahead of it.
+    fn limited_wait(
+        &self,
+        service: &str,
+        first_send: Duration,
+        queued_before: u32,
+        now: Instant,
+    ) -> Duration {
+        /// Upper bound of the result.
+        const MAX_WAIT: Duration = Duration::from_secs(3_600);
         let rate = self.fleet.allowed_rate(service, now);
-        let others = f64::from(before) / rate;
-        match others < NEVER.as_secs_f64() {
-            true => first + Duration::from_secs_f64(others),
-            false => NEVER,
+        let queue_time = f64::from(queued_before) / rate;
+        match queue_time < MAX_WAIT.as_secs_f64() {
+            true => first_send + Duration::from_secs_f64(queue_time),
+            false => MAX_WAIT,
         }
     }
 
-    /// Returns how long a request takes at least, from its send to its first event.
-    fn least_time(&self, request: &Request, now: Instant) -> Duration {
+    /// Returns the minimum time from sending a request to its first token.
+    fn min_ttft(&self, request: &Request, now: Instant) -> Duration {
         let Some(placement) = self.engine_placement(&request.service, now) else {
             return Duration::ZERO;
         };
         let demand = self.demand(request, now);
-        Duration::from_secs_f64(placement.soonest_ms(&demand) / 1e3)
+        Duration::from_secs_f64(placement.min_ttft_ms(&demand) / 1e3)
     }
 
-    /// Returns when a caller may come back that is refused for the limits of a service's
-    /// servers: behind those that wait already.
-    pub(super) fn limited_retry(
+    /// Returns the retry delay for a request refused because of rate limits: after all
+    /// queued requests.
+    pub(super) fn limited_retry_after(
         &mut self,
         service: &str,
-        first: Duration,
+        first_send: Duration,
         now: Instant,
     ) -> Duration {
-        let waiting = self.waiting.len() as u32;
-        let turn = self.limited_turn(service, first, waiting, now);
-        turn.mul_f64(1.0 + self.rng.random_range(0.0..RETRY_SPREAD))
+        let queue_len = self.queue.len() as u32;
+        let wait = self.limited_wait(service, first_send, queue_len, now);
+        wait.mul_f64(1.0 + self.rng.random_range(0.0..RETRY_JITTER))
     }
 }
--- a/crates/notchwalk_route/src/router/mod.rs
+++ b/crates/notchwalk_route/src/router/mod.rs
@@ -1,14 +1,14 @@
-//! The reducer: one event in, effects out. This file holds its state and shows
-//! which event goes where.
+//! The reducer: takes one event, returns effects. This file holds the state and dispatches
+//! the events.
 //!
-//! | file | what it decides |
+//! | file | responsibility |
 //! |---|---|
-//! | `sending` | where a request goes |
-//! | `waiting` | whether a request goes now, waits or is refused |
-//! | `reserving` | memory set aside for a request |
-//! | `ending` | what follows when sending it ended |
-//! | `limits` | requests for servers that name limits |
-//! | `suspects` | what that says of its content; which contents go to no server |
+//! | `sending` | assigns requests to servers |
+//! | `waiting` | decides whether a request is sent, queued or refused |
+//! | `reserving` | reserves engine memory for oversized prompts |
+//! | `ending` | handles the end of attempts and requests |
+//! | `limits` | queues requests for rate-limited servers |
+//! | `suspects` | attributes crashes to request contents and quarantines them |
 
 mod ending;
 mod limits;
@@ -32,34 +32,32 @@
     ToldLimit,
 };
 
-/// How long a peer's work counts at most after it told of any. The driver tells
-/// sooner that a peer is gone; this holds if it does not.
-const PEER_SILENCE: Duration = Duration::from_secs(10);
-/// Time below which a request is not sent once more: a server would hardly
-/// begin with it.
-const LEAST_TIME_LEFT: Duration = Duration::from_millis(60);
-/// How long after its start an entry does not know what its peers have on the
-/// engines: they tell all of it once a second.
-const BLIND_FOR: Duration = Duration::from_millis(1_000);
-
-/// Settings of a router.
+/// Time after which the work reported by a silent peer expires, if the driver has not
+/// removed the peer before.
+const PEER_WORK_TTL: Duration = Duration::from_secs(10);
+/// Minimum time left to the deadline for another attempt.
+const MIN_TIME_LEFT: Duration = Duration::from_millis(60);
+/// Time after start until all peers have broadcast their work, which they do once a second.
+const PEER_SYNC_TIME: Duration = Duration::from_millis(1_000);
+
+/// Settings of a [`Router`].
 #[derive(Clone, Debug)]
 pub struct RouterConfig {
-    /// This entry's name, unlike that of any other.
+    /// The node's name, unique among all nodes.
     pub name: String,
-    /// This entry's failure domain.
+    /// The node's failure domain.
     pub failure_domain: String,
-    /// Repeated sends allowed for each request.
+    /// Allowed retries per request.
     pub retry_ratio: f64,
-    /// Repeated sends allowed besides, over all entries.
+    /// Further allowed retries, shared by all nodes.
     pub retry_slack: f64,
-    /// The window over which both are counted.
+    /// The window over which requests and retries are counted.
     pub retry_window: Duration,
-    /// Seed of its random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
-/// Decides where requests go. See the crate's page.
+/// Decides where requests go. See the crate documentation.
 #[derive(Debug)]
 pub struct Router {
     config: RouterConfig,
@@ -68,17 +66,17 @@
     version: u64,
     configured_at: Option<Instant>,
     fleet: Fleet,
-    board: Board,
-    budget: RetryBudget,
-    /// How many entries share what is allowed to all, if that is known.
-    entries: Option<u32>,
+    load_view: Board,
+    retry_budget: RetryBudget,
+    /// Number of nodes that share fleet-wide allowances, if known.
+    node_count: Option<u32>,
     requests: SlotMap<RequestKey, Option<Request>>,
     reservations: Reservations,
-    waiting: WaitQueue,
-    /// What workspaces have on the servers, as of `shares_at`.
+    queue: WaitQueue,
+    /// Usage by workspace as of `shares_updated_at`.
     shares: Shares,
-    shares_at: Instant,
-    first_tries: FirstTries,
+    shares_updated_at: Instant,
+    first_attempts: FirstTries,
     quarantine: Quarantine,
     reservation_number: u64,
     draining_from: Option<Instant>,
@@ -86,10 +84,14 @@
 }
 
 impl Router {
-    /// Builds a router that knows neither configuration nor servers.
+    /// Creates a router without configuration and servers.
     pub fn new(config: RouterConfig) -> Self {
         Self {
-            budget: RetryBudget::new(config.retry_ratio, config.retry_slack, config.retry_window),
+            retry_budget: RetryBudget::new(
+                config.retry_ratio,
+                config.retry_slack,
+                config.retry_window,
+            ),
             rng: Pcg64Mcg::seed_from_u64(config.seed),
             config,
             routes: RouteTable::default(),
@@ -97,67 +99,69 @@
             version: 0,
             configured_at: None,
             fleet: Fleet::default(),
-            board: Board::default(),
-            entries: None,
+            load_view: Board::default(),
+            node_count: None,
             requests: SlotMap::with_key(),
             reservations: Reservations::default(),
-            waiting: WaitQueue::default(),
+            queue: WaitQueue::default(),
             shares: Shares::default(),
-            shares_at: Instant::ZERO,
-            first_tries: FirstTries::default(),
+            shares_updated_at: Instant::ZERO,
+            first_attempts: FirstTries::default(),
             quarantine: Quarantine::default(),
             reservation_number: 0,
             draining_from: None,
         }
     }
 
-    /// Returns the version of the configuration in force, 0 for none.
+    /// Returns the version of the active configuration, 0 for none.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Returns the routes in force.
+    /// Returns the active routes.
     pub fn routes(&self) -> &RouteTable {
         &self.routes
     }
 
-    /// Returns the servers.
+    /// Returns the registered servers.
     pub fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    /// Takes what peers are to be told at once of servers that name limits.
+    /// Takes the rate-limit updates to broadcast to peers.
     pub fn take_limit_news(&mut self, now: Instant) -> Vec<ToldLimit> {
         self.fleet.take_limit_news(now)
     }
 
-    /// Takes the servers that said in answers that they leave, to be told to peers.
+    /// Takes the short ids of servers that announced that they are draining, to broadcast
+    /// to peers.
     pub fn take_leaving_news(&mut self) -> Vec<u32> {
         self.fleet.take_leaving_news()
     }
 
-    /// Returns what runs on the servers.
+    /// Returns the load view: the work on all servers, as far as it is known.
     pub fn board(&self) -> &Board {
-        &self.board
+        &self.load_view
     }
 
-    /// Tells whether this entry's own work changed since it was last taken.
+    /// Returns whether this node's own work changed since the last
+    /// [`Self::take_changed_work`].
     pub fn has_changed_work(&self) -> bool {
-        self.board.has_changed()
+        self.load_view.has_changed()
     }
 
-    /// Returns this entry's own work on the servers where it changed, and
-    /// those servers' short ids.
+    /// Takes the short ids of the servers on which this node's own work changed, and that
+    /// work.
     pub fn take_changed_work(&mut self, now: Instant) -> (Vec<u32>, Vec<crate::PeerWork>) {
-        let changed = self.board.take_changed();
+        let changed = self.load_view.take_changed();
         self.own_work(changed.into_iter(), now)
     }
 
-    /// Returns this entry's own work on all servers that anybody was ever known to use:
-    /// of the others there is nothing to correct, and they are many.
+    /// Returns this node's own work on all servers that ever had work. Servers without any
+    /// work are left out, since there is no state to correct.
     pub fn all_own_work(&self, now: Instant) -> (Vec<u32>, Vec<crate::PeerWork>) {
         let servers = self.fleet.iter().map(|(key, _)| key);
-        self.own_work(servers.filter(|&key| self.board.knows(key)), now)
+        self.own_work(servers.filter(|&key| self.load_view.knows(key)), now)
     }
 
     fn own_work(
@@ -171,50 +175,50 @@
                 continue;
             };
             tags.push(server.tag);
-            work.extend(self.board.own_work(key, server.tag, now));
+            work.extend(self.load_view.own_work(key, server.tag, now));
         }
         (tags, work)
     }
 
-    /// Returns the requests that are being served.
+    /// Returns the number of open requests.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Tells whether a request could go to another server if the one that it is
-    /// on were given up now.
+    /// Returns whether a request could be sent to another server if its current attempt
+    /// were cancelled now.
     pub fn may_try_another(&self, key: RequestKey, now: Instant) -> bool {
         let Some(Some(request)) = self.requests.get(key) else {
             return false;
         };
         request.may_repeat()
             && request.ran_on + 1 < request.facts.route.max_attempts
-            && request.left(now) >= LEAST_TIME_LEFT
-            && self.budget.has_left(now, self.entries)
-            && self.has_way(request, now)
+            && request.left(now) >= MIN_TIME_LEFT
+            && self.retry_budget.has_left(now, self.node_count)
+            && self.has_alternative(request, now)
     }
 
-    /// Returns how many requests wait for engines, and the engine time of the
-    /// long ones in milliseconds.
-    pub fn waiting_long(&self) -> (usize, f64) {
-        (self.waiting.len(), self.waiting.read_ms())
+    /// Returns the number of queued requests, and the total prefill time of the long ones
+    /// in milliseconds.
+    pub fn queued_work(&self) -> (usize, f64) {
+        (self.queue.len(), self.queue.prefill_ms())
     }
 
-    /// Returns the reservations in use.
+    /// Returns the number of active reservations.
     pub fn reservations(&self) -> usize {
         self.reservations.count()
     }
 
-    /// Makes a key for a request that is about to arrive.
+    /// Creates a key for a request that is about to arrive.
     pub fn new_request(&mut self) -> RequestKey {
         self.requests.insert(None)
     }
 
-    /// Takes one event and appends what is to be done.
+    /// Processes one event and appends the resulting effects.
     pub fn step(&mut self, now: Instant, event: Event, out: &mut Vec<Effect>) {
         match event {
             Event::Configured(site) => self.configure(&site, now),
-            Event::Servers(change) => self.servers_changed(change, now, out),
+            Event::Servers(change) => self.apply_server_change(change, now, out),
             Event::ServerSaid { server, word } => {
                 if self.fleet.note_word(server, word, now) {
                     let by_peer = false;
@@ -225,22 +229,24 @@
                     });
                 }
             }
-            Event::ToldLeaving { servers } => self.told_leaving(&servers, out),
-            Event::Arrived { request, facts } => self.arrived(request, facts, now, out),
-            Event::Started { request } => self.started(request, now),
-            Event::AttemptEnded { request, end } => self.attempt_ended(request, end, now, out),
-            Event::Abandoned { request } => self.abandoned(request, now, out),
+            Event::ToldLeaving { servers } => self.apply_draining_notices(&servers, out),
+            Event::Arrived { request, facts } => self.handle_arrived(request, facts, now, out),
+            Event::Started { request } => self.handle_started(request, now),
+            Event::AttemptEnded { request, end } => {
+                self.handle_attempt_ended(request, end, now, out)
+            }
+            Event::Abandoned { request } => self.handle_abandoned(request, now, out),
             Event::PeerWork {
                 peer,
                 servers,
                 work,
-            } => self.peer_work(peer, &servers, work, now),
+            } => self.apply_peer_work(peer, &servers, work, now),
             Event::PeerGone { peer } => {
-                self.board.forget_peer(peer);
+                self.load_view.forget_peer(peer);
                 self.fleet.forget_sends_of(peer);
                 self.quarantine.forget_peer(peer);
             }
-            Event::News { peer, news } => self.hear_news(peer, &news, now),
+            Event::News { peer, news } => self.apply_quarantine_updates(peer, &news, now),
             Event::NotListening { server } => {
                 self.quarantine.note_server_ended(server, true, now);
             }
@@ -253,7 +259,7 @@
                 self.quarantine.release(content, now);
             }
             Event::Group(group) => self.fleet.set_group(group, now),
-            Event::Entries { count } => self.entries = Some(count),
+            Event::Entries { count } => self.node_count = Some(count),
             Event::Sharing(sharing) => self.fleet.set_sharing(sharing, now),
             Event::ToldLimits {
                 peer,
@@ -262,18 +268,18 @@
                 limits,
             } => {
                 let near = near.then_some((peer, name.as_str()));
-                self.told_limits(near, &limits, now, out);
+                self.apply_peer_limits(near, &limits, now, out);
             }
-            Event::Reserved { request, failed } => self.reserved(request, &failed, now, out),
+            Event::Reserved { request, failed } => self.handle_reserved(request, &failed, now, out),
             Event::Unanswered(order) => self.reservations.note_unanswered(&order, now),
             Event::Tick => self.tick(now, out),
             Event::Draining { after } => self.draining_from = Some(now.after(after)),
         }
-        self.tell_findings(out);
+        self.emit_findings(out);
     }
 
     fn configure(&mut self, site: &SiteConfig, now: Instant) {
-        self.budget.begin(now);
+        self.retry_budget.begin(now);
         if site.version < self.version {
             return;
         }
@@ -282,26 +288,26 @@
         self.routes = RouteTable::new(site);
         let routes = &site.routes;
         let is_route = |name: &str| routes.iter().any(|route| route.name == name);
-        self.first_tries.retain(is_route);
+        self.first_attempts.retain(is_route);
         let services = site.services.iter().cloned();
         self.services = services.map(|s| (s.name.clone(), s)).collect();
     }
 
-    fn servers_changed(&mut self, change: ServerChange, now: Instant, out: &mut Vec<Effect>) {
-        for gone in self.fleet.apply(change, now) {
-            self.board.forget_server(gone.key);
-            if let Some(life) = self.fleet.ended_life(gone.key) {
+    fn apply_server_change(&mut self, change: ServerChange, now: Instant, out: &mut Vec<Effect>) {
+        for removed in self.fleet.apply(change, now) {
+            self.load_view.forget_server(removed.key);
+            if let Some(life) = self.fleet.ended_life(removed.key) {
                 self.reservations.forget_at(life.addr);
             }
-            // The end of one that left speaks neither for nor against a request.
-            if !gone.left {
-                self.quarantine.note_server_ended(gone.tag, false, now);
+            // The end of a draining server is no evidence about a request.
+            if !removed.left {
+                self.quarantine.note_server_ended(removed.tag, false, now);
             }
-            self.give_back_unbegun(gone.key, now, out);
+            self.release_unstarted_reservations(removed.key, now, out);
         }
     }
 
-    fn told_leaving(&mut self, servers: &[u32], out: &mut Vec<Effect>) {
+    fn apply_draining_notices(&mut self, servers: &[u32], out: &mut Vec<Effect>) {
         for &tag in servers {
             let Some(server) = self.fleet.note_told_leaving(tag) else {
                 continue;
@@ -314,26 +320,33 @@
         }
     }
 
-    fn peer_work(&mut self, peer: u32, servers: &[u32], work: Vec<crate::PeerWork>, now: Instant) {
+    fn apply_peer_work(
+        &mut self,
+        peer: u32,
+        servers: &[u32],
+        work: Vec<crate::PeerWork>,
+        now: Instant,
+    ) {
         let fleet = &self.fleet;
         let keys: Vec<ServerKey> = servers.iter().filter_map(|&t| fleet.by_tag(t)).collect();
         let known = work.into_iter();
         let known = known.filter_map(|work| Some((fleet.by_tag(work.server)?, work)));
-        self.board.replace_peer(peer, &keys, known, now);
+        self.load_view.replace_peer(peer, &keys, known, now);
     }
 
     fn tick(&mut self, now: Instant, out: &mut Vec<Effect>) {
-        self.board.forget_silent_peers(now.before(PEER_SILENCE));
+        self.load_view
+            .forget_silent_peers(now.before(PEER_WORK_TTL));
         self.quarantine.pass_time(now);
-        self.check_servers(now, out);
+        self.probe_servers(now, out);
         self.fleet.forget_ended_limits(now);
         for server in self.fleet.used_up_limits(now) {
             out.push(Effect::LimitUsedUp { server });
         }
         for order in self.reservations.due(now) {
-            self.order(order, now, out);
+            self.send_order(order, now, out);
         }
-        self.send_waiting(now, out);
+        self.dispatch_queued(now, out);
     }
 
     fn engine_placement(&self, service: &str, now: Instant) -> Option<EnginePlacement<'_>> {
@@ -341,11 +354,11 @@
         Some(EnginePlacement {
             parameters,
             fleet: &self.fleet,
-            board: &self.board,
+            load_view: &self.load_view,
             now,
-            blind: self
+            peer_load_unknown: self
                 .configured_at
-                .is_none_or(|at| now.since(at) < BLIND_FOR),
+                .is_none_or(|at| now.since(at) < PEER_SYNC_TIME),
             salt: self.config.seed as u32 ^ salt_of(&self.config.name),
         })
     }
@@ -355,7 +368,7 @@
     now.after(Duration::from_secs_f64(ms.max(0.0) / 1e3))
 }
 
-/// Returns a number that differs between names.
+/// Returns a hash of a name.
 fn salt_of(name: &str) -> u32 {
     name.bytes()
         .fold(0, |salt, byte| salt.rotate_left(5) ^ u32::from(byte))
--- a/crates/notchwalk_route/src/router/reserving.rs
+++ b/crates/notchwalk_route/src/router/reserving.rs
@@ -1,15 +1,15 @@
-//! Memory set aside before a request is sent, and given back after it.
+//! Reserves engine memory before a request is sent and releases it afterwards.
 
 use notchwalk_core::Instant;
 
 use super::Router;
 use crate::{
-    reservations::HOLD, wait_queue::Waiting, Assignment, Effect, FailedReservation, Helper,
+    reservations::HOLD, wait_queue::QueuedRequest, Assignment, Effect, FailedReservation, Helper,
     RequestKey, ReservationOrder, ServerKey,
 };
 
 impl Router {
-    /// Sets memory aside on the engines of an assignment before it is sent.
+    /// Reserves memory on the engines of an assignment before it is sent.
     pub(super) fn reserve(
         &mut self,
         key: RequestKey,
@@ -23,12 +23,12 @@
             "{}-{}-{}",
             self.config.name, self.config.seed, self.reservation_number
         );
-        // The engine that generates holds a part too.
-        let own = Helper {
+        // The decoding engine holds a segment too.
+        let decoder = Helper {
             addr: assignment.addr,
             reservation: None,
         };
-        assignment.helpers.push(own);
+        assignment.helpers.push(decoder);
         let mut orders = Vec::with_capacity(assignment.helpers.len());
         for helper in &mut assignment.helpers {
             helper.reservation = Some(id.clone());
@@ -53,7 +53,7 @@
         });
     }
 
-    pub(super) fn reserved(
+    pub(super) fn handle_reserved(
         &mut self,
         key: RequestKey,
         failed: &[FailedReservation],
@@ -61,25 +61,25 @@
         out: &mut Vec<Effect>,
     ) {
         let Some(Some(request)) = self.requests.get_mut(key) else {
-            // Its caller left meanwhile and the memory was given back.
+            // The caller disconnected and the memory was released.
             return;
         };
         let Some(assignment) = request.reserving.take() else {
             return;
         };
-        // A server may have said that it leaves, or that it wants nothing, while memory
-        // was being set aside.
+        // A server may have announced draining or backoff in the meantime.
         let fleet = &self.fleet;
         let servers = request.helpers.iter().chain(&request.at);
-        let ready = |&key: &ServerKey| fleet.get(key).is_some_and(|server| server.wants_work(now));
-        if failed.is_empty() && servers.into_iter().all(ready) {
+        let is_ready =
+            |&key: &ServerKey| fleet.get(key).is_some_and(|server| server.wants_work(now));
+        if failed.is_empty() && servers.into_iter().all(is_ready) {
             out.push(Effect::Send {
                 request: key,
                 to: assignment,
             });
             return;
         }
-        // No server saw the request; another set of engines may do.
+        // No server received the request. Retry with other engines.
         for &server in request.helpers.iter().chain(&request.at) {
             self.fleet.note_unsent(server, now);
         }
@@ -94,27 +94,25 @@
                 self.fleet.note_unreachable(server, now);
             }
         }
-        self.give_back(key, now, out);
-        self.lift(key);
+        self.release_reservations(key, now, out);
+        self.remove_from_servers(key);
         let Some(Some(request)) = self.requests.get(key) else {
             return;
         };
         let placement = self.engine_placement(&request.service, now);
         let demand = self.demand(request, now);
-        let read_ms = placement.map_or(0.0, |placement| placement.read_ms(&demand));
-        self.waiting.push(Waiting {
+        let prefill_ms = placement.map_or(0.0, |placement| placement.prefill_ms(&demand));
+        self.queue.push(QueuedRequest {
             request: key,
             workspace: request.facts.workspace,
-            read_ms,
+            prefill_ms,
         });
     }
 
-    /// Gives the memory of requests back that had not begun to generate on a server that
-    /// went off the record. One that fell silent for good is not noticed otherwise while
-    /// no other engines are free: memory stayed set aside for 7 s after its request's end,
-    /// where 4 s are allowed. Where the server lives, it cuts the request, which goes on
-    /// elsewhere.
-    pub(super) fn give_back_unbegun(
+    /// Releases the memory of requests that had not started decoding on a server that is no
+    /// longer registered. An unresponsive server is not detected otherwise, and the
+    /// reservations would be renewed past the end of the request.
+    pub(super) fn release_unstarted_reservations(
         &mut self,
         server: ServerKey,
         now: Instant,
@@ -122,23 +120,33 @@
     ) {
         let requests = self.requests.iter();
         let requests = requests.filter_map(|(key, request)| Some((key, request.as_ref()?)));
-        let unbegun = requests
+        let unstarted = requests
             .filter(|(_, request)| request.holds && !request.started && request.at == Some(server));
-        let unbegun: Vec<RequestKey> = unbegun.map(|(key, _)| key).collect();
-        for key in unbegun {
-            self.give_back(key, now, out);
+        let unstarted: Vec<RequestKey> = unstarted.map(|(key, _)| key).collect();
+        for key in unstarted {
+            self.release_reservations(key, now, out);
         }
     }
 
-    pub(super) fn give_back(&mut self, key: RequestKey, now: Instant, out: &mut Vec<Effect>) {
+    pub(super) fn release_reservations(
+        &mut self,
+        key: RequestKey,
+        now: Instant,
+        out: &mut Vec<Effect>,
+    ) {
         for order in self.reservations.give_back(key, now) {
-            self.order(order, now, out);
+            self.send_order(order, now, out);
         }
     }
 
-    /// Has an order sent. One that gives memory back goes whatever the engine's limit,
-    /// as a renewal does: what others wait for costs more.
-    pub(super) fn order(&mut self, order: ReservationOrder, now: Instant, out: &mut Vec<Effect>) {
+    /// Sends a reservation order, regardless of the engine's rate limit: an unreleased or
+    /// lapsed reservation costs more than one message.
+    pub(super) fn send_order(
+        &mut self,
+        order: ReservationOrder,
+        now: Instant,
+        out: &mut Vec<Effect>,
+    ) {
         self.count_order(&order, now);
         out.push(Effect::Order(order));
     }
--- a/crates/notchwalk_route/src/router/sending.rs
+++ b/crates/notchwalk_route/src/router/sending.rs
@@ -1,4 +1,4 @@
-//! The way of a request to a server.
+//! Assigns requests to servers and sends them.
 
 use std::time::Duration;
 
@@ -13,15 +13,14 @@
     Assignment, Effect, Helper, Refusal, RequestFacts, RequestKey, WorkPhase,
 };
 
-/// The rank on the server when neither workspace nor route says more.
-const SHORT_RANK: u8 = 2;
-const LONG_RANK: u8 = 5;
-/// Prompts beyond this many tokens rank as long; short requests have less on the
-/// deployments known.
+/// Default priorities on the server, 0 first.
+const SHORT_PRIORITY: u8 = 2;
+const LONG_PRIORITY: u8 = 5;
+/// Prompts with more tokens than this get the priority of long requests.
 const LONG_PROMPT_TOKENS: u32 = 24_000;
 
 impl Router {
-    pub(super) fn arrived(
+    pub(super) fn handle_arrived(
         &mut self,
         key: RequestKey,
         facts: RequestFacts,
@@ -30,7 +29,7 @@
     ) {
         let service = self.choose_service(&facts);
         let route = &facts.route.name;
-        let since_first = self.first_tries.since_first(route, facts.patience);
+        let since_first = self.first_attempts.since_first(route, facts.patience);
         let request = Request::new(facts, since_first, service);
         if let Some(slot) = self.requests.get_mut(key) {
             *slot = Some(request);
@@ -38,17 +37,17 @@
         if self.version == 0 {
             return self.refuse(key, Refusal::NotReady, now, out);
         }
-        self.scatter_suspect(key, now);
+        self.restrict_suspect(key, now);
         if self.draining_from.is_some_and(|from| now >= from) {
             return self.refuse(key, Refusal::Draining, now, out);
         }
         if let Some(Some(request)) = self.requests.get(key) {
             self.fleet.note_asked_for(&request.service, now);
         }
-        self.queue_or_send(key, now, out);
+        self.enqueue_and_dispatch(key, now, out);
     }
 
-    /// Draws one of the route's services by weight.
+    /// Chooses one of the route's services at random, by weight.
     pub(super) fn choose_service(&mut self, facts: &RequestFacts) -> String {
         let backends = &facts.route.backends;
         let total: u32 = backends.iter().map(|backend| backend.weight).sum();
@@ -58,12 +57,12 @@
                 .map(|b| b.service.clone())
                 .unwrap_or_default();
         }
-        let mut drawn = self.rng.random_range(0..total);
+        let mut remaining = self.rng.random_range(0..total);
         for backend in backends {
-            if drawn < backend.weight {
+            if remaining < backend.weight {
                 return backend.service.clone();
             }
-            drawn -= backend.weight;
+            remaining -= backend.weight;
         }
         String::new()
     }
@@ -74,14 +73,14 @@
 
     pub(super) fn plan(&self, request: &Request, now: Instant) -> Option<Plan> {
         let Some(placement) = self.engine_placement(&request.service, now) else {
-            let (fleet, board) = (&self.fleet, &self.board);
-            let near = &self.config.failure_domain;
+            let (fleet, load_view) = (&self.fleet, &self.load_view);
+            let local_domain = &self.config.failure_domain;
             let risk = self.crash_risk(request, now);
             return place_call(
                 fleet,
-                board,
+                load_view,
                 &request.service,
-                near,
+                local_domain,
                 &request.tried,
                 risk,
                 now,
@@ -91,7 +90,7 @@
         placement.place(&request.service, &demand, &request.tried)
     }
 
-    pub(super) fn send_by(
+    pub(super) fn send_planned(
         &mut self,
         key: RequestKey,
         plan: Option<Plan>,
@@ -108,9 +107,9 @@
             };
             return self.refuse(key, reason, now, out);
         };
-        let first_send = request.sends == 0;
-        if first_send {
-            self.budget.note_first(now);
+        let is_first_send = request.sends == 0;
+        if is_first_send {
+            self.retry_budget.note_first(now);
         }
         let Some(assignment) = self.assign(key, &plan, now) else {
             return self.refuse(key, Refusal::NoServer, now, out);
@@ -131,26 +130,30 @@
         now: Instant,
     ) -> Option<Assignment> {
         let request = self.requests.get_mut(key)?.as_mut()?;
-        let server = self.fleet.get(plan.first.server)?;
+        let server = self.fleet.get(plan.primary.server)?;
         debug_assert!(
             request.ran_on == 0 || request.may_repeat(),
-            "what may run once is sent after it may have run"
+            "non-repeatable request sent again after it may have run"
         );
         debug_assert!(
             request.ran_on < request.facts.route.max_attempts.max(1),
-            "a request is sent to more servers than its route allows"
+            "request sent to more servers than its route allows"
         );
         debug_assert!(
             server.wants_work(now),
-            "a server that leaves or wants nothing gets work"
+            "work assigned to a server that is draining or backing off"
         );
         self.quarantine.note_sent(request.facts.content, now);
         let is_engine = request.facts.prompt_tokens > 0;
         request.sent_at = now;
-        request.predicted_first = after_ms(now, plan.first_ms);
-        request.at = Some(plan.first.server);
-        request.helpers = plan.helpers.iter().map(|part| part.server).collect();
-        request.tried.push(plan.first.server);
+        request.predicted_first = after_ms(now, plan.ttft_ms);
+        request.at = Some(plan.primary.server);
+        request.helpers = plan
+            .prefill_workers
+            .iter()
+            .map(|worker| worker.server)
+            .collect();
+        request.tried.push(plan.primary.server);
         request.started = false;
         request.sends += 1;
         let pause = request.facts.route.pause_objective;
@@ -167,46 +170,46 @@
                 WorkPhase::Calling
             },
             context_tokens: reserved.unwrap_or(prompt),
-            pass_tokens: prompt / (plan.helpers.len() + 1) as f64,
-            read_ms: plan.part_ms,
+            pass_tokens: prompt / (plan.prefill_workers.len() + 1) as f64,
+            read_ms: plan.segment_ms,
             pause_ms,
             since: now,
-            read_by: after_ms(now, plan.first.read_end_ms),
+            read_by: after_ms(now, plan.primary.prefill_end_ms),
         };
         let assignment = Assignment {
-            server: plan.first.server,
+            server: plan.primary.server,
             addr: server.record.addr,
             instance: server.record.instance.clone(),
             helpers: Vec::new(),
-            priority: rank(&request.facts),
+            priority: priority(&request.facts),
             deadline: request.facts.deadline,
             grounds: plan.grounds,
             resent: request.sends - 1,
             predicted_first: request.predicted_first.since(now),
             since_first: request.facts.arrived.since(request.first_tried),
-            first_silence: first_silence(request, now),
-            pause_silence: pause_silence(request),
+            first_silence: first_event_timeout(request, now),
+            pause_silence: inter_token_timeout(request),
         };
-        self.board.add(plan.first.server, work);
-        self.fleet.note_sent(plan.first.server, now);
-        let mut helpers = Vec::with_capacity(plan.helpers.len());
-        for helper in &plan.helpers {
-            let Some(server) = self.fleet.get(helper.server) else {
+        self.load_view.add(plan.primary.server, work);
+        self.fleet.note_sent(plan.primary.server, now);
+        let mut helpers = Vec::with_capacity(plan.prefill_workers.len());
+        for worker in &plan.prefill_workers {
+            let Some(server) = self.fleet.get(worker.server) else {
                 continue;
             };
             helpers.push(Helper {
                 addr: server.record.addr,
                 reservation: None,
             });
-            let part = Work {
+            let segment = Work {
                 phase: WorkPhase::Helping,
                 context_tokens: reserved.unwrap_or(0.0),
                 pass_tokens: reserved.map_or(0.0, |_| work.pass_tokens),
-                read_by: after_ms(now, helper.read_end_ms),
+                read_by: after_ms(now, worker.prefill_end_ms),
                 ..work
             };
-            self.board.add(helper.server, part);
-            self.fleet.note_message(helper.server, now);
+            self.load_view.add(worker.server, segment);
+            self.fleet.note_message(worker.server, now);
         }
         Some(Assignment {
             helpers,
@@ -215,48 +218,48 @@
     }
 }
 
-/// Returns the rank of a request on its server: workspaces before routes, short
-/// work before long.
-fn rank(facts: &RequestFacts) -> u8 {
+/// Returns the priority of a request on its server, 0 first: short prompts before long
+/// ones, then by workspace.
+fn priority(facts: &RequestFacts) -> u8 {
     let by_size = if facts.prompt_tokens > LONG_PROMPT_TOKENS {
-        LONG_RANK
+        LONG_PRIORITY
     } else {
-        SHORT_RANK
+        SHORT_PRIORITY
     };
     (by_size + facts.workspace_priority.min(2)).min(9)
 }
 
-/// Returns how long a server may say nothing before the request goes to
-/// another one; `None` for a request that may run once only.
-fn first_silence(request: &Request, now: Instant) -> Option<Duration> {
-    /// Callers give a stream up after two seconds at the earliest; this leaves
-    /// another server time to answer. A call is answered much sooner.
-    const LEAST_STREAM: Duration = Duration::from_millis(1_500);
-    const LEAST_CALL: Duration = Duration::from_millis(900);
+/// Returns how long a server may stay silent before the request is sent to another one;
+/// `None` if the request may run only once.
+fn first_event_timeout(request: &Request, now: Instant) -> Option<Duration> {
+    /// Stream callers time out after 2 s at the earliest. This leaves time for another
+    /// attempt.
+    const MIN_STREAM_TIMEOUT: Duration = Duration::from_millis(1_500);
+    const MIN_CALL_TIMEOUT: Duration = Duration::from_millis(900);
     if !request.may_repeat() {
         return None;
     }
     let route = &request.facts.route;
-    let least = match route.streaming {
-        true => LEAST_STREAM.max(route.objective),
-        false => LEAST_CALL,
+    let min_timeout = match route.streaming {
+        true => MIN_STREAM_TIMEOUT.max(route.objective),
+        false => MIN_CALL_TIMEOUT,
     };
-    // Reading a long prompt anew costs engines seconds, and an engine that has
-    // it is busy far more often than broken.
-    let least = match request.facts.prompt_tokens > LONG_PROMPT_TOKENS {
-        true => least * 2,
-        false => least,
+    // Repeating a long prefill is expensive, and an engine with a long prompt is more
+    // likely busy than broken.
+    let min_timeout = match request.facts.prompt_tokens > LONG_PROMPT_TOKENS {
+        true => min_timeout * 2,
+        false => min_timeout,
     };
-    Some((request.predicted_first.since(now) * 2).max(least))
+    Some((request.predicted_first.since(now) * 2).max(min_timeout))
 }
 
-/// Returns how long a stream may pause before it is resumed elsewhere.
-fn pause_silence(request: &Request) -> Option<Duration> {
-    /// Callers give a stream up after two seconds at the earliest.
-    const LEAST: Duration = Duration::from_millis(1_200);
+/// Returns how long a stream may stall before it is resumed on another server.
+fn inter_token_timeout(request: &Request) -> Option<Duration> {
+    /// Stream callers time out after 2 s at the earliest.
+    const MIN_TIMEOUT: Duration = Duration::from_millis(1_200);
     if !request.may_repeat() {
         return None;
     }
     let pause = request.facts.route.pause_objective?;
-    Some((pause * 4).max(LEAST))
+    Some((pause * 4).max(MIN_TIMEOUT))
 }
--- a/crates/notchwalk_route/src/router/waiting.rs
+++ b/crates/notchwalk_route/src/router/waiting.rs
@@ -1,114 +1,109 @@
-//! Whether a request goes to a server now, waits, or is refused.
+//! Decides whether a request is sent now, queued or refused.
 //!
-//! Every decision compares values at this moment; no request waits for a time to
-//! pass. A request that can be in time goes as soon as it costs others less than
-//! it is worth. One that can't be in time any more has a caller who takes a late
-//! answer: it goes where nobody else misses the room, at the latest when its
-//! caller would give up. One that can't even be late is refused at once.
+//! Decisions compare the current values only. A request that can meet its objective is sent
+//! once its value exceeds the loss it causes to others. A late request is sent where it
+//! causes little loss, and at the latest before its caller times out. It is refused if no
+//! server can answer before then.
 
 use std::time::Duration;
 
 use notchwalk_core::Instant;
 
-use super::{limits::Ahead, suspects::Standing, Router};
+use super::{limits::QueuedAhead, suspects::ContentCheck, Router};
 use crate::{
     placement::{Demand, EnginePlacement, Plan},
     request::Request,
-    wait_queue::Waiting,
+    wait_queue::QueuedRequest,
     Availability, Effect, Grounds, Refusal, RequestKey,
 };
 
-/// Part of its worth that others may lose for a prompt that is read late; a late
-/// answer earns a quarter.
-const LATE_HARM: f64 = 0.1;
-/// Part of its caller's patience that reading a late prompt must leave, for it
-/// to wait for a cheaper moment.
-const LATE_WAIT_SHARE: f64 = 0.5;
-/// Part of its worth that others may lose for a prompt over one engine that is
-/// read in time.
-const OVERSIZED_HARM: f64 = 0.2;
-/// Part of its objective's rest that a prompt over one engine may be predicted
-/// to take: a dozen engines have to end together.
-const OVERSIZED_IN_TIME: f64 = 0.95;
-/// The longest part of a late prompt over one engine, in milliseconds: a wave of
-/// other requests that begins meanwhile misses the engines for that long.
-const LATE_PART_MS: f64 = 2_500.0;
-/// Pauses of the longest length in time that a late answer is left to be
-/// written in.
-const LATE_WRITING_PAUSES: u32 = 3;
-/// Part of what is left of its objective within which the first event of a
-/// request of a workspace over its share must be predicted: engines with all
-/// slots taken predict more.
-const SURE_SHARE: f64 = 0.65;
-/// One request of a workspace over its share waits for so many slots of an entry's
-/// part: one that finds more would not be served while its caller waits.
-const SLOTS_FOR_ONE_WAITING: u32 = 4;
-/// How much longer than predicted a late request's first event may take.
-const PREDICTION_SPREAD: f64 = 1.3;
-/// What is left of a caller's patience besides, in milliseconds: two ticks of
-/// the driver and the ways.
-const PATIENCE_MARGIN_MS: f64 = 100.0;
+/// Limit on the loss caused to others by a late long prompt, as a fraction of its value.
+const MAX_LATE_LOSS: f64 = 0.1;
+/// A late prompt may stay queued while its prefill takes less than this fraction of the
+/// caller's remaining timeout.
+const MAX_LATE_WAIT_FRACTION: f64 = 0.5;
+/// Limit on the loss caused to others by an oversized prompt (one that exceeds the memory of
+/// an engine) that meets its objective, as a fraction of its value.
+const MAX_OVERSIZED_LOSS: f64 = 0.2;
+/// Fraction of the remaining objective that the predicted time to first token of an
+/// oversized prompt may take. The prediction depends on many engines finishing together.
+const OVERSIZED_TIME_FRACTION: f64 = 0.95;
+/// Longest segment of a late oversized prompt, in milliseconds. Its engines are unavailable
+/// to new requests for that long.
+const MAX_LATE_SEGMENT_MS: f64 = 2_500.0;
+/// Time kept for decoding a late answer, in inter-token objectives.
+const LATE_DECODE_INTERVALS: u32 = 3;
+/// A request of a workspace over its share is sent at once if its predicted time to first
+/// token is within this fraction of the remaining objective. Predictions exceed it once all
+/// slots are taken.
+const SAFE_OBJECTIVE_FRACTION: f64 = 0.65;
+/// Slots of this node's share of a service per queued request of a workspace over its
+/// share. Requests beyond that would time out in the queue.
+const SLOTS_PER_QUEUED_REQUEST: u32 = 4;
+/// Factor by which a late request's time to first token may exceed the prediction.
+const PREDICTION_MARGIN: f64 = 1.3;
+/// Margin kept of the caller's timeout, in milliseconds: two ticks of the driver and
+/// network delays.
+const CALLER_TIMEOUT_MARGIN_MS: f64 = 100.0;
 
-/// What becomes of a request.
+/// What to do with a request.
 enum Decision {
-    /// It waits.
+    /// Keep it queued.
     Wait,
-    /// It is sent; `None` if no server is left.
+    /// Send it; `None` if no server is available.
     Send(Option<Plan>),
-    /// It is refused.
+    /// Refuse it.
     Refuse(Refusal),
 }
 
 impl Router {
-    /// Sends the waiting requests whose moment has come.
-    pub(super) fn send_waiting(&mut self, now: Instant, out: &mut Vec<Effect>) {
-        if self.waiting.is_empty() {
+    /// Sends or refuses the queued requests that are due.
+    pub(super) fn dispatch_queued(&mut self, now: Instant, out: &mut Vec<Effect>) {
+        if self.queue.is_empty() {
             return;
         }
-        self.sum_up_shares(now);
-        let mut ahead = Ahead::default();
-        for key in self.waiting.in_order(&self.shares) {
+        self.refresh_shares(now);
+        let mut ahead = QueuedAhead::default();
+        for key in self.queue.dispatch_order(&self.shares) {
             let Some(Some(request)) = self.requests.get(key) else {
-                self.waiting.remove(key);
+                self.queue.remove(key);
                 continue;
             };
             match self.decide(request, &mut ahead, now) {
                 Decision::Wait => {}
                 Decision::Refuse(reason) => self.refuse(key, reason, now, out),
                 Decision::Send(plan) => {
-                    self.waiting.remove(key);
-                    self.send_by(key, plan, now, out);
+                    self.queue.remove(key);
+                    self.send_planned(key, plan, now, out);
                 }
             }
         }
     }
 
-    fn sum_up_shares(&mut self, now: Instant) {
-        /// How long the sums are used: a flood adds little meanwhile, and they take
-        /// a look at all work on all servers.
-        const USED_FOR: Duration = Duration::from_millis(50);
-        if now.since(self.shares_at) < USED_FOR {
+    fn refresh_shares(&mut self, now: Instant) {
+        /// The sums scan all work on all servers, so they are cached for this long.
+        const MAX_AGE: Duration = Duration::from_millis(50);
+        if now.since(self.shares_updated_at) < MAX_AGE {
             return;
         }
-        self.shares_at = now;
-        self.shares = self.board.shares(&self.fleet, now);
+        self.shares_updated_at = now;
+        self.shares = self.load_view.shares(&self.fleet, now);
     }
 
-    fn decide(&self, request: &Request, ahead: &mut Ahead, now: Instant) -> Decision {
-        match self.standing(request, now) {
-            Standing::Clear => {}
-            Standing::Wait => return Decision::Wait,
-            Standing::Refuse(reason) => return Decision::Refuse(reason),
+    fn decide(&self, request: &Request, ahead: &mut QueuedAhead, now: Instant) -> Decision {
+        match self.check_content(request, now) {
+            ContentCheck::Allowed => {}
+            ContentCheck::Wait => return Decision::Wait,
+            ContentCheck::Refuse(reason) => return Decision::Refuse(reason),
         }
-        // No use to wait for engines that all leave or want nothing: the caller is told
-        // at once.
+        // Don't queue a request if all servers are draining or backing off.
         match self
             .fleet
             .availability(&request.service, &request.tried, now)
         {
             Availability::Now => {}
             Availability::WithinLimits(first) => {
-                return match self.may_wait_for_limits(request, first, ahead, now) {
+                return match self.may_wait_for_limit(request, first, ahead, now) {
                     true => Decision::Wait,
                     false => Decision::Refuse(Refusal::Limited),
                 };
@@ -119,25 +114,18 @@
             return Decision::Send(self.plan(request, now));
         };
         let demand = self.demand(request, now);
-        if self.long_read_ms(request, now).is_some() {
+        if self.long_prefill_ms(request, now).is_some() {
             return self.decide_long(request, &placement, &demand, now);
         }
         self.decide_short(request, &placement, &demand, now)
     }
 
-    /// Decides about a short request. One that is late already, because its
-    /// caller comes back after a failure, or that would come late wherever it goes,
-    /// waits for spare room; so does one of a workspace over its share once slots are
-    /// taken, but for those that find so many waiting that they would not be served:
-    /// they are refused at once.
+    /// Decides about a short request.
     ///
-    /// The first answers the seconds after all entries lost power: callers come
-    /// back together, and sent at once they make the first tries behind them
-    /// late.
-    /// The second answers more questions than slots: sent at once, each makes the next
-    /// one late as well.
-    /// The third answers a flood of one workspace, which makes the others late. (They are
-    /// not all refused at once: large workspaces are over their share in each wave.)
+    /// Three kinds of requests wait for spare capacity: late ones, ones that would be late
+    /// on every server, and ones of a workspace over its share once slots are taken. Sent
+    /// at once, they would make other requests late. Requests of a workspace over its share
+    /// are refused if the queue is already longer than can be served.
     fn decide_short(
         &self,
         request: &Request,
@@ -146,25 +134,25 @@
         now: Instant,
     ) -> Decision {
         let plan = self.plan(request, now);
-        let misses = plan
+        let misses_objective = plan
             .as_ref()
-            .is_some_and(|plan| plan.first_ms > demand.objective_ms);
-        let is_late = misses || now >= request.objective_at();
-        let sure_ms = SURE_SHARE * demand.objective_ms;
-        let is_sure = plan.as_ref().is_some_and(|plan| plan.first_ms <= sure_ms);
-        let is_over = !is_sure && self.shares.is_over(request.facts.workspace);
-        if request.started || !(is_late || is_over) {
+            .is_some_and(|plan| plan.ttft_ms > demand.objective_ms);
+        let is_late = misses_objective || now >= request.objective_at();
+        let safe_ms = SAFE_OBJECTIVE_FRACTION * demand.objective_ms;
+        let is_safely_in_time = plan.as_ref().is_some_and(|plan| plan.ttft_ms <= safe_ms);
+        let is_over_share = !is_safely_in_time && self.shares.is_over(request.facts.workspace);
+        if request.started || !(is_late || is_over_share) {
             return Decision::Send(plan);
         }
         let spare = placement.place_spare(&request.service, demand, &request.tried);
         if spare.is_some() {
             return Decision::Send(spare);
         }
-        if is_over && self.is_crowded(&request.service) {
+        if is_over_share && self.is_queue_full(&request.service) {
             return Decision::Refuse(Refusal::Overloaded);
         }
         let may_wait = plan.as_ref().is_some_and(|plan| {
-            plan.first_ms * PREDICTION_SPREAD + PATIENCE_MARGIN_MS < demand.patience_ms
+            plan.ttft_ms * PREDICTION_MARGIN + CALLER_TIMEOUT_MARGIN_MS < demand.caller_timeout_ms
         });
         match may_wait {
             true => Decision::Wait,
@@ -172,14 +160,14 @@
         }
     }
 
-    /// Tells whether more requests wait here than this entry's part of a service's
-    /// slots can serve soon.
-    fn is_crowded(&self, service: &str) -> bool {
+    /// Returns whether the queue is longer than this node's share of a service's slots can
+    /// serve.
+    fn is_queue_full(&self, service: &str) -> bool {
         let servers = self.fleet.iter().map(|(_, server)| &server.record);
         let of_service = servers.filter(|record| record.service == service);
         let slots: u32 = of_service.map(|record| record.slots).sum();
-        let own_slots = slots / self.entries.unwrap_or(1).max(1);
-        self.waiting.len() as u32 > own_slots / SLOTS_FOR_ONE_WAITING
+        let node_slots = slots / self.node_count.unwrap_or(1).max(1);
+        self.queue.len() as u32 > node_slots / SLOTS_PER_QUEUED_REQUEST
     }
 
     fn decide_long(
@@ -195,36 +183,34 @@
         if let Some(plan) = in_time {
             return Decision::Send(Some(plan));
         }
-        if placement.soonest_ms(demand) < demand.objective_ms {
+        if placement.min_ttft_ms(demand) < demand.objective_ms {
             return Decision::Wait;
         }
         self.decide_late(request, placement, demand, now)
     }
 
-    /// Returns a way in time that hardly costs others anything.
+    /// Returns a plan that meets the objective at little loss to others.
     fn plan_in_time(
         &self,
         request: &Request,
         placement: &EnginePlacement<'_>,
         demand: &Demand,
     ) -> Option<Plan> {
-        let (service, tried) = (&request.service, &request.tried);
+        let (service, excluded) = (&request.service, &request.tried);
         let left_ms = demand.objective_ms;
-        let roomy = placement.place_long(service, demand, tried);
-        let roomy = roomy.filter(|plan| plan.first_ms <= left_ms);
-        if roomy.is_some() || !placement.exceeds_engine(demand) {
-            return roomy;
+        let with_headroom = placement.place_long(service, demand, excluded);
+        let with_headroom = with_headroom.filter(|plan| plan.ttft_ms <= left_ms);
+        if with_headroom.is_some() || !placement.exceeds_engine(demand) {
+            return with_headroom;
         }
-        let limit_ms = left_ms * OVERSIZED_IN_TIME;
-        let plan = placement.place_oversized(service, demand, tried, limit_ms, left_ms)?;
-        (plan.loss_ms <= OVERSIZED_HARM * plan.worth_ms).then_some(plan)
+        let limit_ms = left_ms * OVERSIZED_TIME_FRACTION;
+        let plan = placement.place_oversized(service, demand, excluded, limit_ms, left_ms)?;
+        (plan.loss_ms <= MAX_OVERSIZED_LOSS * plan.value_ms).then_some(plan)
     }
 
-    /// Decides about a prompt that can't be read in time any more: it is read
-    /// where it costs others less than its late answer is worth.
-    ///
-    /// It answers waves of long prompts that fill all engines: read as soon as they are
-    /// late, whatever it costs, they make others late.
+    /// Decides about a prompt that can no longer meet its objective. It is sent once its
+    /// late answer is worth more than the loss it causes to others. Sending late prompts
+    /// regardless of cost during a burst would make other requests late as well.
     fn decide_late(
         &self,
         request: &Request,
@@ -232,75 +218,84 @@
         demand: &Demand,
         now: Instant,
     ) -> Decision {
-        let (service, tried) = (&request.service, &request.tried);
-        let limit_ms = self.patience_ms(request, now);
+        let (service, excluded) = (&request.service, &request.tried);
+        let limit_ms = self.caller_timeout_ms(request, now);
         let exceeds = placement.exceeds_engine(demand);
         let plan = match exceeds {
-            true => placement.place_oversized(service, demand, tried, limit_ms, LATE_PART_MS),
-            false => placement.place_late(service, demand, tried, limit_ms),
+            true => {
+                placement.place_oversized(service, demand, excluded, limit_ms, MAX_LATE_SEGMENT_MS)
+            }
+            false => placement.place_late(service, demand, excluded, limit_ms),
         };
-        let may_wait = placement.soonest_ms(demand) < limit_ms * LATE_WAIT_SHARE;
+        let may_wait = placement.min_ttft_ms(demand) < limit_ms * MAX_LATE_WAIT_FRACTION;
         match plan {
-            Some(plan) if plan.loss_ms <= LATE_HARM * plan.worth_ms => Decision::Send(Some(plan)),
+            Some(plan) if plan.loss_ms <= MAX_LATE_LOSS * plan.value_ms => {
+                Decision::Send(Some(plan))
+            }
             Some(_) if may_wait => Decision::Wait,
             Some(plan) => Decision::Send(Some(plan)),
             None => Decision::Refuse(Refusal::Overloaded),
         }
     }
 
-    /// Tells whether a request would be sent to another server at once.
-    pub(super) fn has_way(&self, request: &Request, now: Instant) -> bool {
-        let decision = self.decide(request, &mut Ahead::default(), now);
+    /// Returns whether a request could be sent to another server immediately.
+    pub(super) fn has_alternative(&self, request: &Request, now: Instant) -> bool {
+        let decision = self.decide(request, &mut QueuedAhead::default(), now);
         matches!(decision, Decision::Send(Some(_)))
     }
 
-    /// Returns a way in time at the cost of others, if the request stands for
-    /// more than they do.
+    /// Returns a plan that meets the objective although it makes other requests late, if
+    /// the request's value justifies that.
     fn plan_urgent(&self, request: &Request, now: Instant) -> Option<Plan> {
-        /// Part of what a request stands for that others may lose for it.
-        const WORTH_SHARE: f64 = 0.3;
+        /// Limit on the loss caused to others, as a fraction of the request's value.
+        const MAX_LOSS_FRACTION: f64 = 0.3;
         let left_ms = request.objective_at().since(now).as_secs_f64() * 1e3;
         let mut plan = self.plan(request, now)?;
         plan.grounds = Grounds::Urgent;
-        let pays = plan.loss_ms <= WORTH_SHARE * plan.worth_ms;
-        (plan.first_ms <= left_ms && pays).then_some(plan)
+        let is_worthwhile = plan.loss_ms <= MAX_LOSS_FRACTION * plan.value_ms;
+        (plan.ttft_ms <= left_ms && is_worthwhile).then_some(plan)
     }
 
-    /// Returns how long the caller of a request that will be late still waits
-    /// for its first event, in milliseconds.
-    fn patience_ms(&self, request: &Request, now: Instant) -> f64 {
+    /// Returns how long the caller of a late request still waits for its first token, in
+    /// milliseconds.
+    fn caller_timeout_ms(&self, request: &Request, now: Instant) -> f64 {
         let route = &request.facts.route;
-        let writing = route.pause_objective.unwrap_or_default() * LATE_WRITING_PAUSES;
+        let decode_time = route.pause_objective.unwrap_or_default() * LATE_DECODE_INTERVALS;
         let end = request.patience_end();
-        let end = end.min(request.facts.deadline.before(writing));
+        let end = end.min(request.facts.deadline.before(decode_time));
         end.since(now).as_secs_f64() * 1e3
     }
 
-    /// Returns the engine time of a request's prompt if it is long enough to
-    /// wait for engines with room.
-    fn long_read_ms(&self, request: &Request, now: Instant) -> Option<f64> {
-        /// Reading that a pass with short requests can take at once.
-        const SHORT_READ_MS: f64 = 200.0;
-        /// Objectives below this leave no time to wait.
-        const WAITABLE: Duration = Duration::from_millis(800);
-        if request.facts.route.objective < WAITABLE {
+    /// Returns the prefill time of a request's prompt in milliseconds, if it is long enough
+    /// to be queued for engines with headroom.
+    fn long_prefill_ms(&self, request: &Request, now: Instant) -> Option<f64> {
+        /// Prefill time that fits into a step with short requests.
+        const MAX_SHORT_PREFILL_MS: f64 = 200.0;
+        /// Requests with a shorter objective are not queued.
+        const MIN_OBJECTIVE: Duration = Duration::from_millis(800);
+        if request.facts.route.objective < MIN_OBJECTIVE {
             return None;
         }
         let placement = self.engine_placement(&request.service, now)?;
-        let read_ms = placement.read_ms(&self.demand(request, now));
-        (read_ms > SHORT_READ_MS).then_some(read_ms)
+        let prefill_ms = placement.prefill_ms(&self.demand(request, now));
+        (prefill_ms > MAX_SHORT_PREFILL_MS).then_some(prefill_ms)
     }
 
-    pub(super) fn queue_or_send(&mut self, key: RequestKey, now: Instant, out: &mut Vec<Effect>) {
+    pub(super) fn enqueue_and_dispatch(
+        &mut self,
+        key: RequestKey,
+        now: Instant,
+        out: &mut Vec<Effect>,
+    ) {
         let Some(Some(request)) = self.requests.get(key) else {
             return;
         };
-        let read_ms = self.long_read_ms(request, now).unwrap_or_default();
-        self.waiting.push(Waiting {
+        let prefill_ms = self.long_prefill_ms(request, now).unwrap_or_default();
+        self.queue.push(QueuedRequest {
             request: key,
             workspace: request.facts.workspace,
-            read_ms,
+            prefill_ms,
         });
-        self.send_waiting(now, out);
+        self.dispatch_queued(now, out);
     }
 }
--- a/crates/notchwalk_route/src/wait_queue.rs
+++ b/crates/notchwalk_route/src/wait_queue.rs
@@ -1,60 +1,58 @@
-//! Requests that wait for engines.
+//! The queue of requests that wait for engines.
 //!
-//! A long prompt keeps engines busy for a second and more. Bound to an engine
-//! at arrival, it would stand there in the order of arrival, and near
-//! saturation all would be late. So long requests wait here and are sent when
-//! engines have room, the cheapest first. None waits for ever: one that can't be
-//! in time any more is sent late or refused. Short requests that are late
-//! already wait here too, for room that nobody else misses.
+//! Long prompts occupy engines for seconds. Binding them to an engine on arrival would
+//! serve them first in, first out, and make all of them late near saturation. They are
+//! queued here instead and dispatched, cheapest first, when engines have headroom; those
+//! that can no longer meet their objective are sent late or refused. Late short requests
+//! also wait here for spare capacity.
 
 use crate::{shares::Shares, RequestKey, WorkspaceTag};
 
-/// A request that waits.
+/// A queued request.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Waiting {
+pub(crate) struct QueuedRequest {
     pub request: RequestKey,
     pub workspace: WorkspaceTag,
-    /// Engine time of its prompt, in milliseconds; 0 for a short one.
-    pub read_ms: f64,
+    /// Prefill time of its prompt, in milliseconds; 0 for a short one.
+    pub prefill_ms: f64,
 }
 
-/// The requests that wait.
 #[derive(Debug, Default)]
 pub(crate) struct WaitQueue {
-    waiting: Vec<Waiting>,
+    requests: Vec<QueuedRequest>,
 }
 
 impl WaitQueue {
-    pub fn push(&mut self, waiting: Waiting) {
-        self.waiting.push(waiting);
+    pub fn push(&mut self, queued: QueuedRequest) {
+        self.requests.push(queued);
     }
 
     pub fn remove(&mut self, request: RequestKey) {
-        self.waiting.retain(|waiting| waiting.request != request);
+        self.requests.retain(|queued| queued.request != request);
     }
 
     pub fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
+        self.requests.is_empty()
     }
 
     pub fn len(&self) -> usize {
-        self.waiting.len()
+        self.requests.len()
     }
 
-    /// Returns the engine time that waits, in milliseconds.
-    pub fn read_ms(&self) -> f64 {
-        self.waiting.iter().map(|waiting| waiting.read_ms).sum()
+    /// Returns the total prefill time of the queued requests, in milliseconds.
+    pub fn prefill_ms(&self) -> f64 {
+        self.requests.iter().map(|queued| queued.prefill_ms).sum()
     }
 
-    /// Returns all that wait, the first to be sent first: those of workspaces
-    /// within their share, the cheapest of them before the others.
-    pub fn in_order(&self, shares: &Shares) -> Vec<RequestKey> {
-        let mut waiting = self.waiting.clone();
-        waiting.sort_by(|a, b| {
-            let over = |waiting: &Waiting| shares.is_over(waiting.workspace);
-            let order = over(a).cmp(&over(b));
-            order.then(a.read_ms.total_cmp(&b.read_ms))
+    /// Returns the queued requests in dispatch order: workspaces within their share first,
+    /// then by prefill time.
+    pub fn dispatch_order(&self, shares: &Shares) -> Vec<RequestKey> {
+        let mut queued = self.requests.clone();
+        queued.sort_by(|a, b| {
+            let is_over = |queued: &QueuedRequest| shares.is_over(queued.workspace);
+            let order = is_over(a).cmp(&is_over(b));
+            order.then(a.prefill_ms.total_cmp(&b.prefill_ms))
         });
-        waiting.iter().map(|waiting| waiting.request).collect()
+        queued.iter().map(|queued| queued.request).collect()
     }
 }
--- a/crates/notchwalk_route/tests/decisions/placement.rs
+++ b/crates/notchwalk_route/tests/decisions/placement.rs
@@ -67,7 +67,7 @@
         rig.arrive("/long/", 250_000);
     }
     rig.sends();
-    let (waiting, _) = rig.router.waiting_long();
+    let (waiting, _) = rig.router.queued_work();
     assert!(waiting >= 1, "{waiting}");
     let cheap = rig.arrive("/long/", 60_000);
     let mut sent = rig.sends();
--- a/crates/notchwalk_route/tests/decisions/random_runs.rs
+++ b/crates/notchwalk_route/tests/decisions/random_runs.rs
@@ -326,7 +326,7 @@
         }
         assert_eq!(self.rig.router.open_requests(), 0);
         assert_eq!(self.rig.router.reservations(), 0);
-        assert_eq!(self.rig.router.waiting_long().0, 0);
+        assert_eq!(self.rig.router.queued_work().0, 0);
         for (key, server) in self.rig.router.fleet().iter() {
             let load = self.rig.router.board().load(key, self.rig.now);
             let left = load.occupied() + load.helping;
--- a/crates/notchwalk_route/tests/decisions/waiting.rs
+++ b/crates/notchwalk_route/tests/decisions/waiting.rs
@@ -111,7 +111,7 @@
     let refused = rig.refusals();
     assert!(refused.iter().all(|&reason| reason == Refusal::Overloaded));
     assert_eq!(
-        (sends.len() + refused.len(), rig.router.waiting_long().0),
+        (sends.len() + refused.len(), rig.router.queued_work().0),
         (6, 0)
     );
 }
