--- a/crates/notchwalk_route/src/router/limits.rs
+++ b/crates/notchwalk_route/src/router/limits.rs
@@ -81,8 +81,8 @@
     ) -> bool {
         let queued_before = ahead.count(&request.service);
         let wait = self.limited_wait(&request.service, first_send, queued_before, now);
-        let is_retry = request.first_tried < request.facts.arrived;
-        let is_late = is_retry || request.sends > 0 || now >= request.objective_at();
+        let is_caller_retry = request.first_tried < request.facts.arrived;
+        let is_late = is_caller_retry || request.sends > 0 || now >= request.objective_at();
         let allowed = match is_late {
             true => request
                 .gives_up_at()
--- a/crates/notchwalk_route/src/router/sending.rs
+++ b/crates/notchwalk_route/src/router/sending.rs
@@ -37,7 +37,7 @@
         if self.version == 0 {
             return self.refuse(key, Refusal::NotReady, now, out);
         }
-        self.restrict_suspect(key, now);
+        self.scatter_suspect(key, now);
         if self.draining_from.is_some_and(|from| now >= from) {
             return self.refuse(key, Refusal::Draining, now, out);
         }
--- a/crates/notchwalk_route/tests/decisions/common.rs
+++ b/crates/notchwalk_route/tests/decisions/common.rs
@@ -1,4 +1,4 @@
-//! A router with a small fleet, and shorthands for events.
+//! A router with a small fleet, and helpers to send it events.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -106,14 +106,14 @@
     }
 }
 
-/// A router, its clock and the effects that it asked for.
+/// A router, its clock and the effects it emitted.
 pub struct Rig {
     pub router: Router,
     pub now: Instant,
     pub effects: Vec<Effect>,
-    /// Whose requests arrive.
+    /// Workspace of the requests that arrive.
     pub workspace: WorkspaceTag,
-    /// What the requests that arrive are; `None` makes each another one.
+    /// Content of the requests that arrive; `None` gives each one different content.
     pub content: Option<Fingerprint>,
     arrivals: u64,
 }
@@ -123,7 +123,7 @@
         Self::named("entry-1", 18)
     }
 
-    /// Builds a rig whose entry has run long enough to know its peers' work.
+    /// Builds a rig whose node has run long enough to have received its peers' work.
     pub fn named(name: &str, engines: u8) -> Self {
         let mut rig = Self::just_started(name, engines);
         rig.pass(Duration::from_secs(5));
@@ -152,8 +152,8 @@
         rig.step(Event::Configured(site()));
         let engines = (0..engines).map(|number| record(ENGINES, number));
         let desks = (0..3).map(|number| record(DESK, number));
-        let all = engines.chain(desks).collect();
-        rig.step(Event::Servers(ServerChange::Whole(all)));
+        let servers = engines.chain(desks).collect();
+        rig.step(Event::Servers(ServerChange::Whole(servers)));
         rig
     }
 
@@ -179,7 +179,7 @@
         self.arrive_again(path, prompt_tokens, Duration::ZERO)
     }
 
-    /// Has a caller ask that has been asking for `since_first`.
+    /// Sends a request of a caller whose first attempt was `since_first` ago.
     pub fn arrive_again(
         &mut self,
         path: &str,
@@ -189,7 +189,7 @@
         let route = self.route(path);
         let patience = route.timeout - since_first;
         self.arrivals += 1;
-        let own = content(&self.arrivals.to_string());
+        let default_content = content(&self.arrivals.to_string());
         let facts = RequestFacts {
             workspace: self.workspace,
             workspace_priority: 0,
@@ -199,7 +199,7 @@
             prompt_tokens,
             answer_tokens: 800,
             route,
-            content: self.content.unwrap_or(own),
+            content: self.content.unwrap_or(default_content),
         };
         let request = self.router.new_request();
         self.step(Event::Arrived { request, facts });
@@ -210,7 +210,7 @@
         self.step(Event::AttemptEnded { request, end });
     }
 
-    /// Takes the sends that were asked for since the last call.
+    /// Takes the sends emitted since the last call.
     pub fn sends(&mut self) -> Vec<(RequestKey, Assignment)> {
         let mut sends = Vec::new();
         self.effects.retain(|effect| match effect {
@@ -237,7 +237,7 @@
         reasons.collect()
     }
 
-    /// Tells another entry's router what this one has on all servers.
+    /// Broadcasts the node's work on all servers to another node's router.
     pub fn tell(&self, other: &mut Self, peer: u32) {
         let (servers, work) = self.router.all_own_work(self.now);
         other.step(Event::PeerWork {
@@ -248,7 +248,7 @@
     }
 }
 
-/// Returns the record of a desk that says when its life began.
+/// Returns a registration of a desk server with the start time of its incarnation.
 pub fn born(number: u8, born: u64) -> ServerRecord {
     ServerRecord {
         born: Some(born),
@@ -256,23 +256,23 @@
     }
 }
 
-/// Puts a server on record, or changes its record.
+/// Registers a server, or updates its registration.
 pub fn present(rig: &mut Rig, record: ServerRecord) {
     rig.step(Event::Servers(ServerChange::Present(record)));
 }
 
-/// Returns the place of a server that is on record.
+/// Returns the key of a registered server.
 pub fn key(rig: &Rig, service: &str, number: u8) -> ServerKey {
     let instance = record(service, number).instance;
     let fleet = rig.router.fleet();
-    fleet.by_instance(&instance).expect("it is on record")
+    fleet.by_instance(&instance).expect("server is registered")
 }
 
-/// Counts how often each server was chosen.
+/// Counts the requests sent to each server.
 pub fn tally(sends: &[(RequestKey, Assignment)]) -> HashMap<String, usize> {
-    let mut tally = HashMap::new();
+    let mut counts = HashMap::new();
     for (_, to) in sends {
-        *tally.entry(to.instance.clone()).or_default() += 1;
+        *counts.entry(to.instance.clone()).or_default() += 1;
     }
-    tally
+    counts
 }
--- a/crates/notchwalk_route/tests/decisions/placement.rs
+++ b/crates/notchwalk_route/tests/decisions/placement.rs
@@ -1,4 +1,4 @@
-//! Where requests go.
+//! Placement: which servers requests are sent to.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 const DELIVERED: AttemptEnd = AttemptEnd::Delivered { healthy: true };
 
 #[test]
-fn short_requests_fill_slots_evenly_and_never_beyond() {
+fn short_requests_do_not_exceed_engine_slots() {
     let mut rig = Rig::new();
     for _ in 0..200 {
         rig.arrive("/short/", 5_000);
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn few_short_requests_leave_engines_for_long_ones() {
+fn few_short_requests_use_few_engines() {
     let mut rig = Rig::new();
     for _ in 0..20 {
         rig.arrive("/short/", 5_000);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_long_prompt_is_spread_over_engines_at_once_when_they_are_idle() {
+fn long_prompt_is_split_over_idle_engines() {
     let mut rig = Rig::new();
     rig.arrive("/long/", 150_000);
     let to = rig.only_send();
@@ -41,34 +41,34 @@
 }
 
 #[test]
-fn a_short_prompt_is_not_spread() {
+fn short_prompt_is_not_split() {
     let mut rig = Rig::new();
     rig.arrive("/short/", 5_000);
     assert!(rig.only_send().helpers.is_empty());
 }
 
 #[test]
-fn short_requests_keep_clear_of_engines_that_read_long_prompts() {
+fn short_requests_avoid_engines_prefilling_long_prompts() {
     let mut rig = Rig::named("entry-1", 6);
     let long = rig.arrive("/long/", 250_000);
     let to = rig.only_send();
     for _ in 0..4 {
         rig.arrive("/short/", 3_000);
     }
-    let busy = |instance: &str| instance == to.instance;
-    assert!(rig.sends().iter().all(|(_, to)| !busy(&to.instance)));
+    let is_busy = |instance: &str| instance == to.instance;
+    assert!(rig.sends().iter().all(|(_, to)| !is_busy(&to.instance)));
     rig.end(long, DELIVERED);
 }
 
 #[test]
-fn long_prompts_wait_while_engines_have_no_room_and_the_cheapest_goes_first() {
+fn queued_long_prompts_are_dispatched_cheapest_first() {
     let mut rig = Rig::named("entry-1", 2);
     for _ in 0..3 {
         rig.arrive("/long/", 250_000);
     }
     rig.sends();
-    let (waiting, _) = rig.router.queued_work();
-    assert!(waiting >= 1, "{waiting}");
+    let (queued, _) = rig.router.queued_work();
+    assert!(queued >= 1, "{queued}");
     let cheap = rig.arrive("/long/", 60_000);
     let mut sent = rig.sends();
     while sent.is_empty() {
@@ -79,72 +79,77 @@
 }
 
 #[test]
-fn a_peers_work_counts_like_ones_own() {
-    let mut one = Rig::named("entry-1", 4);
-    let mut two = Rig::named("entry-2", 4);
+fn peer_work_counts_toward_engine_load() {
+    let mut first = Rig::named("entry-1", 4);
+    let mut second = Rig::named("entry-2", 4);
     const STEP: Duration = Duration::from_millis(40);
     for _ in 0..30 {
-        one.arrive("/short/", 5_000);
-        one.now = one.now.after(STEP);
+        first.arrive("/short/", 5_000);
+        first.now = first.now.after(STEP);
     }
-    let ours = tally(&one.sends());
-    two.now = one.now;
-    one.tell(&mut two, 1);
+    let first_counts = tally(&first.sends());
+    second.now = first.now;
+    first.tell(&mut second, 1);
     for _ in 0..20 {
-        two.arrive("/short/", 5_000);
-        two.now = two.now.after(STEP);
-    }
-    for (server, count) in tally(&two.sends()) {
-        let there = ours.get(&server).copied().unwrap_or(0);
-        assert!(count + there <= 17, "{server}: {count} + {there}");
+        second.arrive("/short/", 5_000);
+        second.now = second.now.after(STEP);
+    }
+    for (server, count) in tally(&second.sends()) {
+        let first_count = first_counts.get(&server).copied().unwrap_or(0);
+        assert!(
+            count + first_count <= 17,
+            "{server}: {count} + {first_count}"
+        );
     }
 }
 
 #[test]
-fn a_silent_peers_work_is_forgotten() {
-    let mut one = Rig::named("entry-1", 2);
-    let mut two = Rig::named("entry-2", 2);
+fn work_of_silent_peer_expires() {
+    let mut first = Rig::named("entry-1", 2);
+    let mut second = Rig::named("entry-2", 2);
     for _ in 0..30 {
-        one.arrive("/short/", 5_000);
+        first.arrive("/short/", 5_000);
     }
-    one.tell(&mut two, 1);
-    let loaded = |rig: &Rig| -> usize {
+    first.tell(&mut second, 1);
+    let occupied = |rig: &Rig| -> usize {
         let servers = rig.router.fleet().iter();
         let loads = servers.map(|(key, _)| rig.router.board().load(key, rig.now).occupied());
         loads.sum()
     };
-    let sent = one.sends().len();
+    let sent = first.sends().len();
     assert!(sent >= 14);
-    assert_eq!(loaded(&two), sent);
-    two.pass(Duration::from_millis(10_100));
-    assert_eq!(loaded(&two), 0);
-    one.tell(&mut two, 1);
-    two.step(Event::PeerGone { peer: 1 });
-    assert_eq!(loaded(&two), 0);
+    assert_eq!(occupied(&second), sent);
+    second.pass(Duration::from_millis(10_100));
+    assert_eq!(occupied(&second), 0);
+    first.tell(&mut second, 1);
+    second.step(Event::PeerGone { peer: 1 });
+    assert_eq!(occupied(&second), 0);
 }
 
-/// After a kill of all entries each one, knowing nothing
-/// of the others, sent its callers' repeats to the same few engines.
+/// Guards against nodes without load information all choosing the same engines.
 #[test]
-fn entries_that_just_started_do_not_all_choose_the_same_engines() {
-    let mut on_busiest = 0;
-    let mut all = std::collections::HashMap::new();
-    for entry in 0..6 {
-        let mut rig = Rig::just_started(&format!("entry-{entry}"), 18);
+fn newly_started_nodes_spread_requests_over_engines() {
+    let mut busiest = 0;
+    let mut totals = std::collections::HashMap::new();
+    for node in 0..6 {
+        let mut rig = Rig::just_started(&format!("entry-{node}"), 18);
         for _ in 0..18 {
             rig.arrive("/short/", 4_000);
         }
         for (server, count) in tally(&rig.sends()) {
-            let sum = all.entry(server).or_insert(0);
+            let sum = totals.entry(server).or_insert(0);
             *sum += count;
-            on_busiest = on_busiest.max(*sum);
+            busiest = busiest.max(*sum);
         }
     }
-    assert!(on_busiest <= 12, "{on_busiest} of 108 on one of 18 engines");
+    assert!(
+        busiest <= 12,
+        "{busiest} of 108 requests on one of 18 engines"
+    );
 }
 
 #[test]
-fn what_ended_leaves_nothing_on_the_board() {
+fn ended_requests_leave_no_work_in_the_load_view() {
     let mut rig = Rig::new();
     let short = rig.arrive("/short/", 5_000);
     let long = rig.arrive("/long/", 150_000);
@@ -164,8 +169,8 @@
     assert_eq!(rig.router.open_requests(), 0);
 }
 
-/// Starts `count` short requests and has them generate.
-fn fill_with_short(rig: &mut Rig, count: usize) -> Vec<(RequestKey, Assignment)> {
+/// Starts `count` short requests and lets them decode.
+fn start_short_streams(rig: &mut Rig, count: usize) -> Vec<(RequestKey, Assignment)> {
     for _ in 0..count {
         rig.arrive("/short/", 5_000);
         rig.pass(Duration::from_millis(12));
@@ -177,32 +182,30 @@
     sends
 }
 
-/// What operators saw: one review stopped five engines for 1.8 s,
-/// and fifty short answers on them paused.
+/// Guards against a split prompt stalling the short streams on all of its engines.
 #[test]
-fn a_long_prompt_does_not_stop_short_answers_that_are_worth_more() {
+fn long_prompt_does_not_stall_more_valuable_short_streams() {
     let mut rig = Rig::named("entry-1", 1);
-    fill_with_short(&mut rig, 5);
+    start_short_streams(&mut rig, 5);
     rig.arrive("/long/", 120_000);
     assert!(rig.sends().is_empty());
 }
 
-/// What operators saw under load: the first engines of the list had no memory
-/// for a share, so that a late prompt was spread over all fifteen, each of them
-/// with short answers that paused for 0.7 s.
+/// Guards against splitting a late prompt over all engines because the first candidates lack
+/// memory for a share.
 #[test]
-fn a_late_prompt_is_read_by_few_engines_with_the_memory() {
+fn late_prompt_uses_few_engines_with_enough_memory() {
     let mut rig = Rig::named("entry-1", 12);
-    let mut busy = Vec::new();
+    let mut long = Vec::new();
     for _ in 0..4 {
-        busy.push(rig.arrive("/long/", 210_000));
+        long.push(rig.arrive("/long/", 210_000));
         rig.pass(Duration::from_millis(1_500));
         rig.step(Event::Started {
-            request: busy[busy.len() - 1],
+            request: long[long.len() - 1],
         });
     }
     rig.sends();
-    fill_with_short(&mut rig, 140);
+    start_short_streams(&mut rig, 140);
     rig.arrive("/long/", 260_000);
     let mut sends = rig.sends();
     for _ in 0..200 {
@@ -215,21 +218,20 @@
     assert!(to.helpers.len() <= 2, "{}", to.helpers.len());
 }
 
-/// What callers saw while engines had room: engines read the newest part first, so that a
-/// prompt whose parts lay below those of later ones got no event for six
-/// seconds, though 0.4 s were predicted.
+/// Engines prefill the newest segment first, so further segments would delay the first
+/// prompt past its predicted time.
 #[test]
-fn no_part_is_added_to_an_engine_with_reading_left() {
+fn engine_with_unfinished_prefill_gets_no_segment() {
     let mut rig = Rig::named("entry-1", 18);
     rig.arrive("/long/", 250_000);
     let first = rig.only_send();
-    let reading: Vec<_> = first.helpers.iter().map(|helper| helper.addr).collect();
+    let prefilling: Vec<_> = first.helpers.iter().map(|helper| helper.addr).collect();
     for tokens in [120_000, 150_000, 90_000, 200_000] {
         rig.arrive("/long/", tokens);
     }
     for (_, to) in rig.sends() {
         let mut helpers = to.helpers.iter();
-        assert!(!helpers.any(|helper| reading.contains(&helper.addr)));
+        assert!(!helpers.any(|helper| prefilling.contains(&helper.addr)));
         assert!(to.helpers.iter().all(|helper| helper.addr != first.addr));
     }
 }
--- a/crates/notchwalk_route/tests/decisions/random_runs.rs
+++ b/crates/notchwalk_route/tests/decisions/random_runs.rs
@@ -1,5 +1,4 @@
-//! Long randomised runs: whatever happens in whatever order, what the router
-//! promises holds.
+//! Randomised runs: the router's invariants hold for any sequence of events.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -16,39 +15,40 @@
 use crate::common::{record, site, Rig, DESK, ENGINES};
 
 #[derive(Clone, Debug)]
-enum Act {
+enum Action {
     Arrive(u8, u32),
     End(usize, u8),
     Start(usize),
     Abandon(usize),
-    Grant(usize, bool),
-    Leave(u8, bool),
-    Return(u8),
-    Say(u8, Option<u16>),
+    FinishReservation(usize, bool),
+    Drain(u8, bool),
+    Register(u8),
+    Notify(u8, Option<u16>),
     Configure(u8),
-    Peer(u8, u8),
-    Pass(u16),
+    PeerWork(u8, u8),
+    Advance(u16),
 }
 
-fn act() -> impl Strategy<Value = Act> {
+fn action() -> impl Strategy<Value = Action> {
     prop_oneof![
-        4 => (0..4u8, 500..500_000u32).prop_map(|(path, tokens)| Act::Arrive(path, tokens)),
-        5 => (any::<usize>(), 0..6u8).prop_map(|(which, end)| Act::End(which, end)),
-        3 => any::<usize>().prop_map(Act::Start),
-        1 => any::<usize>().prop_map(Act::Abandon),
-        2 => (any::<usize>(), any::<bool>()).prop_map(|(which, yes)| Act::Grant(which, yes)),
-        1 => (0..10u8, any::<bool>()).prop_map(|(server, gone)| Act::Leave(server, gone)),
-        1 => (0..10u8).prop_map(Act::Return),
+        4 => (0..4u8, 500..500_000u32).prop_map(|(path, tokens)| Action::Arrive(path, tokens)),
+        5 => (any::<usize>(), 0..6u8).prop_map(|(which, end)| Action::End(which, end)),
+        3 => any::<usize>().prop_map(Action::Start),
+        1 => any::<usize>().prop_map(Action::Abandon),
+        2 => (any::<usize>(), any::<bool>())
+            .prop_map(|(which, granted)| Action::FinishReservation(which, granted)),
+        1 => (0..10u8, any::<bool>()).prop_map(|(server, removed)| Action::Drain(server, removed)),
+        1 => (0..10u8).prop_map(Action::Register),
         1 => (0..10u8, prop::option::weighted(0.8, 1..4_000u16))
-            .prop_map(|(server, rest)| Act::Say(server, rest)),
-        1 => any::<u8>().prop_map(Act::Configure),
-        1 => (0..7u8, 0..12u8).prop_map(|(server, count)| Act::Peer(server, count)),
-        3 => (1..2_000u16).prop_map(Act::Pass),
+            .prop_map(|(server, backoff)| Action::Notify(server, backoff)),
+        1 => any::<u8>().prop_map(Action::Configure),
+        1 => (0..7u8, 0..12u8).prop_map(|(server, count)| Action::PeerWork(server, count)),
+        3 => (1..2_000u16).prop_map(Action::Advance),
     ]
 }
 
 #[derive(Default)]
-struct Seen {
+struct RequestState {
     may_have_run: u32,
     open_send: Option<Assignment>,
     /// Whether it was sent before, and whether that send reached a server.
@@ -58,26 +58,26 @@
     ended: bool,
 }
 
-struct Check {
+struct Harness {
     rig: Rig,
-    seen: HashMap<RequestKey, (Seen, Repeatability, u32)>,
+    states: HashMap<RequestKey, (RequestState, Repeatability, u32)>,
     order: Vec<RequestKey>,
-    /// When requests were sent first, and when a server was reached once more.
-    firsts: Vec<Instant>,
-    repeats: Vec<Instant>,
-    /// Until when servers want nothing, as they said; `None` for those that leave.
-    said: HashMap<ServerKey, Option<Instant>>,
+    /// Times of first sends, and of retries after a server was reached.
+    first_sends: Vec<Instant>,
+    retries: Vec<Instant>,
+    /// When servers that back off accept requests again; `None` for draining ones.
+    available_from: HashMap<ServerKey, Option<Instant>>,
 }
 
-impl Check {
+impl Harness {
     fn new() -> Self {
         Self {
             rig: Rig::named("entry-1", 7),
-            seen: HashMap::new(),
+            states: HashMap::new(),
             order: Vec::new(),
-            firsts: Vec::new(),
-            repeats: Vec::new(),
-            said: HashMap::new(),
+            first_sends: Vec::new(),
+            retries: Vec::new(),
+            available_from: HashMap::new(),
         }
     }
 
@@ -86,13 +86,13 @@
             .order
             .iter()
             .copied()
-            .filter(|key| !self.seen[key].0.ended)
+            .filter(|key| !self.states[key].0.ended)
             .collect();
         (!open.is_empty()).then(|| open[which % open.len()])
     }
 
-    /// Checks what the router asked for.
-    fn settle(&mut self) {
+    /// Checks the emitted effects.
+    fn check_effects(&mut self) {
         for effect in std::mem::take(&mut self.rig.effects) {
             match effect {
                 Effect::Send { request, to } => self.sent(request, to),
@@ -100,13 +100,13 @@
                     request, reason, ..
                 } => self.refused(request, reason),
                 Effect::DeliverFailure { request } => {
-                    let (seen, _, _) = self.seen.get_mut(&request).expect("known");
-                    assert!(!std::mem::replace(&mut seen.ended, true));
+                    let (state, _, _) = self.states.get_mut(&request).expect("request arrived");
+                    assert!(!std::mem::replace(&mut state.ended, true));
                 }
                 Effect::Reserve { request, orders } => {
                     assert!(!orders.is_empty());
-                    let (seen, _, _) = self.seen.get_mut(&request).expect("known");
-                    seen.reserving = true;
+                    let (state, _, _) = self.states.get_mut(&request).expect("request arrived");
+                    state.reserving = true;
                 }
                 Effect::Order(_)
                 | Effect::Closed { .. }
@@ -119,91 +119,119 @@
     }
 
     fn sent(&mut self, request: RequestKey, to: Assignment) {
-        let record = self.rig.router.fleet().get(to.server).expect("on record");
+        let record = self
+            .rig
+            .router
+            .fleet()
+            .get(to.server)
+            .expect("server is registered");
         assert_eq!(
             record.record.stage,
             ServerStage::Ready,
-            "sent to a leaving server"
+            "sent to a draining server"
         );
-        let said = self.said.get(&to.server).copied();
-        let until = said
+        let known = self.available_from.get(&to.server).copied();
+        let until = known
             .unwrap_or(Some(Instant::ZERO))
-            .expect("it said that it leaves");
-        assert!(self.rig.now >= until, "it said that it wants nothing");
+            .expect("sent to a server that announced draining");
+        assert!(
+            self.rig.now >= until,
+            "sent to a server that is backing off"
+        );
         assert!(to.helpers.len() <= 17);
-        let (seen, repeatability, attempts) = self.seen.get_mut(&request).expect("known");
-        assert!(!seen.ended, "sent after its end");
-        assert!(seen.open_send.is_none(), "sent twice at once");
+        let (state, repeatability, attempts) =
+            self.states.get_mut(&request).expect("request arrived");
+        assert!(!state.ended, "sent after the request ended");
+        assert!(
+            state.open_send.is_none(),
+            "two concurrent sends of a request"
+        );
+        assert!(
+            state.may_have_run == 0 || *repeatability != Repeatability::Once,
+            "non-repeatable request sent again after it may have run"
+        );
         assert!(
-            seen.may_have_run == 0 || *repeatability != Repeatability::Once,
-            "sent again though it may have run"
+            state.may_have_run < *attempts,
+            "more attempts than the route allows"
         );
-        assert!(seen.may_have_run < *attempts, "runs on too many servers");
-        seen.open_send = Some(to);
-        seen.reserving = false;
+        state.open_send = Some(to);
+        state.reserving = false;
         let now = self.rig.now;
-        if !std::mem::replace(&mut seen.sent_before, true) {
-            self.firsts.push(now);
-        } else if seen.reached {
-            self.repeats.push(now);
+        if !std::mem::replace(&mut state.sent_before, true) {
+            self.first_sends.push(now);
+        } else if state.reached {
+            self.retries.push(now);
         }
         self.check_budget();
     }
 
-    /// Checks that repeats within the window stay within what the rig allows.
+    /// Checks that the retries within the window stay within the rig's budget.
     fn check_budget(&self) {
         const WINDOW: Duration = Duration::from_secs(10);
         let since = self.rig.now.before(WINDOW);
         let recent = |times: &[Instant]| times.iter().filter(|&&at| at >= since).count() as f64;
-        let allowed = 0.2 * recent(&self.firsts) + 100.0;
-        assert!(recent(&self.repeats) <= allowed, "too many repeats");
+        let allowed = 0.2 * recent(&self.first_sends) + 100.0;
+        assert!(recent(&self.retries) <= allowed, "retry budget exceeded");
     }
 
     fn refused(&mut self, request: RequestKey, reason: Refusal) {
-        let (seen, _, _) = self.seen.get_mut(&request).expect("known");
+        let (state, _, _) = self.states.get_mut(&request).expect("request arrived");
         assert!(
-            !std::mem::replace(&mut seen.ended, true),
-            "two final answers"
+            !std::mem::replace(&mut state.ended, true),
+            "request ended twice"
         );
         if reason.has_not_run() {
             assert_eq!(
-                seen.may_have_run, 0,
-                "refused as not run though it may have run"
+                state.may_have_run, 0,
+                "refused as not run after it may have run"
             );
         }
     }
 
-    fn act(&mut self, act: Act) {
-        match act {
-            Act::Arrive(path, tokens) => {
+    fn apply(&mut self, action: Action) {
+        match action {
+            Action::Arrive(path, tokens) => {
                 let path = ["/short/", "/long/", "/once/", "/again/"][path as usize];
                 let route = self.rig.route(path);
                 let tokens = if route.streaming { tokens } else { 0 };
-                let seen = (Seen::default(), route.repeatability, route.max_attempts);
+                let state = (
+                    RequestState::default(),
+                    route.repeatability,
+                    route.max_attempts,
+                );
                 let before = self.rig.effects.len();
                 assert_eq!(before, 0);
                 let key = self.rig.arrive(path, tokens);
-                self.seen.insert(key, seen);
+                self.states.insert(key, state);
                 self.order.push(key);
             }
-            Act::End(which, end) => self.end(which, end),
-            Act::Start(which) => {
+            Action::End(which, end) => self.end(which, end),
+            Action::Start(which) => {
                 if let Some(request) = self.pick(which) {
-                    if self.seen[&request].0.open_send.is_some() {
+                    if self.states[&request].0.open_send.is_some() {
                         self.rig.step(Event::Started { request });
                     }
                 }
             }
-            Act::Abandon(which) => {
+            Action::Abandon(which) => {
                 if let Some(request) = self.pick(which) {
-                    self.seen.get_mut(&request).expect("known").0.ended = true;
+                    self.states
+                        .get_mut(&request)
+                        .expect("request arrived")
+                        .0
+                        .ended = true;
                     self.rig.step(Event::Abandoned { request });
                 }
             }
-            Act::Grant(which, granted) => {
+            Action::FinishReservation(which, granted) => {
                 if let Some(request) = self.pick(which) {
                     if std::mem::replace(
-                        &mut self.seen.get_mut(&request).expect("known").0.reserving,
+                        &mut self
+                            .states
+                            .get_mut(&request)
+                            .expect("request arrived")
+                            .0
+                            .reserving,
                         false,
                     ) {
                         let refused = FailedReservation {
@@ -215,47 +243,53 @@
                     }
                 }
             }
-            Act::Leave(server, gone) => self.leave(server, gone),
-            Act::Return(server) => {
+            Action::Drain(server, removed) => self.drain(server, removed),
+            Action::Register(server) => {
                 let record = record(if server < 7 { ENGINES } else { DESK }, server % 7);
                 self.rig.step(Event::Servers(ServerChange::Present(record)));
             }
-            Act::Say(server, rest) => self.say(server, rest),
-            Act::Configure(version) => {
+            Action::Notify(server, backoff) => self.notify(server, backoff),
+            Action::Configure(version) => {
                 let before = self.rig.router.version();
                 let version = u64::from(version);
                 self.rig
                     .step(Event::Configured(SiteConfig { version, ..site() }));
-                assert!(self.rig.router.version() >= before, "an older version");
+                assert!(
+                    self.rig.router.version() >= before,
+                    "configuration version decreased"
+                );
             }
-            Act::Peer(server, count) => self.peer_tells(server, count),
-            Act::Pass(ms) => self.rig.pass(Duration::from_millis(ms.into())),
+            Action::PeerWork(server, count) => self.broadcast_peer_work(server, count),
+            Action::Advance(ms) => self.rig.pass(Duration::from_millis(ms.into())),
         }
     }
 
-    fn leave(&mut self, server: u8, gone: bool) {
+    fn drain(&mut self, server: u8, removed: bool) {
         let mut record = record(if server < 7 { ENGINES } else { DESK }, server % 7);
         record.stage = ServerStage::Leaving;
-        let change = match gone {
+        let change = match removed {
             true => ServerChange::Gone(record.instance),
             false => ServerChange::Present(record),
         };
         self.rig.step(Event::Servers(change));
     }
 
-    /// A server says that it leaves, or for how long it wants nothing.
-    fn say(&mut self, server: u8, rest: Option<u16>) {
+    /// Reports a server's draining notice (`None`) or backoff in milliseconds.
+    fn notify(&mut self, server: u8, backoff: Option<u16>) {
         let instance = record(if server < 7 { ENGINES } else { DESK }, server % 7).instance;
         let Some(server) = self.rig.router.fleet().by_instance(&instance) else {
             return;
         };
-        let word = match rest {
+        let word = match backoff {
             Some(ms) => ServerWord::WantsNothing(Duration::from_millis(ms.into())),
             None => ServerWord::Leaving,
         };
-        let until = rest.map(|ms| self.rig.now.after(Duration::from_millis(ms.into())));
-        let said = self.said.entry(server).or_insert(Some(Instant::ZERO));
-        *said = said.zip(until).map(|(before, until)| before.max(until));
+        let until = backoff.map(|ms| self.rig.now.after(Duration::from_millis(ms.into())));
+        let known = self
+            .available_from
+            .entry(server)
+            .or_insert(Some(Instant::ZERO));
+        *known = known.zip(until).map(|(before, until)| before.max(until));
         self.rig.step(Event::ServerSaid { server, word });
     }
 
@@ -263,8 +297,8 @@
         let Some(request) = self.pick(which) else {
             return;
         };
-        let (seen, _, _) = self.seen.get_mut(&request).expect("known");
-        if seen.open_send.take().is_none() {
+        let (state, _, _) = self.states.get_mut(&request).expect("request arrived");
+        if state.open_send.take().is_none() {
             return;
         }
         let end = match end {
@@ -282,15 +316,15 @@
             _ => AttemptEnd::Delivered { healthy: true },
         };
         if matches!(end, AttemptEnd::Failed | AttemptEnd::Broken) {
-            seen.may_have_run += 1;
+            state.may_have_run += 1;
         }
-        seen.reached = end != AttemptEnd::NotConnected;
-        seen.ended = matches!(end, AttemptEnd::Delivered { .. });
+        state.reached = end != AttemptEnd::NotConnected;
+        state.ended = matches!(end, AttemptEnd::Delivered { .. });
         self.rig.end(request, end);
     }
 
-    /// A peer tells of short requests that it has on an engine.
-    fn peer_tells(&mut self, server: u8, count: u8) {
+    /// Reports a peer's short requests on an engine.
+    fn broadcast_peer_work(&mut self, server: u8, count: u8) {
         let instance = record(ENGINES, server).instance;
         let mut servers = self.rig.router.fleet().iter();
         let Some((_, known)) = servers.find(|(_, known)| known.record.instance == instance) else {
@@ -316,11 +350,11 @@
         });
     }
 
-    /// Ends everything and checks that nothing is left behind.
+    /// Ends all requests and checks that no state remains.
     fn finish(mut self) {
         self.rig.step(Event::PeerGone { peer: 1 });
         for request in std::mem::take(&mut self.order) {
-            if !self.seen[&request].0.ended {
+            if !self.states[&request].0.ended {
                 self.rig.step(Event::Abandoned { request });
             }
         }
@@ -330,13 +364,13 @@
         for (key, server) in self.rig.router.fleet().iter() {
             let load = self.rig.router.board().load(key, self.rig.now);
             let left = load.occupied() + load.helping;
-            assert_eq!(left, 0, "{} keeps work", server.record.instance);
+            assert_eq!(left, 0, "{} still has work", server.record.instance);
             assert_eq!(load.context_tokens, 0.0);
         }
     }
 }
 
-fn run(cases: u32, acts: usize, seed: u8) {
+fn run(cases: u32, actions: usize, seed: u8) {
     let config = Config {
         cases,
         failure_persistence: None,
@@ -344,14 +378,14 @@
     };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]);
     let mut runner = TestRunner::new_with_rng(config, rng);
-    let acts = prop::collection::vec(act(), acts..=acts);
-    let result = runner.run(&acts, |acts| {
-        let mut check = Check::new();
-        for act in acts {
-            check.act(act);
-            check.settle();
+    let actions = prop::collection::vec(action(), actions..=actions);
+    let result = runner.run(&actions, |actions| {
+        let mut harness = Harness::new();
+        for action in actions {
+            harness.apply(action);
+            harness.check_effects();
         }
-        check.finish();
+        harness.finish();
         Ok(())
     });
     if let Err(e) = result {
@@ -360,14 +394,14 @@
 }
 
 #[test]
-fn promises_hold_over_random_events() {
+fn invariants_hold_over_random_events() {
     run(400, 250, 11);
 }
 
 /// Two million events; run by hand with `--ignored`.
 #[test]
 #[ignore = "takes minutes"]
-fn promises_hold_over_many_random_events() {
+fn invariants_hold_over_many_random_events() {
     for seed in 0..20 {
         run(400, 250, seed);
     }
--- a/crates/notchwalk_route/tests/decisions/suspects.rs
+++ b/crates/notchwalk_route/tests/decisions/suspects.rs
@@ -1,5 +1,4 @@
-//! Requests under which servers ended: what becomes of them, and of what runs beside
-//! them.
+//! Quarantine of contents that crash their servers, and protection of other requests.
 
 use std::time::Duration;
 
@@ -16,11 +15,11 @@
     moved: true,
 };
 
-fn bad() -> Fingerprint {
+fn crashing_content() -> Fingerprint {
     content("this one crashes its servers")
 }
 
-/// Has a request of `content` arrive.
+/// Sends a request with this content.
 fn arrive(rig: &mut Rig, path: &str, tokens: u32, content: Fingerprint) -> RequestKey {
     rig.content = Some(content);
     let request = rig.arrive(path, tokens);
@@ -33,61 +32,61 @@
     matches!(verdict, Verdict::Quarantined { .. })
 }
 
-/// A server's record goes as it has crashed.
-fn lose(rig: &mut Rig, instance: &str) {
-    let gone = ServerChange::Gone(instance.to_owned());
-    rig.step(Event::Servers(gone));
+/// Deregisters a server that has crashed.
+fn remove_server(rig: &mut Rig, instance: &str) {
+    let change = ServerChange::Gone(instance.to_owned());
+    rig.step(Event::Servers(change));
 }
 
-/// Has requests of the content crash servers until none is sent any more; returns
-/// how many they crashed.
+/// Sends requests with the crashing content until none is dispatched; returns the number of
+/// crashed servers.
 fn crash_servers(rig: &mut Rig, path: &str, tokens: u32) -> usize {
     let mut crashes = 0;
     for _ in 0..10 {
-        let request = arrive(rig, path, tokens, bad());
+        let request = arrive(rig, path, tokens, crashing_content());
         loop {
             let mut sends = rig.sends();
             let Some((_, to)) = sends.pop() else { break };
             crashes += 1;
             rig.pass(Duration::from_millis(120));
             rig.end(request, AttemptEnd::Broken);
-            lose(rig, &to.instance);
+            remove_server(rig, &to.instance);
             rig.pass(Duration::from_millis(30));
         }
     }
-    // By then it is known that no other server ended at the same moment.
+    // Long enough to rule out that other servers ended at the same moment.
     rig.pass(Duration::from_millis(200));
     crashes
 }
 
 #[test]
-fn what_crashed_three_servers_is_sent_to_no_fourth() {
+fn content_that_crashed_three_servers_is_quarantined() {
     for (path, tokens) in [("/again/", 0), ("/short/", 3_000), ("/long/", 150_000)] {
         let mut rig = Rig::new();
-        // Calls of plain services have three servers here.
+        // The plain service has three servers.
         assert_eq!(crash_servers(&mut rig, path, tokens), 3, "{path}");
         rig.effects.clear();
-        arrive(&mut rig, path, tokens, bad());
+        arrive(&mut rig, path, tokens, crashing_content());
         assert!(rig.sends().is_empty(), "{path}");
         assert_eq!(rig.refusals(), [Refusal::Quarantined], "{path}");
     }
 }
 
-/// What may run once is sent once a try, and comes again as well.
+/// Non-repeatable requests are sent once per attempt of the caller.
 #[test]
-fn what_may_run_once_is_counted_over_its_tries_too() {
+fn crashes_of_non_repeatable_requests_are_counted() {
     let mut rig = Rig::new();
     assert_eq!(crash_servers(&mut rig, "/once/", 0), 3);
-    assert!(is_quarantined(&rig, bad()));
+    assert!(is_quarantined(&rig, crashing_content()));
 }
 
 #[test]
-fn a_caller_is_told_at_once_and_until_when() {
+fn quarantined_request_is_refused_with_retry_after() {
     let mut rig = Rig::new();
     crash_servers(&mut rig, "/short/", 3_000);
     rig.effects.clear();
-    let request = arrive(&mut rig, "/short/", 3_000, bad());
-    let told = rig.effects.iter().find_map(|effect| match effect {
+    let request = arrive(&mut rig, "/short/", 3_000, crashing_content());
+    let retry_after = rig.effects.iter().find_map(|effect| match effect {
         Effect::Refuse {
             request: refused,
             reason: Refusal::Quarantined,
@@ -95,21 +94,21 @@
         } if *refused == request => *retry_after,
         _ => None,
     });
-    let left = told.expect("it is refused at once");
+    let left = retry_after.expect("request is refused immediately");
     assert!(left > Duration::from_secs(590) && left <= Duration::from_secs(600));
-    // Other requests, of the same workspace and route, are served.
+    // Other requests of the same workspace and route are served.
     rig.arrive("/short/", 3_000);
     rig.only_send();
 }
 
-/// A request that waits, or whose send just ended, learns of it as well.
+/// Applies to requests with an attempt in progress.
 #[test]
-fn what_a_peer_tells_ends_a_try_under_way() {
+fn quarantine_from_peer_prevents_retry() {
     let mut rig = Rig::new();
-    let request = arrive(&mut rig, "/short/", 3_000, bad());
+    let request = arrive(&mut rig, "/short/", 3_000, crashing_content());
     rig.only_send();
     let news = vec![News::Quarantined {
-        content: bad(),
+        content: crashing_content(),
         age_ms: 5,
         left_ms: 600_000,
         times: 1,
@@ -121,67 +120,71 @@
     assert_eq!(rig.refusals(), [Refusal::Quarantined]);
 }
 
-/// The second and third run go where least runs beside them.
+/// The second and third attempts go to servers with the fewest other requests.
 #[test]
-fn a_suspect_runs_where_least_is_at_stake() {
+fn suspect_is_sent_to_least_loaded_server() {
     let mut rig = Rig::new();
     for _ in 0..30 {
         rig.arrive("/short/", 5_000);
     }
     let others = tally(&rig.sends());
-    let first = arrive(&mut rig, "/short/", 3_000, bad());
+    let first = arrive(&mut rig, "/short/", 3_000, crashing_content());
     let at_first = rig.only_send().instance;
     rig.pass(Duration::from_millis(100));
     rig.end(first, AttemptEnd::Broken);
     let at_second = rig.only_send().instance;
-    let beside = |instance: &String| others.get(instance).copied().unwrap_or(0);
-    let (more, fewer) = (beside(&at_first), beside(&at_second));
+    let running_on = |instance: &String| others.get(instance).copied().unwrap_or(0);
+    let (more, fewer) = (running_on(&at_first), running_on(&at_second));
     assert!(
         fewer * 2 <= more,
-        "{more} beside the first, {fewer} beside the second run"
+        "{more} requests with the first attempt, {fewer} with the second"
     );
-    lose(&mut rig, &at_first);
+    remove_server(&mut rig, &at_first);
     rig.pass(Duration::from_millis(100));
     rig.end(first, AttemptEnd::Broken);
-    lose(&mut rig, &at_second);
-    arrive(&mut rig, "/short/", 3_000, bad());
+    remove_server(&mut rig, &at_second);
+    arrive(&mut rig, "/short/", 3_000, crashing_content());
     let at_third = rig.only_send().instance;
     let fewest = others.values().copied().min();
     assert_eq!(
         others.get(&at_third).copied(),
         fewest,
-        "beside the third run"
+        "requests with the third attempt"
     );
 }
 
 #[test]
-fn a_suspect_is_read_by_no_other_engine() {
+fn suspect_prompt_is_not_split() {
     let mut rig = Rig::new();
-    let request = arrive(&mut rig, "/long/", 150_000, bad());
+    let request = arrive(&mut rig, "/long/", 150_000, crashing_content());
     let first = rig.only_send();
     assert!(!first.helpers.is_empty());
     rig.pass(Duration::from_millis(500));
     rig.end(request, AttemptEnd::Broken);
-    lose(&mut rig, &first.instance);
+    remove_server(&mut rig, &first.instance);
     rig.pass(Duration::from_millis(200));
     let second = rig.only_send();
     assert!(second.helpers.is_empty(), "{second:?}");
 }
 
-/// Which of the engines that read a prompt it crashed, is seen by whose end is seen.
+/// The crashed engine is identified by its deregistration.
 #[test]
-fn a_helper_that_ends_under_its_part_counts_as_well() {
+fn crash_of_prefill_worker_is_counted() {
     let mut rig = Rig::new();
     let mut lost = 0;
     for _ in 0..6 {
-        let request = arrive(&mut rig, "/long/", 150_000, bad());
+        let request = arrive(&mut rig, "/long/", 150_000, crashing_content());
         let mut sends = rig.sends();
         let Some((_, to)) = sends.pop() else { break };
         lost += 1;
-        let victim = match to.helpers.first() {
+        let crashed = match to.helpers.first() {
             Some(helper) => {
-                let key = rig.router.fleet().by_addr(helper.addr).expect("on record");
-                let server = rig.router.fleet().get(key).expect("on record");
+                let key = rig
+                    .router
+                    .fleet()
+                    .by_addr(helper.addr)
+                    .expect("server is registered");
+                let server = rig.router.fleet().get(key).expect("server is registered");
                 server.record.instance.clone()
             }
             None => to.instance.clone(),
@@ -189,104 +192,105 @@
         rig.pass(Duration::from_millis(700));
         rig.end(request, AttemptEnd::Broken);
         rig.sends();
-        lose(&mut rig, &victim);
+        remove_server(&mut rig, &crashed);
         rig.step(Event::Abandoned { request });
         rig.pass(Duration::from_millis(300));
     }
     assert_eq!(lost, 3);
-    assert!(is_quarantined(&rig, bad()));
+    assert!(is_quarantined(&rig, crashing_content()));
 }
 
-/// A server that leaves cuts what it did not finish, and goes off the record.
+/// A draining server cancels unfinished requests and deregisters.
 #[test]
-fn servers_that_leave_are_held_against_nobody() {
+fn end_of_draining_server_is_not_a_crash() {
     let mut rig = Rig::new();
     for round in 0..6 {
-        let request = arrive(&mut rig, "/short/", 3_000, bad());
+        let request = arrive(&mut rig, "/short/", 3_000, crashing_content());
         let instance = rig.only_send().instance;
         let number: u8 = instance
             .trim_start_matches("engines-")
             .parse()
             .expect("a number");
         if round % 2 == 0 {
-            let leaving = ServerRecord {
+            let draining = ServerRecord {
                 stage: ServerStage::Leaving,
                 ..record(ENGINES, number)
             };
-            rig.step(Event::Servers(ServerChange::Present(leaving)));
+            rig.step(Event::Servers(ServerChange::Present(draining)));
         } else {
-            lose(&mut rig, &instance);
+            remove_server(&mut rig, &instance);
         }
         rig.pass(Duration::from_millis(300));
         rig.end(request, AttemptEnd::Broken);
-        lose(&mut rig, &instance);
+        remove_server(&mut rig, &instance);
         rig.step(Event::Abandoned { request });
         rig.effects.clear();
         rig.pass(Duration::from_millis(300));
     }
-    let verdict = rig.router.quarantine().verdict(bad(), rig.now);
+    let verdict = rig.router.quarantine().verdict(crashing_content(), rig.now);
     assert_eq!(verdict, Verdict::Free);
 }
 
-/// Answers that can't be used say nothing against a request: the server lives.
+/// Unusable answers show that the server is running.
 #[test]
-fn a_server_that_spoils_its_answers_has_not_crashed() {
+fn unusable_answer_is_not_a_crash() {
     let mut rig = Rig::new();
     for _ in 0..4 {
-        let request = arrive(&mut rig, "/again/", 0, bad());
+        let request = arrive(&mut rig, "/again/", 0, crashing_content());
         while !rig.sends().is_empty() {
             rig.pass(Duration::from_millis(100));
             rig.end(request, AttemptEnd::Unusable);
         }
         rig.pass(Duration::from_secs(2));
     }
-    let verdict = rig.router.quarantine().verdict(bad(), rig.now);
+    let verdict = rig.router.quarantine().verdict(crashing_content(), rig.now);
     assert_eq!(verdict, Verdict::Free);
 }
 
-fn born(number: u8, born: u64) -> ServerRecord {
+/// Returns a registration of a desk server with the start time of its incarnation.
+fn desk(number: u8, born: u64) -> ServerRecord {
     ServerRecord {
         born: Some(born),
         ..record(DESK, number)
     }
 }
 
-/// Servers may be back under their id before the loss of the connection is seen.
+/// A server may restart under its id before the broken connection is detected.
 #[test]
-fn a_crash_is_known_by_the_servers_new_life() {
+fn new_incarnation_confirms_a_crash() {
     let mut rig = Rig::new();
     for number in 0..3 {
-        rig.step(Event::Servers(ServerChange::Present(born(number, 1))));
+        rig.step(Event::Servers(ServerChange::Present(desk(number, 1))));
     }
-    // Lives that ended just before would speak for the request.
+    // Incarnations that ended shortly before would count in the request's favour.
     rig.pass(Duration::from_secs(5));
     for round in 0..3 {
-        let request = arrive(&mut rig, "/again/", 0, bad());
+        let request = arrive(&mut rig, "/again/", 0, crashing_content());
         let instance = rig.only_send().instance;
         let number: u8 = instance.trim_start_matches("desk-").parse().unwrap();
         rig.pass(Duration::from_millis(100));
-        let again = born(number, 10 + round);
-        rig.step(Event::Servers(ServerChange::Present(again)));
+        let restarted = desk(number, 10 + round);
+        rig.step(Event::Servers(ServerChange::Present(restarted)));
         rig.pass(Duration::from_millis(20));
         rig.end(request, AttemptEnd::Broken);
         rig.sends();
         rig.step(Event::Abandoned { request });
         rig.pass(Duration::from_millis(200));
     }
-    assert!(is_quarantined(&rig, bad()));
+    assert!(is_quarantined(&rig, crashing_content()));
 }
 
-/// What was believed of a server belongs to one of its lives.
+/// Failures belong to one incarnation of a server.
 #[test]
-fn a_new_life_of_a_server_starts_with_a_clean_slate() {
+fn new_incarnation_has_no_failure_history() {
     let mut rig = Rig::new();
     for number in 0..3 {
-        rig.step(Event::Servers(ServerChange::Present(born(number, 1))));
+        rig.step(Event::Servers(ServerChange::Present(desk(number, 1))));
     }
     let request = rig.arrive("/once/", 0);
     let instance = rig.only_send().instance;
     let number: u8 = instance.trim_start_matches("desk-").parse().unwrap();
-    // Nothing reaches it, so it is closed.
+    // The server is unreachable, so it gets no work.
     rig.end(request, AttemptEnd::NotConnected);
     let fleet = rig.router.fleet();
     let is_closed = |now: Instant| {
@@ -296,47 +300,46 @@
     assert!(is_closed(rig.now));
     rig.sends();
     rig.step(Event::Abandoned { request });
-    let leaving = ServerRecord {
+    let draining = ServerRecord {
         stage: ServerStage::Leaving,
-        ..born(number, 1)
+        ..desk(number, 1)
     };
-    rig.step(Event::Servers(ServerChange::Present(leaving)));
-    rig.step(Event::Servers(ServerChange::Present(born(number, 2))));
+    rig.step(Event::Servers(ServerChange::Present(draining)));
+    rig.step(Event::Servers(ServerChange::Present(desk(number, 2))));
     let fleet = rig.router.fleet();
     let mut servers = fleet.iter();
     let (key, server) = servers
         .find(|(_, server)| server.record.instance == instance)
-        .expect("on record");
+        .expect("server is registered");
     assert!(server.takes_work(rig.now));
     assert_eq!(server.failure_rate(rig.now), 0.0);
     let load = rig.router.board().load(key, rig.now);
     assert_eq!(load.occupied(), 0);
     drop(servers);
-    // The same record again changes nothing, and its leaving counts for this life.
+    // Registering the same incarnation again keeps its key.
     let key_again = |rig: &Rig| {
         let mut servers = rig.router.fleet().iter();
         let found = servers.find(|(_, server)| server.record.instance == instance);
         found.map(|(key, _)| key)
     };
-    rig.step(Event::Servers(ServerChange::Present(born(number, 2))));
+    rig.step(Event::Servers(ServerChange::Present(desk(number, 2))));
     assert_eq!(key_again(&rig), Some(key));
 }
 
-/// An entry that can't connect may be cut off itself; a server that answers others
-/// has not ended.
+/// A node that can't connect may itself be cut off from the network.
 #[test]
-fn a_server_that_others_are_answered_by_has_not_ended() {
+fn server_that_answers_others_has_not_crashed() {
     let mut rig = Rig::new();
     let mut others = Vec::new();
     for _ in 0..3 {
         others.push(rig.arrive("/again/", 0));
     }
-    let on: Vec<String> = rig.sends().into_iter().map(|(_, to)| to.instance).collect();
-    assert_eq!(on.len(), 3);
+    let instances: Vec<String> = rig.sends().into_iter().map(|(_, to)| to.instance).collect();
+    assert_eq!(instances.len(), 3);
     rig.pass(Duration::from_millis(100));
     let mut seen = Vec::new();
     for _ in 0..3 {
-        let request = arrive(&mut rig, "/once/", 0, bad());
+        let request = arrive(&mut rig, "/once/", 0, crashing_content());
         seen.extend(rig.sends().into_iter().map(|(_, to)| to.instance));
         rig.pass(Duration::from_millis(60));
         rig.end(request, AttemptEnd::Broken);
@@ -347,25 +350,25 @@
     for other in others {
         rig.end(other, AttemptEnd::Delivered { healthy: true });
     }
-    let verdict = rig.router.quarantine().verdict(bad(), rig.now);
+    let verdict = rig.router.quarantine().verdict(crashing_content(), rig.now);
     assert_eq!(verdict, Verdict::Free, "{seen:?}");
 }
 
 #[test]
-fn a_moved_server_has_ended() {
+fn server_replaced_at_its_address_has_ended() {
     let mut rig = Rig::new();
     for _ in 0..3 {
-        let request = arrive(&mut rig, "/once/", 0, bad());
+        let request = arrive(&mut rig, "/once/", 0, crashing_content());
         let instance = rig.only_send().instance;
         rig.pass(Duration::from_millis(100));
         rig.end(request, AttemptEnd::Broken);
         rig.effects.clear();
         rig.pass(Duration::from_millis(200));
-        // Another request finds another instance there.
+        // Another request finds a different instance at the address.
         loop {
             let probe = rig.arrive("/once/", 0);
-            let there = rig.only_send().instance;
-            match there == instance {
+            let found = rig.only_send().instance;
+            match found == instance {
                 true => {
                     rig.end(probe, MOVED);
                     rig.effects.clear();
@@ -377,31 +380,28 @@
         }
     }
     rig.pass(Duration::from_millis(200));
-    assert!(is_quarantined(&rig, bad()));
+    assert!(is_quarantined(&rig, crashing_content()));
 }
 
 #[test]
-fn findings_are_handed_out_as_effects() {
+fn findings_are_emitted_as_effects() {
     let mut rig = Rig::new();
     crash_servers(&mut rig, "/short/", 3_000);
     let found = rig.effects.iter().filter_map(|effect| match effect {
         Effect::Found(finding) => Some(finding),
         _ => None,
     });
-    let declared = |finding: &&Finding| matches!(finding, Finding::Quarantined(_));
-    assert_eq!(found.filter(declared).count(), 1);
+    let is_quarantine = |finding: &&Finding| matches!(finding, Finding::Quarantined(_));
+    assert_eq!(found.filter(is_quarantine).count(), 1);
 }
 
-/// Callers of harmless questions were turned away for ten minutes beside the one that
-/// crashes its servers: three entries lost a stream each to one crash, chose the same
-/// next server in the same millisecond, and again after that one had crashed.
-///
-/// Evidence: all three contents were on the same three servers, and on no other.
+/// Guards against quarantining harmless contents because nodes that lose requests in one
+/// crash retry them on the same server.
 #[test]
-fn what_was_beside_a_crash_does_not_go_on_together() {
-    /// Entries, each with one request on the server that crashes.
-    const ENTRIES: usize = 6;
-    let mut rigs: Vec<Rig> = (0..ENTRIES)
+fn requests_from_one_crash_are_retried_on_different_servers() {
+    /// Nodes, each with one request on the crashing server.
+    const NODES: usize = 6;
+    let mut rigs: Vec<Rig> = (0..NODES)
         .map(|number| Rig::named(&format!("entry-{number}"), 18))
         .collect();
     let mut requests = Vec::new();
@@ -409,19 +409,22 @@
         rig.content = Some(content(&format!("question {number}")));
         requests.push(rig.arrive("/short/", 3_000));
     }
-    let mut went: Vec<Vec<String>> = vec![Vec::new(); ENTRIES];
+    let mut servers: Vec<Vec<String>> = vec![Vec::new(); NODES];
     for _ in 0..2 {
-        for ((rig, went), &request) in rigs.iter_mut().zip(&mut went).zip(&requests) {
+        for ((rig, servers), &request) in rigs.iter_mut().zip(&mut servers).zip(&requests) {
             let to = rig.only_send();
-            went.push(to.instance);
+            servers.push(to.instance);
             rig.pass(Duration::from_millis(100));
             rig.end(request, AttemptEnd::Broken);
         }
     }
-    let next: Vec<&String> = went.iter().map(|went| &went[1]).collect();
+    let next: Vec<&String> = servers.iter().map(|servers| &servers[1]).collect();
     let most = next
         .iter()
         .map(|one| next.iter().filter(|other| *other == one).count());
     let most = most.max().unwrap_or(0);
-    assert!(most <= 2, "{most} of {ENTRIES} go on together: {next:?}");
+    assert!(
+        most <= 2,
+        "{most} of {NODES} retried on the same server: {next:?}"
+    );
 }
