--- a/crates/notchwalk_daemon/src/error.rs
+++ b/crates/notchwalk_daemon/src/error.rs
@@ -1,33 +1,33 @@
-//! Why a daemon can't start.
+//! Errors that prevent a daemon from starting.
 
 use std::{io, net::SocketAddr};
 
 use derive_more::{Display, Error};
 use notchwalk_core::Findings;
 
-/// A daemon that can't start.
+/// An error that prevents a daemon from starting.
 #[derive(Debug, Display, Error)]
 pub enum DaemonError {
-    /// The settings have faults.
+    /// The settings are invalid.
     #[display("{_0}")]
     Settings(Findings),
-    /// A file can't be read.
+    /// A file could not be read.
     #[display("{path}: {source}")]
     File {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// Why.
+        /// The underlying error.
         source: io::Error,
     },
-    /// An address can't be listened on.
+    /// An address could not be bound.
     #[display("can't listen on {addr}: {source}")]
     Listen {
         /// The address.
         addr: SocketAddr,
-        /// Why.
+        /// The underlying error.
         source: io::Error,
     },
-    /// The runtime can't be had.
+    /// The runtime could not be started.
     #[display("the runtime can't start: {_0}")]
     Runtime(io::Error),
 }
--- a/crates/notchwalk_daemon/src/file_limit.rs
+++ b/crates/notchwalk_daemon/src/file_limit.rs
@@ -1,15 +1,15 @@
-//! The limit of open files: each connection needs one.
+//! Limit of open files.
 
 use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
 
-/// Raises the process's limit of open files as far as the system allows, so
-/// that thousands of idle connections fit. Returns the limit in force.
+/// Raises the process's soft limit of open files to the hard limit, since each
+/// connection needs a descriptor. Returns the limit in force.
 pub fn raise_file_limit() -> Option<u64> {
     let limit = getrlimit(Resource::Nofile);
-    let wanted = Rlimit {
+    let raised = Rlimit {
         current: limit.maximum,
         maximum: limit.maximum,
     };
-    let _ = setrlimit(Resource::Nofile, wanted);
+    let _ = setrlimit(Resource::Nofile, raised);
     getrlimit(Resource::Nofile).current
 }
--- a/crates/notchwalk_daemon/src/lib.rs
+++ b/crates/notchwalk_daemon/src/lib.rs
@@ -1,21 +1,20 @@
-//! What any daemon of notchwalk needs besides its decisions: settings, logs, metrics,
-//! sockets, the process's start and signals, pauses between tries, and the notice that
-//! the machine was suspended.
+//! Infrastructure shared by the daemons of notchwalk: settings, logs, metrics, sockets,
+//! process start and signals, retry delays, and detection of machine suspensions.
 //!
-//! | file | its job |
+//! | file | contents |
 //! |---|---|
-//! | `settings` | reads a settings file, with all findings at once |
-//! | `log_sink` | log lines that never block the process |
-//! | `metrics` | a registry whose parts register what they add |
-//! | `listen` | binds addresses; port 0 lets the system choose |
-//! | `process` | the runtime, boot numbers, signals |
-//! | `file_limit` | the limit of open files |
-//! | `suspension` | notices that the machine was suspended |
-//! | `backoff` | pauses between tries, so that daemons don't retry in step |
-//! | `wake` | one task wakes another of its thread |
+//! | `settings` | reads a settings file and collects all findings |
+//! | `log_sink` | non-blocking log lines |
+//! | `metrics` | registry of Prometheus metrics |
+//! | `listen` | binds listening sockets |
+//! | `process` | runtime, boot numbers, signals |
+//! | `file_limit` | limit of open files |
+//! | `suspension` | detects suspensions of the machine |
+//! | `backoff` | retry delays with jitter |
+//! | `wake` | notification between tasks of one thread |
 //!
-//! Limitations: links between daemons, the operators' interface and the watch of tables
-//! are still those of each daemon (docs/DESIGN.md has what stands twice).
+//! Links between peers, the operators' interface and the following of tables are
+//! implemented by each daemon (see docs/DESIGN.md).
 
 mod backoff;
 mod error;
--- a/crates/notchwalk_daemon/src/listen.rs
+++ b/crates/notchwalk_daemon/src/listen.rs
@@ -4,8 +4,7 @@
 
 use crate::DaemonError;
 
-/// Binds an address for listening; if its port is 0, the one that the system chose is
-/// written into it.
+/// Binds a non-blocking listener; port 0 in `addr` is replaced by the assigned one.
 ///
 /// # Errors
 ///
--- a/crates/notchwalk_daemon/src/log_sink.rs
+++ b/crates/notchwalk_daemon/src/log_sink.rs
@@ -1,6 +1,5 @@
-//! Log lines on standard output that never block the process: they are
-//! collected in a bounded buffer and written by the daemon's tick. What does
-//! not fit is counted and the count logged.
+//! Non-blocking logging to standard output: lines are collected in a bounded buffer,
+//! which the daemon flushes periodically. Lines that don't fit are dropped and counted.
 
 use std::{
     io::{self, Write},
@@ -9,31 +8,30 @@
 
 use rustix::fs::{fcntl_getfl, fcntl_setfl, OFlags};
 
-/// Bytes of log lines that wait to be written at most. A tick's worth at 100
-/// requests a second is under 4 KiB; the rest is for a reader that is slow.
-const MAX_WAITING_BYTES: usize = 128 * 1024;
+/// Size of the buffer in bytes; covers bursts and a slow reader of standard output.
+const MAX_BUFFERED_BYTES: usize = 128 * 1024;
 
 #[derive(Debug, Default)]
-struct Waiting {
+struct Buffer {
     bytes: Vec<u8>,
     dropped: u64,
 }
 
-static WAITING: OnceLock<Mutex<Waiting>> = OnceLock::new();
+static BUFFER: OnceLock<Mutex<Buffer>> = OnceLock::new();
 
-fn waiting() -> &'static Mutex<Waiting> {
-    WAITING.get_or_init(Mutex::default)
+fn buffer() -> &'static Mutex<Buffer> {
+    BUFFER.get_or_init(Mutex::default)
 }
 
 struct Sink;
 
 impl Write for Sink {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        let mut waiting = waiting().lock().unwrap_or_else(PoisonError::into_inner);
-        if waiting.bytes.len() + line.len() > MAX_WAITING_BYTES {
-            waiting.dropped += 1;
+        let mut buffer = buffer().lock().unwrap_or_else(PoisonError::into_inner);
+        if buffer.bytes.len() + line.len() > MAX_BUFFERED_BYTES {
+            buffer.dropped += 1;
         } else {
-            waiting.bytes.extend_from_slice(line);
+            buffer.bytes.extend_from_slice(line);
         }
         Ok(line.len())
     }
@@ -43,12 +41,12 @@
     }
 }
 
-/// Starts logging to standard output: one line an event, `key=value` pairs.
-/// Standard output is switched to non-blocking writes.
+/// Starts logging to standard output: one line per event, with `key=value` pairs.
+/// Switches standard output to non-blocking writes.
 pub fn start_logging() {
     let stdout = io::stdout();
     if let Ok(flags) = fcntl_getfl(&stdout) {
-        // If that fails, a slow reader can block a tick; nothing is lost.
+        // If this fails, a slow reader can block a flush; no lines are lost.
         let _ = fcntl_setfl(&stdout, flags | OFlags::NONBLOCK);
     }
     let env = env_logger::Env::default().default_filter_or("info");
@@ -58,28 +56,28 @@
         .init();
 }
 
-/// Writes what waits, as far as standard output takes it now.
+/// Writes buffered lines, as far as standard output accepts them without blocking.
 pub fn flush() {
-    let mut waiting = waiting().lock().unwrap_or_else(PoisonError::into_inner);
-    if waiting.dropped > 0 && waiting.bytes.len() < MAX_WAITING_BYTES / 2 {
+    let mut buffer = buffer().lock().unwrap_or_else(PoisonError::into_inner);
+    if buffer.dropped > 0 && buffer.bytes.len() < MAX_BUFFERED_BYTES / 2 {
         let line = format!(
             "level=WARN NW1007 log lines were dropped count={}\n",
-            waiting.dropped
+            buffer.dropped
         );
-        waiting.bytes.extend_from_slice(line.as_bytes());
-        waiting.dropped = 0;
+        buffer.bytes.extend_from_slice(line.as_bytes());
+        buffer.dropped = 0;
     }
-    if waiting.bytes.is_empty() {
+    if buffer.bytes.is_empty() {
         return;
     }
-    match rustix::io::write(io::stdout(), &waiting.bytes) {
-        Ok(written) => drop(waiting.bytes.drain(..written)),
-        // A reader that is slow: the lines wait, within their bound.
+    match rustix::io::write(io::stdout(), &buffer.bytes) {
+        Ok(written) => drop(buffer.bytes.drain(..written)),
+        // The reader is slow: the lines stay buffered.
         Err(rustix::io::Errno::AGAIN | rustix::io::Errno::INTR) => {}
-        // Nobody reads any more; there is nowhere to say so.
-        Err(_) => waiting.bytes.clear(),
+        // Standard output is closed.
+        Err(_) => buffer.bytes.clear(),
     }
-    if waiting.bytes.is_empty() {
-        waiting.bytes.shrink_to(8 * 1024);
+    if buffer.bytes.is_empty() {
+        buffer.bytes.shrink_to(8 * 1024);
     }
 }
--- a/crates/notchwalk_daemon/src/metrics.rs
+++ b/crates/notchwalk_daemon/src/metrics.rs
@@ -1,19 +1,18 @@
-//! Figures in Prometheus' text format. Parts of a daemon register what they add.
+//! Metrics in the Prometheus text format. Components register their own.
 
 use prometheus::{
     core::Collector, Encoder, Gauge, GaugeVec, HistogramOpts, HistogramVec, IntCounter,
     IntCounterVec, IntGauge, IntGaugeVec, Opts, Registry, TextEncoder,
 };
 
-/// A registry. Each of its methods panics if a name is no metric's name or is registered
-/// twice, which is a bug.
+/// A registry of metrics. Its methods panic if a name is invalid or already registered.
 #[derive(Default)]
 pub struct MetricSet {
     registry: Registry,
 }
 
 impl MetricSet {
-    /// Builds an empty set.
+    /// Returns an empty registry.
     pub fn new() -> Self {
         Self::default()
     }
@@ -30,32 +29,32 @@
         self.register(IntCounter::new(name, help))
     }
 
-    /// Adds a counter for each value of some labels.
+    /// Adds counters with labels.
     pub fn counters(&self, name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
         self.register(IntCounterVec::new(Opts::new(name, help), labels))
     }
 
-    /// Adds a gauge of whole numbers.
+    /// Adds an integer gauge.
     pub fn gauge(&self, name: &str, help: &str) -> IntGauge {
         self.register(IntGauge::new(name, help))
     }
 
-    /// Adds a gauge of whole numbers for each value of some labels.
+    /// Adds integer gauges with labels.
     pub fn gauges(&self, name: &str, help: &str, labels: &[&str]) -> IntGaugeVec {
         self.register(IntGaugeVec::new(Opts::new(name, help), labels))
     }
 
-    /// Adds a gauge of fractions.
+    /// Adds a floating-point gauge.
     pub fn fraction(&self, name: &str, help: &str) -> Gauge {
         self.register(Gauge::new(name, help))
     }
 
-    /// Adds a gauge of fractions for each value of some labels.
+    /// Adds floating-point gauges with labels.
     pub fn fractions(&self, name: &str, help: &str, labels: &[&str]) -> GaugeVec {
         self.register(GaugeVec::new(Opts::new(name, help), labels))
     }
 
-    /// Adds a histogram for each value of some labels.
+    /// Adds histograms with labels.
     pub fn histograms(
         &self,
         name: &str,
@@ -67,7 +66,7 @@
         self.register(HistogramVec::new(opts, labels))
     }
 
-    /// Returns all figures as text.
+    /// Returns all metrics in the Prometheus text format.
     pub fn text(&self) -> String {
         let mut buf = Vec::new();
         if let Err(e) = TextEncoder::new().encode(&self.registry.gather(), &mut buf) {
--- a/crates/notchwalk_daemon/src/prelude.rs
+++ b/crates/notchwalk_daemon/src/prelude.rs
@@ -1,3 +1,3 @@
-//! The names that users of this crate nearly always need.
+//! Commonly used names of this crate.
 
 pub use crate::{block_on, start_logging, DaemonError, MetricSet, Signals};
--- a/crates/notchwalk_daemon/src/process.rs
+++ b/crates/notchwalk_daemon/src/process.rs
@@ -1,4 +1,4 @@
-//! The process: its runtime, its boot number, its signals.
+//! Runtime, boot number and signals of the process.
 
 use std::{
     future::Future,
@@ -14,42 +14,43 @@
 
 use crate::DaemonError;
 
-/// Runs a daemon on this thread until its future ends. The driver is epoll's: the
-/// machines have no io_uring.
+/// Runs a daemon on this thread until its future completes. Uses epoll, as the machines
+/// lack io_uring.
 ///
 /// # Errors
 ///
-/// Fails if the runtime can't start, or as the daemon does.
+/// Fails if the runtime can't start, or with the daemon's error.
 pub fn block_on<T>(daemon: impl Future<Output = Result<T, DaemonError>>) -> Result<T, DaemonError> {
     let builder = RuntimeBuilder::<LegacyDriver>::new().enable_timer();
     let mut runtime = builder.build().map_err(DaemonError::Runtime)?;
     runtime.block_on(daemon)
 }
 
-/// Returns this boot's number: microseconds since 1970, which rise from boot to boot
-/// without a disk.
+/// Returns a boot number that rises from boot to boot without persistent state:
+/// microseconds since 1970.
 pub fn boot_number() -> u64 {
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     since.map_or(1, |since| since.as_micros() as u64)
 }
 
-/// What stops or changes the process from outside.
+/// Flags that stop or reload the process.
 #[derive(Clone, Debug, Default)]
 pub struct Signals {
-    /// Asks for a drain and the end.
+    /// Requests a graceful shutdown.
     pub stop: Arc<AtomicBool>,
-    /// Says that the settings file changed.
+    /// Requests a reload of the settings file.
     pub reload: Arc<AtomicBool>,
-    /// Ends the daemon at once, as a crash would; for tests.
+    /// Stops the daemon immediately, as a crash would; for tests.
     pub kill: Arc<AtomicBool>,
 }
 
 impl Signals {
-    /// Has SIGTERM and SIGINT stop the process and SIGHUP reload its settings.
+    /// Installs signal handlers: SIGTERM and SIGINT request a shutdown, SIGHUP a
+    /// reload.
     ///
     /// # Errors
     ///
-    /// Fails if a handler can't be set up.
+    /// Fails if a handler can't be installed.
     pub fn from_process() -> Result<Self, DaemonError> {
         let signals = Self::default();
         for signal in [SIGTERM, SIGINT] {
@@ -61,17 +62,17 @@
         Ok(signals)
     }
 
-    /// Tells whether the process is to drain and end.
+    /// Returns whether a graceful shutdown was requested.
     pub fn stops(&self) -> bool {
         self.stop.load(Ordering::Relaxed)
     }
 
-    /// Tells whether the daemon is to end at once.
+    /// Returns whether the daemon is to stop immediately.
     pub fn kills(&self) -> bool {
         self.kill.load(Ordering::Relaxed)
     }
 
-    /// Takes the word that the settings file changed.
+    /// Takes a pending reload request.
     pub fn take_reload(&self) -> bool {
         self.reload.swap(false, Ordering::Relaxed)
     }
--- a/crates/notchwalk_daemon/src/settings.rs
+++ b/crates/notchwalk_daemon/src/settings.rs
@@ -1,4 +1,4 @@
-//! Reads a settings file.
+//! Settings files.
 
 use std::path::Path;
 
@@ -7,7 +7,7 @@
 
 use crate::DaemonError;
 
-/// Reads a settings file; `read` takes what it needs of its sections.
+/// Reads a settings file; `read` extracts the settings from its sections.
 ///
 /// # Errors
 ///
@@ -21,7 +21,7 @@
     parse(&name, &text, read).map_err(DaemonError::Settings)
 }
 
-/// Parses the text of a settings file; `name` stands in the findings.
+/// Parses the text of a settings file; findings refer to it as `name`.
 ///
 /// # Errors
 ///
--- a/crates/notchwalk_daemon/src/suspension.rs
+++ b/crates/notchwalk_daemon/src/suspension.rs
@@ -1,23 +1,23 @@
-//! Notices that the machine was suspended.
+//! Detection of machine suspensions.
 
 use std::{cell::Cell, time::Duration};
 
 use notchwalk_core::{Clock, LogEvent, LogEventKind};
 
-/// The shortest suspension that counts as one: the two clocks are not read at the
-/// same moment. Nothing is given up sooner than that.
-const LEAST_SUSPENSION: Duration = Duration::from_millis(200);
+/// The shortest suspension that is detected; the two clocks are not read at the same
+/// instant.
+const MIN_SUSPENSION: Duration = Duration::from_millis(200);
 
-/// Looks at how long the machine has been suspended in all.
+/// Detects suspensions of the machine by its total suspended time.
 #[derive(Debug)]
 pub struct SuspensionWatch {
-    /// As it was when it was last looked at.
+    /// The total suspended time at the last check.
     suspended: Cell<Duration>,
     resumes: Cell<u64>,
 }
 
 impl SuspensionWatch {
-    /// Starts to look at a clock's machine.
+    /// Starts watching the machine of `clock`.
     pub fn new(clock: &Clock) -> Self {
         Self {
             suspended: Cell::new(clock.suspended()),
@@ -25,21 +25,22 @@
         }
     }
 
-    /// Returns how often the machine was suspended and resumed so far.
+    /// Returns how often the machine resumed from a suspension so far.
     pub fn resumes(&self) -> u64 {
         self.resumes.get()
     }
 
-    /// Tells whether the machine was suspended since the last look, and logs it. Whoever
-    /// keeps connections closes them then: the other ends gave them up unheard.
+    /// Returns whether the machine was suspended since the last call, and logs it. Idle
+    /// connections should then be closed: the other ends may have closed them
+    /// unnoticed.
     pub fn notice(&self, clock: &Clock) -> bool {
         let suspended = clock.suspended();
-        let lately = suspended.saturating_sub(self.suspended.replace(suspended));
-        if lately < LEAST_SUSPENSION {
+        let elapsed = suspended.saturating_sub(self.suspended.replace(suspended));
+        if elapsed < MIN_SUSPENSION {
             return false;
         }
         self.resumes.set(self.resumes.get() + 1);
-        let facts = format!("suspended_ms={}", lately.as_millis());
+        let facts = format!("suspended_ms={}", elapsed.as_millis());
         LogEvent::new(LogEventKind::MachineResumed, facts).emit();
         true
     }
