--- a/crates/notchwalk_relay/src/answer.rs
+++ b/crates/notchwalk_relay/src/answer.rs
@@ -1,66 +1,66 @@
-//! What the head of a backend server's answer says.
+//! Decoded heads of backend servers' responses.
 
 use std::{net::SocketAddr, time::Duration};
 
 use notchwalk_route::RateLimit;
 
-/// What an answer is.
+/// How a backend response is to be treated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerWord {
-    /// The answer to the request.
+    /// The response to the request.
     Success,
-    /// An error of the server's own; the request counts as run.
+    /// The server's own error; the request counts as executed.
     Failure,
-    /// The server did not run the request.
+    /// The server did not execute the request.
     NotRun,
-    /// Another instance has the address; the request was not run.
+    /// The address now belongs to another instance; the request was not executed.
     Moved,
-    /// Bytes that belong to another request.
+    /// The response belongs to another request.
     Foreign,
-    /// Not an answer of the server: it lacks what every answer has.
+    /// Not a valid server response: mandatory headers are missing.
     Unusable,
 }
 
-/// The head of an answer, decoded.
+/// The decoded head of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AnswerFacts {
-    /// What it is.
+    /// How it is to be treated.
     pub word: AnswerWord,
-    /// The server that is to blame, where it is another one.
+    /// The server at fault, if it is not the responding one.
     pub at_fault: Option<SocketAddr>,
-    /// The id of the server that answers, where it says it.
+    /// The instance id of the responding server, if the response names it.
     pub instance: Option<String>,
-    /// Whether the server says that it leaves.
+    /// Whether the server announces that it is draining.
     pub leaving: bool,
-    /// For how long the server wants no requests.
+    /// How long the server asks not to be sent requests.
     pub wants_nothing_for: ComeBack,
-    /// How many requests a second the server takes.
+    /// The request rate that the server announces as its limit.
     pub limit: SaidLimit,
 }
 
-/// For how long a server that turned a request away wants no others.
+/// The back-off time in a response that rejects a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ComeBack {
-    /// It doesn't say.
+    /// The header is absent.
     NotSaid,
-    /// For so long.
+    /// The server asks to back off for this long.
     After(Duration),
-    /// What it says is no such time.
+    /// The header does not hold a valid duration.
     Faulty(String),
 }
 
-/// How many requests a second a server takes from all entries together.
+/// The request rate that a server accepts from all nodes together.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SaidLimit {
-    /// It names none.
+    /// The header is absent.
     NotSaid,
-    /// So many.
+    /// The announced rate.
     Rate(RateLimit),
-    /// What it says is no such rate, or several of them.
+    /// The header is not a valid rate or holds several values.
     Faulty {
-        /// What is wrong with it.
+        /// Why it is invalid.
         reason: String,
-        /// What is taken in its place; `None` changes nothing that is known.
+        /// The rate applied instead; `None` leaves the known limit unchanged.
         taken: Option<RateLimit>,
     },
 }
--- a/crates/notchwalk_relay/src/dialect.rs
+++ b/crates/notchwalk_relay/src/dialect.rs
@@ -1,4 +1,4 @@
-//! How callers, backend servers and the platform's rows spell things.
+//! Translation of the formats of callers, backend servers and the platform's rows.
 
 use std::time::Duration;
 
@@ -9,62 +9,62 @@
 
 use crate::AnswerFacts;
 
-/// What the head of a caller's request says.
+/// The decoded head of a caller's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallerFacts {
-    /// The request's id, exactly as it came.
+    /// The request id, byte for byte as received.
     pub id: HeaderValue,
-    /// How long the caller waits, if it says.
+    /// The caller's timeout, if given.
     pub patience: Option<Duration>,
-    /// The key it shows.
+    /// The API key, if given.
     pub key: Option<String>,
-    /// Tokens of its prompt; 0 if it says none.
+    /// Number of prompt tokens; 0 if not given.
     pub prompt_tokens: u32,
-    /// Tokens of the answer at most; 0 if it says none.
+    /// Maximum number of response tokens; 0 if not given.
     pub max_answer_tokens: u32,
-    /// Tokens of the answer, as the caller guesses.
+    /// Number of response tokens that the caller estimates.
     pub guessed_answer_tokens: Option<u32>,
-    /// The last event it has of a stream that broke off.
+    /// The last event received of an interrupted stream.
     pub last_event: Option<u64>,
 }
 
-/// What the head of a request to a backend server is made of.
+/// The inputs for the head of a request to a backend server.
 #[derive(Clone, Debug)]
 pub struct BackendRequest<'a> {
     /// The caller's headers.
     pub caller: &'a HeaderMap,
-    /// Where it goes and how.
+    /// The server and how to send to it.
     pub assignment: &'a Assignment,
-    /// The workspace of the caller's key.
+    /// The workspace of the API key.
     pub workspace: Option<&'a str>,
-    /// How long the caller still waits.
+    /// The remaining time of the caller's timeout.
     pub patience: Duration,
     /// The last event that the caller has.
     pub last_event: Option<u64>,
 }
 
-/// What callers that ask where to go are told.
+/// The response to a directory query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DirectoryAnswer {
-    /// Addresses for requests.
+    /// Addresses that accept requests.
     pub addresses: Vec<std::net::SocketAddr>,
-    /// How long the answer may be kept.
+    /// How long callers may cache the response.
     pub ttl: Duration,
 }
 
-/// A published way of speaking. Implementations only translate.
+/// A wire format of callers, servers and rows. Implementations only translate.
 pub trait Dialect {
-    /// Reads the head of a caller's request.
+    /// Decodes the head of a caller's request.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with it.
+    /// Returns why it is invalid.
     fn caller_request(&self, headers: &HeaderMap) -> Result<CallerFacts, &'static str>;
 
-    /// Writes the head of a request to a backend server.
+    /// Encodes the head of a request to a backend server.
     fn backend_request(&self, req: &BackendRequest<'_>) -> HeaderMap;
 
-    /// Reads the head of a backend server's answer to the request `id`.
+    /// Decodes the head of a backend server's response to the request `id`.
     fn backend_answer(
         &self,
         id: &HeaderValue,
@@ -72,39 +72,39 @@
         headers: &HeaderMap,
     ) -> AnswerFacts;
 
-    /// Returns the header that tells a caller when to come back, and its value.
+    /// Returns the name and value of the header that asks a caller to retry later.
     fn retry_after(&self, after: Duration) -> (HeaderName, HeaderValue);
 
-    /// Tells whether a request asks whether this entry is ready.
+    /// Returns whether a path is that of the readiness check.
     fn asks_readiness(&self, path: &str) -> bool;
 
-    /// Reads the failure domain out of a caller's question where to go; `None`
-    /// if it is another question.
+    /// Returns the failure domain named by a directory query; `None` if the URI is not
+    /// one.
     fn directory_question(&self, uri: &Uri) -> Option<String>;
 
-    /// Writes the answer to the question where to go.
+    /// Encodes the response to a directory query.
     fn directory_answer(&self, answer: &DirectoryAnswer) -> Bytes;
 
-    /// Writes the path and the body of an order for memory.
+    /// Encodes the path and the body of a reservation order.
     fn reservation_order(&self, order: &ReservationOrder) -> (&'static str, Bytes);
 
-    /// Names the table and the key of the operator's configuration.
+    /// Returns the table and the key of the operator's configuration.
     fn config_row(&self) -> (&'static str, &'static str);
 
-    /// Reads the operator's configuration.
+    /// Decodes the operator's configuration.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with it.
+    /// Returns why it is invalid.
     fn config(&self, value: &[u8]) -> Result<SiteConfig, String>;
 
-    /// Names the table of backend servers.
+    /// Returns the name of the table of backend servers.
     fn server_table(&self) -> &'static str;
 
-    /// Reads the record of a backend server.
+    /// Decodes the registration of a backend server.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with it.
+    /// Returns why it is invalid.
     fn server(&self, row: &Row) -> Result<ServerRecord, String>;
 }
--- a/crates/notchwalk_relay/src/directory.rs
+++ b/crates/notchwalk_relay/src/directory.rs
@@ -1,5 +1,4 @@
-//! Tells callers which entries to use, and the platform whether this one is
-//! ready.
+//! Serves the directory of nodes to callers and the readiness check to the platform.
 
 use std::rc::Rc;
 
@@ -8,10 +7,10 @@
 
 use crate::{shell::Shell, DirectoryAnswer};
 
-/// Addresses in one answer at most, as callers take them.
+/// Maximum number of addresses in one response.
 const MAX_ADDRESSES: usize = 64;
 
-/// Answers questions about this entry and its peers.
+/// Serves directory queries and readiness checks.
 pub(crate) struct Directory {
     shell: Rc<Shell>,
 }
@@ -32,7 +31,7 @@
         addresses
     }
 
-    async fn answer(&self, exchange: &mut Exchange) {
+    async fn respond_to_query(&self, exchange: &mut Exchange) {
         let addresses = self.addresses();
         if addresses.is_empty() {
             exchange
@@ -40,11 +39,11 @@
                 .await;
             return;
         }
-        let answer = DirectoryAnswer {
+        let response = DirectoryAnswer {
             addresses,
             ttl: self.shell.settings.directory_ttl,
         };
-        let body = self.shell.dialect.directory_answer(&answer);
+        let body = self.shell.dialect.directory_answer(&response);
         let mut headers = HeaderMap::new();
         let json = HeaderValue::from_static("application/json");
         headers.insert(header::CONTENT_TYPE, json);
@@ -68,7 +67,7 @@
                 .directory_question(&exchange.head.uri)
                 .is_some()
             {
-                return self.answer(exchange).await;
+                return self.respond_to_query(exchange).await;
             }
             exchange
                 .respond_text(StatusCode::NOT_FOUND, "no such question\n")
--- a/crates/notchwalk_relay/src/prelude.rs
+++ b/crates/notchwalk_relay/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The names that users of this crate nearly always need.
+//! Commonly used names of this crate.
 
 pub use crate::{
     run, AnswerFacts, AnswerWord, BackendRequest, CallerFacts, ComeBack, Dialect, DirectoryAnswer,
--- a/crates/notchwalk_relay/src/settings.rs
+++ b/crates/notchwalk_relay/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of one process.
+//! Settings of the process.
 
 use std::{net::SocketAddr, path::Path, time::Duration};
 
@@ -6,36 +6,36 @@
 use notchwalk_core::Findings;
 use notchwalk_daemon::{settings, DaemonError};
 
-/// Everything a process is told before it starts.
+/// The settings of one process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RelaySettings {
-    /// The VM's name.
+    /// The name of the VM.
     pub name: String,
-    /// Its failure domain.
+    /// The failure domain of the VM.
     pub failure_domain: String,
-    /// Where callers send requests.
+    /// Listening address for callers' requests.
     pub caller: SocketAddr,
-    /// Where readiness is asked for.
+    /// Listening address for readiness checks.
     pub ready: SocketAddr,
-    /// Where callers ask where to go.
+    /// Listening address for directory queries.
     pub directory: SocketAddr,
-    /// Where peers reach this entry.
+    /// Listening address for messages from peers.
     pub peer: SocketAddr,
-    /// Where metrics and the state dump are served.
+    /// Listening address for metrics and the state dump.
     pub operator: SocketAddr,
-    /// The platform's store.
+    /// The address of the platform's store.
     pub store: SocketAddr,
-    /// How long callers may keep the directory's answer.
+    /// How long callers may cache the directory's response.
     pub directory_ttl: Duration,
-    /// Repeated sends allowed for each request of a service.
+    /// Retries allowed per request of a service.
     pub retry_ratio: f64,
-    /// Repeated sends allowed besides, over all entries.
+    /// Retries allowed in addition, across all nodes.
     pub retry_slack: f64,
-    /// The window over which both are counted.
+    /// The window over which retries are counted.
     pub retry_window: Duration,
-    /// Time from the order to stop until the process is killed.
+    /// Time from the stop signal until the process is killed.
     pub stop_grace: Duration,
-    /// Descriptors the process may have open.
+    /// Maximum number of open file descriptors.
     pub max_descriptors: usize,
 }
 
@@ -49,7 +49,7 @@
         settings::load(path, read)
     }
 
-    /// Parses the text of a settings file; `name` stands in the findings.
+    /// Parses the text of a settings file; findings refer to it as `name`.
     ///
     /// # Errors
     ///
--- a/crates/notchwalk_relay/src/stream_events.rs
+++ b/crates/notchwalk_relay/src/stream_events.rs
@@ -1,14 +1,14 @@
-//! Cuts a stream of server-sent events at the ends of events, so that only
-//! whole events are delivered and a stream can be resumed after the last one.
+//! Splits a stream of server-sent events at event boundaries, so that only complete
+//! events are delivered and a stream can be resumed after the last one.
 
 use bytes::{Bytes, BytesMut};
 use memchr::memmem;
 
-/// Bytes kept of an event that is not whole; more are passed on as they come,
-/// so that memory stays bounded.
+/// Maximum buffered bytes of an incomplete event; larger ones are passed through as
+/// they arrive, to bound memory.
 const MAX_EVENT_BYTES: usize = 256 * 1024;
 
-/// Collects bytes and gives out whole events.
+/// Buffers bytes and returns complete events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buf: BytesMut,
@@ -17,8 +17,8 @@
 }
 
 impl EventSplitter {
-    /// Takes bytes of the stream; returns the whole events that are complete
-    /// now, empty if there are none.
+    /// Appends bytes of the stream; returns the events that are now complete, empty if
+    /// there are none.
     pub fn push(&mut self, bytes: &[u8]) -> Bytes {
         self.buf.extend_from_slice(bytes);
         let Some(end) = end_of_last_event(&self.buf) else {
@@ -35,23 +35,22 @@
         events
     }
 
-    /// Returns the id of the last whole event.
+    /// Returns the id of the last complete event.
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Tells whether a stream that breaks off now can be resumed without a gap
-    /// or a repeat.
+    /// Returns whether an interrupted stream can be resumed without gaps or duplicates.
     pub fn is_resumable(&self) -> bool {
         !self.oversized
     }
 
-    /// Drops the beginning of an event whose rest will not come.
+    /// Drops an incomplete event whose rest will not arrive.
     pub fn drop_partial(&mut self) {
         self.buf.clear();
     }
 
-    /// Takes what follows after the last whole event.
+    /// Takes the bytes after the last complete event.
     pub fn take_rest(&mut self) -> Bytes {
         self.buf.split().freeze()
     }
