--- a/crates/notchwalk_daemon/src/backoff.rs
+++ b/crates/notchwalk_daemon/src/backoff.rs
@@ -1,41 +1,41 @@
-//! Pauses between tries.
+//! Retry delays.
 
 use std::time::Duration;
 
 use rand::Rng;
 
-/// The longest pause between two tries.
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
+/// The longest delay between two attempts, before jitter.
+const MAX_DELAY: Duration = Duration::from_millis(800);
 
-/// Pauses that grow, with jitter, so that entries don't retry in step.
+/// Exponentially growing retry delays with jitter, so that daemons don't retry in
+/// lockstep.
 pub struct Backoff {
     first: Duration,
     next: Duration,
 }
 
 impl Backoff {
-    /// Starts with pauses around `first`.
+    /// Starts with delays around `first`.
     pub fn new(first: Duration) -> Self {
         Self { first, next: first }
     }
 
-    /// Starts over.
+    /// Resets the delay to the first one.
     pub fn reset(&mut self) {
         self.next = self.first;
     }
 
-    /// Pauses.
-    pub async fn pause(&mut self) {
-        self.pause_after(Duration::ZERO).await;
+    /// Waits for the next delay.
+    pub async fn wait(&mut self) {
+        self.wait_since_start_of(Duration::ZERO).await;
     }
 
-    /// Pauses after a call that took so long: the pause is counted from the
-    /// call's start, so that one which was not answered in time is not followed
-    /// by as long a pause in which the store's return goes unnoticed.
-    pub async fn pause_after(&mut self, call: Duration) {
+    /// Waits for the next delay, counted from the start of a call that took `call`: a
+    /// call that timed out has already used up the delay.
+    pub async fn wait_since_start_of(&mut self, call: Duration) {
         let jitter = rand::rng().random_range(0.5..1.5);
-        let pause = self.next.mul_f64(jitter);
-        self.next = (self.next * 2).min(LONGEST_PAUSE);
-        monoio::time::sleep(pause.saturating_sub(call)).await;
+        let delay = self.next.mul_f64(jitter);
+        self.next = (self.next * 2).min(MAX_DELAY);
+        monoio::time::sleep(delay.saturating_sub(call)).await;
     }
 }
--- a/crates/notchwalk_daemon/src/wake.rs
+++ b/crates/notchwalk_daemon/src/wake.rs
@@ -1,28 +1,28 @@
-//! One task wakes another of the same thread.
+//! Notification between tasks of one thread.
 
 use std::{cell::Cell, task::Poll};
 
 use futures_util::task::AtomicWaker;
 
-/// Wakes one waiting task; several raises before it runs count as one.
+/// Wakes one waiting task; notifications before it runs are merged.
 #[derive(Default)]
 pub struct Wake {
-    raised: Cell<bool>,
+    notified: Cell<bool>,
     waker: AtomicWaker,
 }
 
 impl Wake {
-    /// Wakes the task that waits, or the next one that does.
-    pub fn raise(&self) {
-        self.raised.set(true);
+    /// Wakes the waiting task, or the next one that waits.
+    pub fn notify(&self) {
+        self.notified.set(true);
         self.waker.wake();
     }
 
-    /// Waits until it is raised.
+    /// Waits for a notification.
     pub async fn wait(&self) {
         std::future::poll_fn(|cx| {
             self.waker.register(cx.waker());
-            match self.raised.replace(false) {
+            match self.notified.replace(false) {
                 true => Poll::Ready(()),
                 false => Poll::Pending,
             }
--- a/crates/notchwalk_daemon/tests/parts.rs
+++ b/crates/notchwalk_daemon/tests/parts.rs
@@ -1,4 +1,4 @@
-//! The parts that any daemon has, without sockets where there is a decision.
+//! Tests of the components that all daemons share.
 
 use std::{
     cell::Cell,
@@ -10,7 +10,7 @@
 use notchwalk_core::{Clock, TimeSource};
 use notchwalk_daemon::{bind, settings, MetricSet, SuspensionWatch};
 
-/// The clocks of a machine that is suspended by hand.
+/// The clocks of a simulated machine.
 #[derive(Clone, Default)]
 struct Machine {
     running: Arc<Mutex<Duration>>,
@@ -38,17 +38,14 @@
 }
 
 #[test]
-fn a_suspension_is_noticed_once() {
+fn suspension_is_reported_once() {
     let machine = Machine::default();
     let clock = Clock::with_source(Arc::new(machine.clone()));
     let watch = SuspensionWatch::new(&clock);
     machine.run(Duration::from_secs(60));
-    assert!(!watch.notice(&clock), "time passes");
+    assert!(!watch.notice(&clock), "no suspension");
     machine.suspend(Duration::from_millis(100));
-    assert!(
-        !watch.notice(&clock),
-        "too short to tell from two clocks read apart"
-    );
+    assert!(!watch.notice(&clock), "below the detection threshold");
     machine.suspend(Duration::from_secs(5));
     assert!(watch.notice(&clock));
     assert!(!watch.notice(&clock));
@@ -56,17 +53,17 @@
 }
 
 #[test]
-fn a_chosen_port_is_written_back_and_a_taken_one_refused() {
+fn assigned_port_is_returned_and_bound_port_is_rejected() {
     let mut addr: SocketAddr = "127.0.0.1:0".parse().expect("an address");
     let listener = bind(&mut addr).expect("a free port");
-    assert_eq!(listener.local_addr().expect("it is bound"), addr);
+    assert_eq!(listener.local_addr().expect("a bound socket"), addr);
     let mut taken = addr;
     let refused = bind(&mut taken).expect_err("the port is taken");
     assert!(refused.to_string().contains(&addr.to_string()), "{refused}");
 }
 
 #[test]
-fn all_findings_of_a_settings_file_are_told_with_their_places() {
+fn all_findings_of_a_settings_file_are_reported() {
     let read = |ini: &notchwalk_bundle::IniFile| {
         let section = ini.section("daemon");
         let port = section.required::<u16>("port");
@@ -85,13 +82,13 @@
 }
 
 #[test]
-fn parts_register_what_they_add() {
+fn registered_metrics_are_rendered() {
     let set = MetricSet::new();
     set.counter("a_total", "counted").inc();
     set.counters("b_total", "by kind", &["kind"])
         .with_label_values(&["x"])
         .inc_by(2);
-    set.fraction("c", "a share").set(0.5);
+    set.fraction("c", "a fraction").set(0.5);
     let text = set.text();
     for line in ["a_total 1", "b_total{kind=\"x\"} 2", "c 0.5"] {
         assert!(text.contains(line), "{line}: {text}");
@@ -100,17 +97,17 @@
 
 #[test]
 #[should_panic(expected = "registered once")]
-fn a_name_that_stands_twice_is_a_bug() {
+fn duplicate_metric_name_panics() {
     let set = MetricSet::new();
     set.gauge("a", "first");
     set.gauge("a", "second");
 }
 
 #[test]
-fn a_raise_before_the_wait_is_not_lost() {
+fn notification_before_wait_is_not_lost() {
     let wake = notchwalk_daemon::Wake::default();
     let waited = Cell::new(false);
-    wake.raise();
+    wake.notify();
     let run = async {
         wake.wait().await;
         waited.set(true);
--- a/crates/notchwalk_relay/src/served.rs
+++ b/crates/notchwalk_relay/src/active_request.rs
@@ -1,4 +1,4 @@
-//! A request while it is served.
+//! A request in progress.
 
 use std::rc::Rc;
 
@@ -9,30 +9,28 @@
 
 use crate::CallerFacts;
 
-/// See the module's page.
-pub(crate) struct Served {
-    /// Its key in the router.
+pub(crate) struct ActiveRequest {
+    /// The request's key in the router.
     pub key: RequestKey,
-    /// What its head says.
+    /// The decoded request head.
     pub caller: CallerFacts,
-    /// Identifies its content, alike for all its tries.
+    /// Fingerprint of the content, equal for all attempts of the caller.
     pub content: Fingerprint,
-    /// The workspace of its key.
+    /// The workspace of the API key.
     pub workspace: Option<Rc<str>>,
-    /// Its route's name, for logs and metrics.
+    /// The name of the route.
     pub route: Rc<str>,
-    /// When its first byte came.
+    /// When the first byte arrived.
     pub arrived: Instant,
-    /// When nobody waits any more.
+    /// When the caller or the route stops waiting.
     pub deadline: Instant,
-    /// Its body.
     pub body: Bytes,
-    /// Whether its answer is a stream.
+    /// Whether the response is a stream.
     pub streaming: bool,
 }
 
-impl Served {
-    /// Returns the request's id as text, for logs.
+impl ActiveRequest {
+    /// Returns the request id as text, for logs.
     pub fn id(&self) -> &str {
         self.caller.id.to_str().unwrap_or("unreadable")
     }
--- a/crates/notchwalk_relay/src/attempt.rs
+++ b/crates/notchwalk_relay/src/attempt.rs
@@ -1,4 +1,4 @@
-//! Sends a request to one backend server and passes its answer on.
+//! Sends a request to one backend server and relays the response.
 
 use std::{rc::Rc, time::Duration};
 
@@ -9,94 +9,94 @@
 use notchwalk_route::{Assignment, AttemptEnd, Event};
 
 use crate::{
-    served::Served,
-    server_words::{self, Asked},
+    active_request::ActiveRequest,
+    server_words::{self, ResponseOrigin},
     shell::Shell,
     stream_events::EventSplitter,
     AnswerWord, BackendRequest,
 };
 
-/// The largest answer that is read whole before it is passed on, in bytes.
-const MAX_WHOLE_ANSWER_BYTES: usize = 1 << 20;
-/// Answers to other requests that are passed over on one connection.
-const MAX_FOREIGN_ANSWERS: usize = 3;
-/// How long an answer is waited for after the request could not be written: a
-/// server may have answered before it read the body.
-const EARLY_ANSWER_WAIT: Duration = Duration::from_millis(50);
+/// The largest response that is buffered before it is relayed, in bytes.
+const MAX_BUFFERED_RESPONSE_BYTES: usize = 1 << 20;
+/// Responses to other requests that are skipped on one connection.
+const MAX_SKIPPED_RESPONSES: usize = 3;
+/// How long to wait for a response after writing the request failed: a server may
+/// respond before it has read the body.
+const EARLY_RESPONSE_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// How an attempt ended.
-pub(crate) enum Attempted {
-    /// Without a whole answer; the router decides what follows.
+pub(crate) enum AttemptOutcome {
+    /// No complete response was delivered; the router decides what follows.
     Ended(AttemptEnd),
-    /// The caller has the whole answer.
+    /// The caller has the complete response.
     Delivered(AttemptEnd),
-    /// The caller left.
-    CallerLeft,
-    /// The request's time is over.
+    /// The caller disconnected.
+    CallerDisconnected,
+    /// The request's deadline passed.
     TimedOut,
 }
 
-/// A server's own error, kept until it is known that no other server serves
-/// the request.
-pub(crate) struct KeptFailure {
+/// A server's own error, retained until it is certain that no other server serves the
+/// request.
+pub(crate) struct RetainedError {
     pub status: StatusCode,
     pub headers: HeaderMap,
     pub body: Bytes,
 }
 
-/// What the caller has of the answer.
+/// What has been delivered of a response.
 pub(crate) struct Delivery {
-    /// Whether the answer's head was sent.
+    /// Whether the response head was sent.
     pub head_sent: bool,
-    /// When the first event or the whole answer was sent.
+    /// When the first event or the complete response was sent.
     pub first_at: Option<Instant>,
-    /// When something was sent last.
+    /// When data was last sent.
     pub last_at: Option<Instant>,
-    /// The longest pause between two events.
-    pub longest_pause: Duration,
-    /// Times that events were passed on.
-    pub passes: u32,
-    /// Time from arrival to the first event, as predicted at the first send.
+    /// The longest time between two writes of events.
+    pub max_event_gap: Duration,
+    /// Number of writes of events.
+    pub event_writes: u32,
+    /// Time from arrival to the first event, as predicted at the first attempt.
     pub predicted_first: Option<Duration>,
-    /// Sends to servers.
+    /// Number of attempts.
     pub sends: u32,
-    /// An error of a server's own.
-    pub failure: Option<KeptFailure>,
-    /// Cuts the stream at the ends of events.
+    /// The last error that a server returned.
+    pub server_error: Option<RetainedError>,
+    /// Splits the stream at event boundaries.
     pub splitter: EventSplitter,
-    /// The last event that the caller has.
+    /// The id of the last event that the caller has.
     pub last_event: Option<u64>,
 }
 
 impl Delivery {
-    /// Starts an answer; `last_event` is what the caller has from before.
+    /// Starts a delivery; `last_event` is the last event that the caller has from an
+    /// earlier request.
     pub fn new(last_event: Option<u64>) -> Self {
         Self {
             head_sent: false,
             first_at: None,
             last_at: None,
-            longest_pause: Duration::ZERO,
-            passes: 0,
+            max_event_gap: Duration::ZERO,
+            event_writes: 0,
             predicted_first: None,
             sends: 0,
-            failure: None,
+            server_error: None,
             splitter: EventSplitter::default(),
             last_event,
         }
     }
 
-    fn note_sent(&mut self, now: Instant) {
+    fn record_write(&mut self, now: Instant) {
         self.first_at.get_or_insert(now);
-        self.passes += 1;
+        self.event_writes += 1;
         if let Some(last) = self.last_at {
-            self.longest_pause = self.longest_pause.max(now.since(last));
+            self.max_event_gap = self.max_event_gap.max(now.since(last));
         }
         self.last_at = Some(now);
     }
 }
 
-/// Returns a word for logs and metrics.
-pub(crate) fn end_word(end: AttemptEnd) -> &'static str {
+/// Returns the label of an attempt's end in logs and metrics.
+pub(crate) fn end_label(end: AttemptEnd) -> &'static str {
     match end {
         AttemptEnd::Delivered { .. } => "delivered",
         AttemptEnd::NotConnected => "not_connected",
@@ -110,122 +110,118 @@
     }
 }
 
-/// What an attempt waits for beside its server.
+/// Result of waiting for a server.
 enum Awaited<T> {
     Done(T),
-    CallerLeft,
+    CallerDisconnected,
     TimedOut,
     Silent,
 }
 
-/// Waits for as long as a server may be silent; for ever without a bound. Time in
-/// which the machine was suspended doesn't count: nothing could be heard then.
-async fn silent_for(silence: Option<Duration>) {
-    match silence {
-        Some(silence) => monoio::time::sleep(silence).await,
+/// Waits for the idle timeout of a server, forever without one. Time during which the
+/// machine was suspended does not count: nothing could be received then.
+async fn wait_idle_timeout(idle_timeout: Option<Duration>) {
+    match idle_timeout {
+        Some(idle_timeout) => monoio::time::sleep(idle_timeout).await,
         None => std::future::pending().await,
     }
 }
 
-/// Waits for `future`, for the caller to leave, for the request's deadline and
-/// for a silence of the server that is too long. The silence ends the wait only
-/// if another server could be tried.
+/// Waits for `future`, for the caller to disconnect, for the request's deadline and for
+/// the server's idle timeout. The idle timeout ends the wait only if another server
+/// could be tried.
 async fn await_server<T>(
     shell: &Shell,
     exchange: &mut Exchange,
-    served: &Served,
-    silence: Option<Duration>,
+    req: &ActiveRequest,
+    idle_timeout: Option<Duration>,
     future: impl std::future::Future<Output = T>,
 ) -> Awaited<T> {
     let mut future = std::pin::pin!(future);
-    let mut silence = silence;
+    let mut idle_timeout = idle_timeout;
     loop {
         monoio::select! {
             done = &mut future => return Awaited::Done(done),
-            () = exchange.peer_closed() => return Awaited::CallerLeft,
-            () = shell.sleep_until(served.deadline) => return Awaited::TimedOut,
-            () = silent_for(silence) => {}
+            () = exchange.peer_closed() => return Awaited::CallerDisconnected,
+            () = shell.sleep_until(req.deadline) => return Awaited::TimedOut,
+            () = wait_idle_timeout(idle_timeout) => {}
         }
-        if shell
-            .router
-            .borrow()
-            .may_try_another(served.key, shell.now())
-        {
+        if shell.router.borrow().may_try_another(req.key, shell.now()) {
             return Awaited::Silent;
         }
-        silence = None;
+        idle_timeout = None;
     }
 }
 
-/// Sends the request and passes the answer on.
+/// Sends the request and relays the response.
 pub(crate) async fn run(
     shell: &Rc<Shell>,
     exchange: &mut Exchange,
-    served: &Served,
+    req: &ActiveRequest,
     delivery: &mut Delivery,
     to: &Assignment,
-) -> Attempted {
+) -> AttemptOutcome {
     delivery.sends += 1;
-    let waited = shell.now().since(served.arrived);
+    let waited = shell.now().since(req.arrived);
     delivery
         .predicted_first
         .get_or_insert(waited + to.predicted_first);
-    let request = send_and_read_head(shell, served, delivery.last_event, to, exchange);
+    let request = send_and_read_head(shell, req, delivery.last_event, to, exchange);
     let request = request.await;
-    let answer = match request {
-        Awaited::Done(Ok(Some(answer))) => answer,
-        Awaited::Done(Ok(None)) => return Attempted::Ended(AttemptEnd::NotSent),
+    let response = match request {
+        Awaited::Done(Ok(Some(response))) => response,
+        Awaited::Done(Ok(None)) => return AttemptOutcome::Ended(AttemptEnd::NotSent),
         Awaited::Done(Err(e)) if e.nothing_sent() => {
-            return Attempted::Ended(AttemptEnd::NotConnected);
+            return AttemptOutcome::Ended(AttemptEnd::NotConnected);
         }
-        Awaited::Done(Err(_)) => return Attempted::Ended(AttemptEnd::Broken),
-        Awaited::Silent => return Attempted::Ended(AttemptEnd::Silent),
-        Awaited::CallerLeft => return Attempted::CallerLeft,
-        Awaited::TimedOut => return Attempted::TimedOut,
+        Awaited::Done(Err(_)) => return AttemptOutcome::Ended(AttemptEnd::Broken),
+        Awaited::Silent => return AttemptOutcome::Ended(AttemptEnd::Silent),
+        Awaited::CallerDisconnected => return AttemptOutcome::CallerDisconnected,
+        Awaited::TimedOut => return AttemptOutcome::TimedOut,
     };
     let facts = shell
         .dialect
-        .backend_answer(&served.caller.id, answer.status, &answer.headers);
+        .backend_answer(&req.caller.id, response.status, &response.headers);
     let not_run = |moved| AttemptEnd::NotRun {
         at_fault: facts.at_fault,
         moved,
     };
     match facts.word {
-        AnswerWord::Unusable | AnswerWord::Foreign => Attempted::Ended(AttemptEnd::Unusable),
+        AnswerWord::Unusable | AnswerWord::Foreign => AttemptOutcome::Ended(AttemptEnd::Unusable),
         AnswerWord::NotRun => {
-            discard(answer).await;
-            Attempted::Ended(not_run(false))
+            discard_body(response).await;
+            AttemptOutcome::Ended(not_run(false))
         }
-        AnswerWord::Moved => Attempted::Ended(not_run(true)),
-        AnswerWord::Success if served.streaming => {
-            pass_stream(shell, exchange, served, delivery, to, answer).await
+        AnswerWord::Moved => AttemptOutcome::Ended(not_run(true)),
+        AnswerWord::Success if req.streaming => {
+            relay_stream(shell, exchange, req, delivery, to, response).await
         }
         AnswerWord::Success | AnswerWord::Failure => {
-            pass_whole(shell, exchange, served, delivery, answer, facts.word).await
+            relay_buffered(shell, exchange, req, delivery, response, facts.word).await
         }
     }
 }
 
-/// Reads a short answer to its end, so that the connection can be used again.
-async fn discard(answer: StreamedResponse) {
-    const WAIT: Duration = Duration::from_millis(20);
-    // If the rest does not come at once, the connection is closed instead.
-    let _ = monoio::time::timeout(WAIT, answer.whole(MAX_WHOLE_ANSWER_BYTES)).await;
+/// Reads a short response to its end, so that the connection can be reused.
+async fn discard_body(response: StreamedResponse) {
+    const TIMEOUT: Duration = Duration::from_millis(20);
+    // If the rest does not arrive in time, the connection is closed instead.
+    let _ = monoio::time::timeout(TIMEOUT, response.whole(MAX_BUFFERED_RESPONSE_BYTES)).await;
 }
 
-/// Tells whether a server still wants the request that is about to be written: while
-/// its connection came up, another answer may have said otherwise.
-fn is_still_wanted(shell: &Shell, to: &Assignment) -> bool {
+/// Returns whether a server still accepts the request that is about to be written:
+/// another response may have changed that while the connection was being established.
+fn still_accepts_requests(shell: &Shell, to: &Assignment) -> bool {
     let router = shell.router.borrow();
     let server = router.fleet().get(to.server);
     server.is_some_and(|server| server.wants_work(shell.now()))
 }
 
-/// Sends a request and reads the head of its answer; `None` if the server no longer
-/// wants it and nothing was sent.
+/// Sends a request and reads the response head; `None` if the server no longer accepts
+/// requests and nothing was sent.
 async fn send_and_read_head(
     shell: &Rc<Shell>,
-    served: &Served,
+    req: &ActiveRequest,
     last_event: Option<u64>,
     to: &Assignment,
     exchange: &mut Exchange,
@@ -233,72 +229,71 @@
     let head = exchange.head.clone();
     let send = async {
         let mut conn = shell.client.connection(to.addr, Reuse::Pooled).await?;
-        if !is_still_wanted(shell, to) {
+        if !still_accepts_requests(shell, to) {
             return Ok(None);
         }
         let headers = shell.dialect.backend_request(&BackendRequest {
             caller: &head.headers,
             assignment: to,
-            workspace: served.workspace.as_deref(),
-            patience: served.deadline.since(shell.now()),
+            workspace: req.workspace.as_deref(),
+            patience: req.deadline.since(shell.now()),
             last_event,
         });
         let host = head.headers.get(header::HOST);
         let host = host.and_then(|host| host.to_str().ok()).unwrap_or("");
         let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
-        let length = Some(served.body.len());
+        let length = Some(req.body.len());
         let mut buf = request_head(&head.method, path, host, &headers, length);
-        buf.extend_from_slice(&served.body);
-        let asked = Asked {
+        buf.extend_from_slice(&req.body);
+        let origin = ResponseOrigin {
             server: Some(to.server),
             addr: to.addr,
-            at: shell.now(),
+            sent_at: shell.now(),
         };
         let written = conn.write_all(&buf).await;
         drop(buf);
-        let receive = receive_own(shell, served, &head.method, asked, conn);
+        let receive = receive_response(shell, req, &head.method, origin, conn);
         let Err(e) = written else {
             return receive.await.map(Some);
         };
-        match monoio::time::timeout(EARLY_ANSWER_WAIT, receive).await {
-            Ok(Ok(mut answer)) => {
-                answer.forbid_reuse();
-                Ok(Some(answer))
+        match monoio::time::timeout(EARLY_RESPONSE_TIMEOUT, receive).await {
+            Ok(Ok(mut response)) => {
+                response.forbid_reuse();
+                Ok(Some(response))
             }
             _ => Err(e.into()),
         }
     };
-    await_server(shell, exchange, served, to.first_silence, send).await
+    await_server(shell, exchange, req, to.first_silence, send).await
 }
 
-/// Reads the head of the answer to this request, passing over answers to
-/// others.
-async fn receive_own(
+/// Reads the response head of this request, skipping responses to others.
+async fn receive_response(
     shell: &Rc<Shell>,
-    served: &Served,
+    req: &ActiveRequest,
     method: &Method,
-    asked: Asked,
+    origin: ResponseOrigin,
     conn: notchwalk_http::Connection,
 ) -> Result<StreamedResponse, HttpError> {
     let client = &shell.client;
-    let mut answer = client
-        .receive(asked.addr, conn, method, Reuse::Pooled)
+    let mut response = client
+        .receive(origin.addr, conn, method, Reuse::Pooled)
         .await?;
-    for _ in 0..MAX_FOREIGN_ANSWERS {
-        let id = &served.caller.id;
+    for _ in 0..MAX_SKIPPED_RESPONSES {
+        let id = &req.caller.id;
         let facts = shell
             .dialect
-            .backend_answer(id, answer.status, &answer.headers);
-        server_words::hear(shell, asked, &facts);
+            .backend_answer(id, response.status, &response.headers);
+        server_words::apply_notices(shell, origin, &facts);
         if facts.word != AnswerWord::Foreign {
             break;
         }
-        answer = answer.next_response(method).await?;
+        response = response.next_response(method).await?;
     }
-    Ok(answer)
+    Ok(response)
 }
 
-/// Removes the headers that concern one connection only.
+/// Returns the headers without the hop-by-hop ones.
 fn end_to_end_headers(headers: &mut HeaderMap) -> HeaderMap {
     let mut headers = std::mem::take(headers);
     for name in [
@@ -314,109 +309,109 @@
     headers
 }
 
-async fn pass_whole(
+async fn relay_buffered(
     shell: &Rc<Shell>,
     exchange: &mut Exchange,
-    served: &Served,
+    req: &ActiveRequest,
     delivery: &mut Delivery,
-    mut answer: StreamedResponse,
+    mut response: StreamedResponse,
     word: AnswerWord,
-) -> Attempted {
-    let status = answer.status;
-    let headers = end_to_end_headers(&mut answer.headers);
-    let read = answer.whole(MAX_WHOLE_ANSWER_BYTES);
-    let body = match await_server(shell, exchange, served, None, read).await {
+) -> AttemptOutcome {
+    let status = response.status;
+    let headers = end_to_end_headers(&mut response.headers);
+    let read = response.whole(MAX_BUFFERED_RESPONSE_BYTES);
+    let body = match await_server(shell, exchange, req, None, read).await {
         Awaited::Done(Ok(whole)) => whole.body,
-        Awaited::Done(Err(_)) | Awaited::Silent => return Attempted::Ended(AttemptEnd::Broken),
-        Awaited::CallerLeft => return Attempted::CallerLeft,
-        Awaited::TimedOut => return Attempted::TimedOut,
+        Awaited::Done(Err(_)) | Awaited::Silent => {
+            return AttemptOutcome::Ended(AttemptEnd::Broken)
+        }
+        Awaited::CallerDisconnected => return AttemptOutcome::CallerDisconnected,
+        Awaited::TimedOut => return AttemptOutcome::TimedOut,
     };
     if word == AnswerWord::Failure && status.is_server_error() {
-        delivery.failure = Some(KeptFailure {
+        delivery.server_error = Some(RetainedError {
             status,
             headers,
             body,
         });
-        return Attempted::Ended(AttemptEnd::Failed);
+        return AttemptOutcome::Ended(AttemptEnd::Failed);
     }
     if delivery.head_sent {
-        // An answer of another kind can't follow events already delivered.
-        return Attempted::Ended(AttemptEnd::Unusable);
+        // A complete response can't follow events already delivered.
+        return AttemptOutcome::Ended(AttemptEnd::Unusable);
     }
     exchange.respond(status, headers, &body).await;
-    delivery.note_sent(shell.now());
-    Attempted::Delivered(AttemptEnd::Delivered {
+    delivery.record_write(shell.now());
+    AttemptOutcome::Delivered(AttemptEnd::Delivered {
         healthy: word == AnswerWord::Success,
     })
 }
 
-async fn pass_stream(
+async fn relay_stream(
     shell: &Rc<Shell>,
     exchange: &mut Exchange,
-    served: &Served,
+    req: &ActiveRequest,
     delivery: &mut Delivery,
     to: &Assignment,
-    mut answer: StreamedResponse,
-) -> Attempted {
-    let status = answer.status;
-    let headers = end_to_end_headers(&mut answer.headers);
-    let mut silence = to.first_silence;
+    mut response: StreamedResponse,
+) -> AttemptOutcome {
+    let status = response.status;
+    let headers = end_to_end_headers(&mut response.headers);
+    let mut idle_timeout = to.first_silence;
     let mut started = false;
     loop {
-        let next = answer.next();
-        let piece = match await_server(shell, exchange, served, silence, next).await {
-            Awaited::Done(Ok(piece)) => piece,
+        let next = response.next();
+        let chunk = match await_server(shell, exchange, req, idle_timeout, next).await {
+            Awaited::Done(Ok(chunk)) => chunk,
             Awaited::Done(Err(_)) => {
                 delivery.splitter.drop_partial();
-                return Attempted::Ended(AttemptEnd::Broken);
+                return AttemptOutcome::Ended(AttemptEnd::Broken);
             }
             Awaited::Silent => {
                 delivery.splitter.drop_partial();
-                return Attempted::Ended(AttemptEnd::Silent);
+                return AttemptOutcome::Ended(AttemptEnd::Silent);
             }
-            Awaited::CallerLeft => return Attempted::CallerLeft,
-            Awaited::TimedOut => return Attempted::TimedOut,
+            Awaited::CallerDisconnected => return AttemptOutcome::CallerDisconnected,
+            Awaited::TimedOut => return AttemptOutcome::TimedOut,
         };
-        let Some(piece) = piece else { break };
-        let mut events = delivery.splitter.push(&piece).to_vec();
-        while let Ok(Some(piece)) = answer.buffered() {
-            events.extend_from_slice(&delivery.splitter.push(&piece));
+        let Some(chunk) = chunk else { break };
+        let mut events = delivery.splitter.push(&chunk).to_vec();
+        while let Ok(Some(chunk)) = response.buffered() {
+            events.extend_from_slice(&delivery.splitter.push(&chunk));
         }
         if events.is_empty() {
             continue;
         }
         if !started {
             started = true;
-            silence = to.pause_silence;
-            shell.step(Event::Started {
-                request: served.key,
-            });
+            idle_timeout = to.pause_silence;
+            shell.step(Event::Started { request: req.key });
         }
-        if pass_events(exchange, delivery, status, &headers, &events)
+        if write_events(exchange, delivery, status, &headers, &events)
             .await
             .is_err()
         {
-            return Attempted::CallerLeft;
+            return AttemptOutcome::CallerDisconnected;
         }
         delivery.last_event = delivery.splitter.last_id().or(delivery.last_event);
-        delivery.note_sent(shell.now());
+        delivery.record_write(shell.now());
     }
     let rest = delivery.splitter.take_rest();
     if (!rest.is_empty() || !delivery.head_sent)
-        && pass_events(exchange, delivery, status, &headers, &rest)
+        && write_events(exchange, delivery, status, &headers, &rest)
             .await
             .is_err()
     {
-        return Attempted::CallerLeft;
+        return AttemptOutcome::CallerDisconnected;
     }
     if exchange.finish_stream().await.is_err() {
-        return Attempted::CallerLeft;
+        return AttemptOutcome::CallerDisconnected;
     }
-    answer.release();
-    Attempted::Delivered(AttemptEnd::Delivered { healthy: true })
+    response.release();
+    AttemptOutcome::Delivered(AttemptEnd::Delivered { healthy: true })
 }
 
-async fn pass_events(
+async fn write_events(
     exchange: &mut Exchange,
     delivery: &mut Delivery,
     status: StatusCode,
--- a/crates/notchwalk_relay/src/config_watch.rs
+++ b/crates/notchwalk_relay/src/config_watch.rs
@@ -1,4 +1,4 @@
-//! Brings the operator's configuration into force.
+//! Applies the operator's configuration.
 
 use std::rc::Rc;
 
@@ -11,28 +11,28 @@
 /// Reads the table that holds the configuration.
 pub(crate) struct ConfigReader {
     shell: Rc<Shell>,
-    /// The era of the store in which the configuration was last read.
-    era: u64,
+    /// The epoch of the store in which the configuration was last read.
+    epoch: u64,
 }
 
 impl ConfigReader {
     pub fn new(shell: Rc<Shell>) -> Self {
-        Self { shell, era: 0 }
+        Self { shell, epoch: 0 }
     }
 
-    fn take(&self, row: &Row) {
+    fn apply(&self, row: &Row) {
         let (_, key) = self.shell.dialect.config_row();
         let Some(value) = row.value.as_ref().filter(|_| row.key == key) else {
             return;
         };
         let site = match self.shell.dialect.config(value) {
             Ok(site) => site,
-            Err(reason) => return refused(row.version.rev, &reason),
+            Err(reason) => return log_refused(row.version.rev, &reason),
         };
         let in_force = self.shell.router.borrow().version();
         if site.version <= in_force {
             if site.version < in_force {
-                refused(site.version, "it is older than the one in force");
+                log_refused(site.version, "older than the version in force");
             }
             return;
         }
@@ -49,7 +49,7 @@
     }
 }
 
-fn refused(version: u64, reason: &str) {
+fn log_refused(version: u64, reason: &str) {
     let facts = format!("version={version} reason={reason:?}");
     LogEvent::new(LogEventKind::ConfigRefused, facts).emit();
 }
@@ -61,25 +61,25 @@
 
     fn is_behind(&self) -> bool {
         let in_force = self.shell.router.borrow().version();
-        let is_told = self.shell.peers.borrow().newest_config() > in_force;
-        is_told || self.shell.newest_era() > self.era
+        let peer_is_ahead = self.shell.peers.borrow().newest_config() > in_force;
+        peer_is_ahead || self.shell.newest_epoch() > self.epoch
     }
 
     fn has_one_row(&self) -> bool {
         true
     }
 
-    fn current(&mut self, version: StoreVersion) {
-        self.era = version.era;
+    fn set_current(&mut self, version: StoreVersion) {
+        self.epoch = version.era;
     }
 
-    fn whole(&mut self, rows: Vec<Row>) {
-        self.changed(rows);
+    fn replace_all(&mut self, rows: Vec<Row>) {
+        self.apply_changes(rows);
     }
 
-    fn changed(&mut self, rows: Vec<Row>) {
+    fn apply_changes(&mut self, rows: Vec<Row>) {
         for row in &rows {
-            self.take(row);
+            self.apply(row);
         }
     }
 }
--- a/crates/notchwalk_relay/src/daemon.rs
+++ b/crates/notchwalk_relay/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Starts, runs and ends the process.
+//! Starts, runs and stops the process.
 
 use std::{net::SocketAddr, path::PathBuf, rc::Rc, time::Duration};
 
@@ -18,41 +18,42 @@
     peer_link, presence,
     server_watch::ServerReader,
     shell::{Shell, Stopping},
+    store_repair,
     table_watch::follow,
-    written_again, Dialect, RelaySettings,
+    Dialect, RelaySettings,
 };
 
-/// How often changes are told to peers, signals looked at and logs written.
-const TICK: Duration = Duration::from_millis(15);
-/// How long connecting to a backend server may take: connections within a
-/// region are up within a few milliseconds, unless the server is dark.
+/// Interval at which the router's timers run, signals are polled and logs are flushed.
+const TICK_INTERVAL: Duration = Duration::from_millis(15);
+/// Connect timeout of backend servers; connections within a region take a few
+/// milliseconds.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long an entry that stops still takes requests: callers keep the
-/// directory's answer for a while, some of them longer than they should.
-const TAKES_REQUESTS_FOR: Duration = Duration::from_millis(3_000);
-/// Time before the process is killed at which it ends by itself.
-const END_MARGIN: Duration = Duration::from_millis(400);
-/// Time for which a process that stops stays reachable at least, so that
-/// callers that were sent here find it.
-const STAYS_FOR: Duration = Duration::from_millis(3_200);
+/// How long a stopping node still accepts requests: callers cache the directory's
+/// response, some beyond its TTL.
+const ACCEPT_WHILE_STOPPING: Duration = Duration::from_millis(3_000);
+/// How long before the process would be killed it exits by itself.
+const EXIT_MARGIN: Duration = Duration::from_millis(400);
+/// Minimum time for which a stopping process stays reachable, for callers that hold its
+/// address from the directory.
+const MIN_STOP_TIME: Duration = Duration::from_millis(3_200);
 
-/// What the outside world is to a daemon.
+/// The environment that a daemon runs in.
 pub struct Surroundings {
-    /// The settings file, read again on a reload.
+    /// The settings file.
     pub settings_file: PathBuf,
-    /// How callers, servers and rows spell things.
+    /// Translates the formats of callers, servers and rows.
     pub dialect: Rc<dyn Dialect>,
     /// The platform's store.
     pub store: Rc<dyn RowStore>,
     /// The machine's clock.
     pub clock: Clock,
-    /// What stops or changes the process.
+    /// Signals that stop or reload the process.
     pub signals: Signals,
 }
 
-/// Runs the daemon until a signal stops it. `surroundings` is called on the
-/// daemon's thread, `bound` with the settings as they are in force: ports that
-/// were 0 are the ones that the system chose.
+/// Runs the daemon until a signal stops it. `surroundings` is called on the daemon's
+/// thread; `bound` receives the effective settings, in which ports that were 0 are
+/// replaced by those the system assigned.
 ///
 /// # Errors
 ///
@@ -86,7 +87,7 @@
 }
 
 impl Listeners {
-    /// Binds all addresses and writes the ports that were chosen into them.
+    /// Binds all addresses and writes the assigned ports back.
     fn bind(settings: &mut RelaySettings) -> Result<Self, DaemonError> {
         let addr = settings.peer;
         let failed = |source| DaemonError::Listen { addr, source };
@@ -113,7 +114,7 @@
 }
 
 impl Daemon {
-    fn start(mut settings: RelaySettings, around: Surroundings) -> Result<Self, DaemonError> {
+    fn start(mut settings: RelaySettings, surroundings: Surroundings) -> Result<Self, DaemonError> {
         let listeners = Listeners::bind(&mut settings)?;
         let boot = boot_number();
         let router = Router::new(RouterConfig {
@@ -125,7 +126,7 @@
             seed: boot,
         });
         let client = Client::new().with_connect_timeout(CONNECT_TIMEOUT);
-        let (dialect, store) = (around.dialect, around.store);
+        let (dialect, store) = (surroundings.dialect, surroundings.store);
         let shell = Shell::new(
             settings,
             boot,
@@ -135,7 +136,7 @@
             client,
             Box::new(Effects),
         );
-        let shell = Rc::new(shell.with_clock(around.clock));
+        let shell = Rc::new(shell.with_clock(surroundings.clock));
         let limits = ServerLimits {
             connections: shell.settings.max_descriptors / 2,
             idle: Duration::from_secs(20),
@@ -150,7 +151,7 @@
         Ok(Self {
             shell,
             socket: Rc::new(listeners.peer),
-            settings_file: around.settings_file,
+            settings_file: surroundings.settings_file,
         })
     }
 
@@ -172,19 +173,28 @@
         monoio::spawn(follow(shell.clone(), config));
         monoio::spawn(follow(shell.clone(), ServerReader::new(shell.clone())));
         monoio::spawn(presence::announce(shell.clone()));
-        monoio::spawn(written_again::write_again(shell.clone()));
-        monoio::spawn(peer_link::hear(shell.clone(), self.socket.clone()));
-        monoio::spawn(peer_link::tell_changes(shell.clone(), self.socket.clone()));
-        monoio::spawn(peer_link::heartbeats(shell.clone(), self.socket.clone()));
+        monoio::spawn(store_repair::rewrite_after_restores(shell.clone()));
+        monoio::spawn(peer_link::receive_messages(
+            shell.clone(),
+            self.socket.clone(),
+        ));
+        monoio::spawn(peer_link::publish_changes(
+            shell.clone(),
+            self.socket.clone(),
+        ));
+        monoio::spawn(peer_link::send_heartbeats(
+            shell.clone(),
+            self.socket.clone(),
+        ));
         loop {
-            monoio::time::sleep(TICK).await;
-            shell.notice_suspension();
+            monoio::time::sleep(TICK_INTERVAL).await;
+            shell.check_suspension();
             shell.step(Event::Tick);
             log_sink::flush();
             if signals.take_reload() {
                 self.reload();
             }
-            if signals.stops() && self.stop_step().await {
+            if signals.stops() && self.advance_shutdown().await {
                 break;
             }
         }
@@ -197,8 +207,8 @@
         log_sink::flush();
     }
 
-    /// Reads the settings file again. Addresses can't change in a running
-    /// process; what differs is logged.
+    /// Reads the settings file again and logs whether it differs. Settings don't change
+    /// in a running process.
     fn reload(&self) {
         let facts = match RelaySettings::load(&self.settings_file) {
             Ok(settings) => format!("changed={}", settings != self.shell.settings),
@@ -207,15 +217,15 @@
         LogEvent::new(LogEventKind::SettingsReloaded, facts).emit();
     }
 
-    /// Takes one step towards the end; returns whether it is reached.
-    async fn stop_step(&self) -> bool {
+    /// Advances the shutdown by one step; returns whether the process may exit.
+    async fn advance_shutdown(&self) -> bool {
         let shell = &self.shell;
         let now = shell.now();
         let Stopping::Since(since) = shell.stopping.get() else {
             shell.stopping.set(Stopping::Since(now));
-            let after = TAKES_REQUESTS_FOR;
+            let after = ACCEPT_WHILE_STOPPING;
             shell.step(Event::Draining { after });
-            peer_link::tell_stopping(shell, &self.socket).await;
+            peer_link::publish_stopping(shell, &self.socket).await;
             let open = shell.router.borrow().open_requests();
             let facts = format!("open_requests={open}");
             LogEvent::new(LogEventKind::DrainStarted, facts).emit();
@@ -223,7 +233,7 @@
         };
         let stopping_for = now.since(since);
         let idle = shell.router.borrow().open_requests() == 0;
-        let last = shell.settings.stop_grace.saturating_sub(END_MARGIN);
-        (idle && stopping_for >= STAYS_FOR) || stopping_for >= last
+        let max_stop_time = shell.settings.stop_grace.saturating_sub(EXIT_MARGIN);
+        (idle && stopping_for >= MIN_STOP_TIME) || stopping_for >= max_stop_time
     }
 }
--- a/crates/notchwalk_relay/src/effects.rs
+++ b/crates/notchwalk_relay/src/effects.rs
@@ -1,4 +1,4 @@
-//! Which driver carries out which effect.
+//! Dispatches the router's effects to their drivers.
 
 use std::{rc::Rc, time::Duration};
 
@@ -10,11 +10,11 @@
     shell::{EffectDriver, Shell},
 };
 
-/// All drivers of effects. A new effect gets its line here.
+/// The dispatcher of all effects.
 pub(crate) struct Effects;
 
 impl EffectDriver for Effects {
-    fn carry_out(&self, shell: &Rc<Shell>, effect: Effect) {
+    fn execute(&self, shell: &Rc<Shell>, effect: Effect) {
         match effect {
             Effect::Reserve { request, orders } => {
                 monoio::spawn(engine_orders::reserve(shell.clone(), request, orders));
@@ -23,23 +23,23 @@
                 monoio::spawn(engine_orders::send_once(shell.clone(), order));
             }
             Effect::Check { server, addr } => {
-                monoio::spawn(quarantine::check(shell.clone(), server, addr));
+                monoio::spawn(quarantine::probe(shell.clone(), server, addr));
             }
-            Effect::Found(finding) => quarantine::found(shell, finding),
+            Effect::Found(finding) => quarantine::handle_finding(shell, finding),
             Effect::Heard {
                 server,
                 word,
                 by_peer,
-            } => server_words::log_heard(shell, server, word, by_peer),
-            Effect::LimitUsedUp { server } => server_words::log_used_up(shell, server),
-            Effect::Closed { server, pause } => log_closed(shell, server, pause),
-            // The task of their request has them.
+            } => server_words::log_notice(shell, server, word, by_peer),
+            Effect::LimitUsedUp { server } => server_words::log_limit_exhausted(shell, server),
+            Effect::Closed { server, pause } => log_circuit_opened(shell, server, pause),
+            // Handled by the task of their request.
             Effect::Send { .. } | Effect::Refuse { .. } | Effect::DeliverFailure { .. } => {}
         }
     }
 }
 
-fn log_closed(shell: &Shell, server: ServerKey, pause: Duration) {
+fn log_circuit_opened(shell: &Shell, server: ServerKey, pause: Duration) {
     let router = shell.router.borrow();
     let Some(server) = router.fleet().get(server) else {
         return;
--- a/crates/notchwalk_relay/src/engine_orders.rs
+++ b/crates/notchwalk_relay/src/engine_orders.rs
@@ -1,4 +1,4 @@
-//! Sends orders for memory to engines.
+//! Sends reservation orders to engines.
 
 use std::{rc::Rc, time::Duration};
 
@@ -8,15 +8,14 @@
 use notchwalk_route::{Event, FailedReservation, RequestKey, ReservationOrder};
 
 use crate::{
-    server_words::{self, Asked},
+    server_words::{self, ResponseOrigin},
     shell::Shell,
 };
 
-/// How long an order may take. Engines answer within a few milliseconds; one
-/// that doesn't is taken to be lost.
+/// Timeout of an order; engines respond within a few milliseconds.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(400);
-/// The largest answer, in bytes.
-const MAX_ANSWER_BYTES: usize = 64 * 1024;
+/// The largest response, in bytes.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024;
 
 async fn send(shell: &Rc<Shell>, order: &ReservationOrder) -> Result<StatusCode, HttpError> {
     let (path, body) = shell.dialect.reservation_order(order);
@@ -24,32 +23,32 @@
     let req = OutgoingRequest::new(Method::POST, path)
         .with_header(http::header::CONTENT_TYPE, json)
         .with_body(body);
-    let at = shell.now();
-    let sent = shell
+    let sent_at = shell.now();
+    let call = shell
         .client
-        .send(order.addr, req, ORDER_TIMEOUT, MAX_ANSWER_BYTES);
-    let answer = sent.await?;
+        .send(order.addr, req, ORDER_TIMEOUT, MAX_RESPONSE_BYTES);
+    let response = call.await?;
     let no_id = http::HeaderValue::from_static("");
     let facts = shell
         .dialect
-        .backend_answer(&no_id, answer.status, &answer.headers);
-    let asked = Asked {
+        .backend_answer(&no_id, response.status, &response.headers);
+    let origin = ResponseOrigin {
         server: None,
         addr: order.addr,
-        at,
+        sent_at,
     };
-    server_words::hear(shell, asked, &facts);
-    Ok(answer.status)
+    server_words::apply_notices(shell, origin, &facts);
+    Ok(response.status)
 }
 
-/// Sets memory aside on several engines and tells the router whether all of it
-/// was granted.
+/// Reserves memory on several engines and reports to the router which reservations
+/// failed.
 pub(crate) async fn reserve(shell: Rc<Shell>, request: RequestKey, orders: Vec<ReservationOrder>) {
     let sends = orders.iter().map(|order| send(&shell, order));
-    let answers = futures_util::future::join_all(sends).await;
+    let responses = futures_util::future::join_all(sends).await;
     let mut failed = Vec::new();
-    for (order, answer) in orders.iter().zip(answers) {
-        let (unreachable, reason) = match answer {
+    for (order, response) in orders.iter().zip(responses) {
+        let (unreachable, reason) = match response {
             Ok(status) if status.is_success() => continue,
             Ok(status) => (false, status.to_string()),
             Err(e) => {
@@ -70,8 +69,7 @@
     shell.step(Event::Reserved { request, failed });
 }
 
-/// Renews a reservation or gives its memory back. Failures are logged; the
-/// router repeats the order.
+/// Renews or releases a reservation. Failures are logged; the router repeats the order.
 pub(crate) async fn send_once(shell: Rc<Shell>, order: ReservationOrder) {
     if let Err(e) = send(&shell, &order).await {
         let facts = format!("reservation={} addr={} reason={e:?}", order.id, order.addr);
--- a/crates/notchwalk_relay/src/front/accept.rs
+++ b/crates/notchwalk_relay/src/front/accept.rs
@@ -1,4 +1,4 @@
-//! Reads a request whole, within its bounds, and finds its route and workspace.
+//! Reads a request within its size and time limits, and finds its route and workspace.
 
 use std::{rc::Rc, time::Duration};
 
@@ -10,32 +10,31 @@
 use notchwalk_route::{host_name, RequestFacts, RequestKey, RouteLookup, WorkspaceTag};
 
 use super::Front;
-use crate::{served::Served, CallerFacts};
+use crate::{active_request::ActiveRequest, CallerFacts};
 
-/// Time that a caller waits if it says nothing.
-const DEFAULT_PATIENCE: Duration = Duration::from_secs(10);
-/// When a caller may come back to an entry that has no configuration yet: reading
-/// it takes a few milliseconds once the store answers.
-const NO_CONFIG_RETRY: Duration = Duration::from_millis(300);
-/// How long before a route's time is over a request is given up, so that the
-/// final answer is out in time.
+/// Caller timeout if the request names none.
+const DEFAULT_CALLER_TIMEOUT: Duration = Duration::from_secs(10);
+/// `Retry-After` while no configuration is in force yet; reading it takes a few
+/// milliseconds once the store responds.
+const NO_CONFIG_RETRY_AFTER: Duration = Duration::from_millis(300);
+/// How long before the route's timeout a request is given up, so that the final
+/// response arrives in time.
 const TIMEOUT_MARGIN: Duration = Duration::from_millis(20);
-/// Part of the answer's tokens at most that are thought to come, if the caller
-/// does not guess.
-const USUAL_ANSWER_SHARE: f64 = 0.5;
+/// Assumed fraction of the maximum response tokens if the caller gives no estimate.
+const DEFAULT_ANSWER_FRACTION: f64 = 0.5;
 
-/// A request that was read whole; its key is given when the router gets it.
+/// A request that was read completely; its key is set once it is passed to the router.
 pub(super) struct Accepted {
-    pub served: Served,
+    pub req: ActiveRequest,
     pub facts: RequestFacts,
 }
 
-/// Why a request was not accepted.
+/// Why a request was rejected.
 pub(super) enum Rejection {
-    /// Nobody waits for an answer.
-    CallerLeft,
-    /// It is answered at once.
-    Answer {
+    /// The caller disconnected.
+    CallerDisconnected,
+    /// A response is sent at once.
+    Respond {
         id: String,
         status: StatusCode,
         reason: &'static str,
@@ -45,7 +44,7 @@
 
 impl Rejection {
     fn new(id: &str, status: StatusCode, reason: &'static str) -> Self {
-        Self::Answer {
+        Self::Respond {
             id: id.to_owned(),
             status,
             reason,
@@ -54,7 +53,7 @@
     }
 
     fn with_retry_after(mut self, after: Duration) -> Self {
-        if let Self::Answer { retry_after, .. } = &mut self {
+        if let Self::Respond { retry_after, .. } = &mut self {
             *retry_after = Some(after);
         }
         self
@@ -62,8 +61,7 @@
 }
 
 impl Front {
-    /// Reads a request whole, within the bounds, and finds its route and
-    /// workspace.
+    /// Reads a request within its limits and finds its route and workspace.
     pub(super) async fn accept(
         &self,
         exchange: &mut Exchange,
@@ -77,7 +75,7 @@
         if self.shell.router.borrow().version() == 0 {
             let reason = "no configuration is in force yet";
             let rejection = rejected(StatusCode::SERVICE_UNAVAILABLE, reason);
-            return Err(rejection.with_retry_after(NO_CONFIG_RETRY));
+            return Err(rejection.with_retry_after(NO_CONFIG_RETRY_AFTER));
         }
         let limits = self.shell.limits.get();
         if head_bytes(exchange) > limits.head_bytes {
@@ -92,34 +90,37 @@
             }
             RouteLookup::Found { route, workspace } => (route, workspace),
         };
-        let patience = caller.patience.unwrap_or(DEFAULT_PATIENCE);
-        let held = patience.min(route.timeout.saturating_sub(TIMEOUT_MARGIN));
+        let caller_timeout = caller.patience.unwrap_or(DEFAULT_CALLER_TIMEOUT);
+        let request_timeout = caller_timeout.min(route.timeout.saturating_sub(TIMEOUT_MARGIN));
         let name = workspace.as_ref().map(|(name, _)| name.as_ref());
-        let read = self.read_body(exchange, limits.body_bytes, held, name);
+        let read = self.read_body(exchange, limits.body_bytes, request_timeout, name);
         let (body, content) = match read.await {
             Ok(read) => read,
-            Err(None) => return Err(Rejection::CallerLeft),
+            Err(None) => return Err(Rejection::CallerDisconnected),
             Err(Some((status, reason))) => {
                 exchange.close_after();
                 return Err(rejected(status, reason));
             }
         };
-        let usual = (f64::from(caller.max_answer_tokens) * USUAL_ANSWER_SHARE) as u32;
-        let deadline = arrived.after(held);
+        let default_answer_tokens =
+            (f64::from(caller.max_answer_tokens) * DEFAULT_ANSWER_FRACTION) as u32;
+        let deadline = arrived.after(request_timeout);
         let facts = RequestFacts {
             workspace: workspace
                 .as_ref()
                 .map_or(WorkspaceTag::default(), |(name, _)| WorkspaceTag::of(name)),
             workspace_priority: workspace.as_ref().map_or(0, |(_, priority)| *priority),
             arrived,
-            patience,
+            patience: caller_timeout,
             deadline,
             prompt_tokens: caller.prompt_tokens,
-            answer_tokens: caller.guessed_answer_tokens.unwrap_or(usual),
+            answer_tokens: caller
+                .guessed_answer_tokens
+                .unwrap_or(default_answer_tokens),
             route: route.clone(),
             content,
         };
-        let served = Served {
+        let req = ActiveRequest {
             key: RequestKey::default(),
             content,
             caller,
@@ -130,7 +131,7 @@
             body,
             streaming: route.streaming,
         };
-        Ok(Accepted { served, facts })
+        Ok(Accepted { req, facts })
     }
 
     fn look_up(&self, exchange: &Exchange, caller: &CallerFacts) -> RouteLookup {
@@ -140,18 +141,18 @@
             .lookup(host(exchange), exchange.path(), caller.key.as_deref())
     }
 
-    /// Reads the body and takes the request's fingerprint meanwhile. An error
-    /// without a status means that the caller left.
+    /// Reads the body and computes the request's fingerprint along the way. An error
+    /// without a status means that the caller disconnected.
     async fn read_body(
         &self,
         exchange: &mut Exchange,
         limit: usize,
-        held: Duration,
+        request_timeout: Duration,
         workspace: Option<&str>,
     ) -> Result<(Bytes, Fingerprint), Option<(StatusCode, &'static str)>> {
         let mut content = fingerprinting(exchange, workspace);
-        let read = exchange.body_bytes_seen(limit, |piece| content.update(piece));
-        let read = monoio::time::timeout(held, read).await;
+        let read = exchange.body_bytes_seen(limit, |chunk| content.update(chunk));
+        let read = monoio::time::timeout(request_timeout, read).await;
         match read {
             Ok(Ok(body)) => Ok((body, content.finish())),
             Ok(Err(HttpError::BodyTooLarge(_))) => Err(Some((
@@ -171,13 +172,13 @@
     }
 }
 
-/// Returns the host that a request names.
+/// Returns the host that a request names, empty if none.
 fn host(exchange: &Exchange) -> &str {
     let named = exchange.header("host").or(exchange.head.uri.host());
     named.unwrap_or("")
 }
 
-/// Begins the fingerprint of a request with its head.
+/// Starts the fingerprint of a request from its head.
 fn fingerprinting(exchange: &Exchange, workspace: Option<&str>) -> Fingerprinting {
     let head = &exchange.head;
     Fingerprinting::new(&Content {
@@ -188,7 +189,7 @@
     })
 }
 
-/// Returns the size of a request's head as it came, within a few bytes.
+/// Returns the approximate size of a request's head on the wire.
 fn head_bytes(exchange: &Exchange) -> usize {
     const SEPARATORS: usize = 4;
     let headers = exchange.head.headers.iter();
--- a/crates/notchwalk_relay/src/front/mod.rs
+++ b/crates/notchwalk_relay/src/front/mod.rs
@@ -1,5 +1,5 @@
-//! Serves callers: reads a request within its bounds, hands it to the router
-//! and carries out what the router says until the answer ended.
+//! Serves callers: reads a request within its limits, passes it to the router and
+//! executes the router's effects until the response ends.
 
 mod accept;
 mod record;
@@ -12,14 +12,14 @@
 use notchwalk_route::{Assignment, AttemptEnd, Effect, Event, Refusal};
 
 use crate::{
-    attempt::{self, Attempted, Delivery},
-    served::Served,
+    active_request::ActiveRequest,
+    attempt::{self, AttemptOutcome, Delivery},
     shell::{Inbox, Shell, Stopping},
 };
 use accept::Rejection;
 use record::Outcome;
 
-/// Answers callers.
+/// The service for callers.
 pub(crate) struct Front {
     shell: Rc<Shell>,
 }
@@ -29,7 +29,7 @@
         Self { shell }
     }
 
-    /// Answers a request that is not accepted.
+    /// Responds to a request that was rejected before it reached the router.
     async fn reject(
         &self,
         exchange: &mut Exchange,
@@ -65,8 +65,8 @@
         }
         let accepted = match self.accept(exchange, arrived).await {
             Ok(accepted) => accepted,
-            Err(Rejection::CallerLeft) => return exchange.abort(),
-            Err(Rejection::Answer {
+            Err(Rejection::CallerDisconnected) => return exchange.abort(),
+            Err(Rejection::Respond {
                 id,
                 status,
                 reason,
@@ -78,46 +78,48 @@
             }
         };
         let (key, inbox) = self.shell.open_request();
-        let served = Served {
+        let req = ActiveRequest {
             key,
-            ..accepted.served
+            ..accepted.req
         };
         self.shell.step(Event::Arrived {
             request: key,
             facts: accepted.facts,
         });
-        let mut delivery = Delivery::new(served.caller.last_event);
-        let outcome = self.follow(exchange, &served, inbox, &mut delivery).await;
+        let mut delivery = Delivery::new(req.caller.last_event);
+        let outcome = self
+            .execute_effects(exchange, &req, inbox, &mut delivery)
+            .await;
         self.shell.close_request(key);
-        self.record(&served, &delivery, outcome);
+        self.record(&req, &delivery, outcome);
     }
 
-    /// Carries out what the router says until the request ended.
-    async fn follow(
+    /// Executes the router's effects until the request ends.
+    async fn execute_effects(
         &self,
         exchange: &mut Exchange,
-        served: &Served,
+        req: &ActiveRequest,
         mut inbox: Inbox,
         delivery: &mut Delivery,
     ) -> Outcome {
         loop {
             let effect = monoio::select! {
                 effect = inbox.recv() => effect,
-                () = exchange.peer_closed() => return self.caller_left(served),
-                () = self.shell.sleep_until(served.deadline) => {
-                    return self.time_is_over(exchange, served, delivery).await;
+                () = exchange.peer_closed() => return self.caller_disconnected(req),
+                () = self.shell.sleep_until(req.deadline) => {
+                    return self.time_out(exchange, req, delivery).await;
                 }
             };
             match effect {
                 Some(Effect::Send { to, .. }) => {
-                    if let Some(outcome) = self.send(exchange, served, delivery, to).await {
+                    if let Some(outcome) = self.send(exchange, req, delivery, to).await {
                         return outcome;
                     }
                 }
                 Some(Effect::Refuse {
                     reason: Refusal::Unknown,
                     ..
-                }) => return self.deliver_failure(exchange, delivery).await,
+                }) => return self.deliver_server_error(exchange, delivery).await,
                 Some(Effect::Refuse {
                     reason,
                     retry_after,
@@ -126,7 +128,7 @@
                     return self.refuse(exchange, delivery, reason, retry_after).await;
                 }
                 Some(Effect::DeliverFailure { .. }) => {
-                    return self.deliver_failure(exchange, delivery).await;
+                    return self.deliver_server_error(exchange, delivery).await;
                 }
                 Some(_) => continue,
                 None => {
@@ -138,70 +140,70 @@
         }
     }
 
-    /// Sends a request to a server; returns the outcome if that ended it.
+    /// Sends a request to a server; returns the outcome if the request ended.
     async fn send(
         &self,
         exchange: &mut Exchange,
-        served: &Served,
+        req: &ActiveRequest,
         delivery: &mut Delivery,
         to: Assignment,
     ) -> Option<Outcome> {
-        self.log_sent(served, &to);
-        let attempted = attempt::run(&self.shell, exchange, served, delivery, &to).await;
+        self.log_sent(req, &to);
+        let attempted = attempt::run(&self.shell, exchange, req, delivery, &to).await;
         let (end, outcome) = match attempted {
-            Attempted::Ended(end) => (end, None),
-            Attempted::Delivered(end) => (end, Some(Outcome::Delivered)),
-            Attempted::CallerLeft => return Some(self.caller_left(served)),
-            Attempted::TimedOut => {
-                return Some(self.time_is_over(exchange, served, delivery).await);
+            AttemptOutcome::Ended(end) => (end, None),
+            AttemptOutcome::Delivered(end) => (end, Some(Outcome::Delivered)),
+            AttemptOutcome::CallerDisconnected => return Some(self.caller_disconnected(req)),
+            AttemptOutcome::TimedOut => {
+                return Some(self.time_out(exchange, req, delivery).await);
             }
         };
         if end == AttemptEnd::Silent {
             self.shell.client.forget_idle();
         }
-        let word = attempt::end_word(end);
-        self.shell.metrics.attempts.with_label_values(&[word]).inc();
+        let label = attempt::end_label(end);
+        self.shell
+            .metrics
+            .attempts
+            .with_label_values(&[label])
+            .inc();
         if outcome.is_none() {
-            let after = self.shell.now().since(served.arrived).as_millis();
+            let after = self.shell.now().since(req.arrived).as_millis();
             let facts = format!(
-                "request={} content={} server={} end={word} after_ms={after}",
-                served.id(),
-                served.content,
+                "request={} content={} server={} end={label} after_ms={after}",
+                req.id(),
+                req.content,
                 to.instance
             );
             LogEvent::new(LogEventKind::AttemptFailed, facts).emit();
         }
         self.shell.step(Event::AttemptEnded {
-            request: served.key,
+            request: req.key,
             end,
         });
         outcome
     }
 
-    fn caller_left(&self, served: &Served) -> Outcome {
-        self.shell.step(Event::Abandoned {
-            request: served.key,
-        });
-        Outcome::CallerLeft
+    fn caller_disconnected(&self, req: &ActiveRequest) -> Outcome {
+        self.shell.step(Event::Abandoned { request: req.key });
+        Outcome::CallerDisconnected
     }
 
-    async fn time_is_over(
+    async fn time_out(
         &self,
         exchange: &mut Exchange,
-        served: &Served,
+        req: &ActiveRequest,
         delivery: &Delivery,
     ) -> Outcome {
         if delivery.first_at.is_none() && delivery.sends > 0 {
             self.shell.client.forget_idle();
         }
-        self.shell.step(Event::Abandoned {
-            request: served.key,
-        });
+        self.shell.step(Event::Abandoned { request: req.key });
         self.refuse(exchange, delivery, Refusal::TimedOut, None)
             .await
     }
 
-    /// Answers a request that no server answered.
+    /// Responds to a request that no server has answered.
     async fn refuse(
         &self,
         exchange: &mut Exchange,
@@ -211,7 +213,7 @@
     ) -> Outcome {
         if delivery.head_sent {
             exchange.abort();
-            return Outcome::BrokenOff;
+            return Outcome::StreamAborted;
         }
         let status = match reason {
             Refusal::TimedOut => StatusCode::GATEWAY_TIMEOUT,
@@ -219,26 +221,29 @@
             _ => StatusCode::SERVICE_UNAVAILABLE,
         };
         let mut headers = HeaderMap::new();
-        // A time to come back would invite a caller whose request crashes servers.
+        // `Retry-After` would invite retries of a request that crashes servers.
         if let Some(after) = retry_after.filter(|_| reason != Refusal::Quarantined) {
             let (name, value) = self.shell.dialect.retry_after(after);
             headers.insert(name, value);
         }
         let body = match reason {
             Refusal::Quarantined => quarantined_body(retry_after.unwrap_or_default()),
-            _ => format!("{}\n", Outcome::Refused(reason).word()),
+            _ => format!("{}\n", Outcome::Refused(reason).label()),
         };
         exchange.respond(status, headers, body.as_bytes()).await;
         Outcome::Refused(reason)
     }
 
-    /// Delivers the server's own error that was kept; without one the outcome
-    /// is unknown.
-    async fn deliver_failure(&self, exchange: &mut Exchange, delivery: &mut Delivery) -> Outcome {
-        match delivery.failure.take() {
-            Some(kept) if !delivery.head_sent => {
+    /// Delivers the retained server error; without one the outcome is unknown.
+    async fn deliver_server_error(
+        &self,
+        exchange: &mut Exchange,
+        delivery: &mut Delivery,
+    ) -> Outcome {
+        match delivery.server_error.take() {
+            Some(retained) if !delivery.head_sent => {
                 exchange
-                    .respond(kept.status, kept.headers, &kept.body)
+                    .respond(retained.status, retained.headers, &retained.body)
                     .await;
                 Outcome::Delivered
             }
@@ -250,7 +255,7 @@
     }
 }
 
-/// Tells a caller why its request is sent to no server, and until when.
+/// Returns the body of the response to a quarantined request.
 fn quarantined_body(left: Duration) -> String {
     let body = serde_json::json!({
         "error": "quarantined",
--- a/crates/notchwalk_relay/src/lib.rs
+++ b/crates/notchwalk_relay/src/lib.rs
@@ -1,11 +1,11 @@
-//! The daemon's drivers for routed requests: they turn sockets, timers and the
-//! platform's rows into events of [`notchwalk_route::Router`], and its effects
-//! into I/O. No decision about a request stands here.
+//! Drivers of the daemon for routed requests: they turn sockets, timers and the
+//! platform's rows into events of [`notchwalk_route::Router`], and its effects into
+//! I/O. All decisions about requests are made by the router.
 //!
-//! How callers, backend servers and the platform spell things is behind the
-//! trait object [`Dialect`]; where rows lie is behind
-//! [`notchwalk_platform::RowStore`].
+//! [`Dialect`] translates the formats of callers, backend servers and the platform;
+//! [`notchwalk_platform::RowStore`] gives access to the store.
 
+mod active_request;
 mod answer;
 mod attempt;
 mod config_watch;
@@ -22,14 +22,13 @@
 mod presence;
 mod presence_record;
 mod quarantine;
-mod served;
 mod server_watch;
 mod server_words;
 mod settings;
 mod shell;
+mod store_repair;
 mod stream_events;
 mod table_watch;
-mod written_again;
 
 pub mod prelude;
 
--- a/crates/notchwalk_relay/src/metrics.rs
+++ b/crates/notchwalk_relay/src/metrics.rs
@@ -1,55 +1,55 @@
-//! Counters and histograms in Prometheus' text format.
+//! Prometheus metrics.
 
 use notchwalk_daemon::MetricSet;
 use prometheus::{
     exponential_buckets, GaugeVec, HistogramVec, IntCounter, IntCounterVec, IntGauge,
 };
 
-/// The figures of one process.
+/// The metrics of one process.
 pub struct Metrics {
     set: MetricSet,
-    /// Requests that ended, by route and outcome.
+    /// Ended requests, by route and outcome.
     pub requests: IntCounterVec,
-    /// Sends to backend servers, by how they ended.
+    /// Attempts at backend servers, by how they ended.
     pub attempts: IntCounterVec,
-    /// Seconds from arrival to the first event or the whole answer, by route.
+    /// Seconds from arrival to the first event or the complete response, by route.
     pub first_byte: HistogramVec,
-    /// Predicted over seen time to the first event, by route.
-    pub prediction: HistogramVec,
-    /// Whether the store answers, by table.
+    /// Ratio of the predicted to the actual time to the first event, by route.
+    pub prediction_ratio: HistogramVec,
+    /// Whether the store responds, by table.
     pub store_up: prometheus::IntGaugeVec,
-    /// Questions to the store for changes, by table and how they ended.
-    pub store_questions: IntCounterVec,
-    /// How often the store came back from an older copy.
-    pub store_era: IntGauge,
+    /// Polls of the store for changes, by table and result.
+    pub store_polls: IntCounterVec,
+    /// The epoch of the store; it rises with each restore from a snapshot.
+    pub store_epoch: IntGauge,
     /// The version of the configuration in force.
     pub config_version: IntGauge,
-    /// Requests being served.
+    /// Requests in progress.
     pub open_requests: IntGauge,
-    /// Peers that answer.
+    /// Reachable peers.
     pub peers_alive: IntGauge,
-    /// Backend servers on record.
+    /// Registered backend servers.
     pub servers: IntGauge,
-    /// Servers that seem to have ended under a request of this entry.
+    /// Servers that seem to have crashed while executing a request of this node.
     pub suspected_crashes: IntCounter,
-    /// Quarantines that this entry declared.
+    /// Quarantines declared by this node.
     pub quarantines: IntCounter,
-    /// Contents that are sent to no server for a while.
+    /// Contents currently in quarantine.
     pub quarantined: IntGauge,
-    /// What servers said of themselves in their answers.
-    pub server_words: IntCounterVec,
-    /// Requests a second that servers take from all entries together.
+    /// Notices announced by servers in responses, by kind.
+    pub server_notices: IntCounterVec,
+    /// Rate limits that servers announce for all nodes together.
     pub server_limits: GaugeVec,
-    /// Messages that this entry sent to servers with limits.
+    /// Requests and orders sent by this node to servers with rate limits.
     pub limited_sends: IntCounter,
 }
 
 impl Metrics {
-    /// Builds all figures at zero.
+    /// Registers all metrics.
     ///
     /// # Panics
     ///
-    /// Panics if a name stands twice in this file.
+    /// Panics if a name is registered twice.
     pub fn new() -> Self {
         let set = MetricSet::new();
         let seconds = exponential_buckets(0.02, 1.7, 14).expect("the bounds rise");
@@ -74,12 +74,12 @@
                 "Sends to backend servers",
                 &["end"],
             ),
-            store_questions: set.counters(
+            store_polls: set.counters(
                 "notchwalk_store_questions_total",
                 "Questions to the store for changes",
                 &["table", "end"],
             ),
-            store_era: set.gauge(
+            store_epoch: set.gauge(
                 "notchwalk_store_era",
                 "How often the store came back from an older copy",
             ),
@@ -101,7 +101,7 @@
                 "notchwalk_quarantined",
                 "Contents that are sent to no server for a while",
             ),
-            server_words: set.counters(
+            server_notices: set.counters(
                 "notchwalk_server_words_total",
                 "Answers in which servers say that they leave, want nothing, or name a limit",
                 &["word"],
@@ -113,7 +113,7 @@
                 seconds,
                 &["route"],
             ),
-            prediction: set.histograms(
+            prediction_ratio: set.histograms(
                 "notchwalk_prediction_ratio",
                 "Predicted over seen time to the first event",
                 ratios,
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Returns all figures as text.
+    /// Returns all metrics in the Prometheus text format.
     pub fn text(&self) -> String {
         self.set.text()
     }
--- a/crates/notchwalk_relay/src/operator.rs
+++ b/crates/notchwalk_relay/src/operator.rs
@@ -1,4 +1,4 @@
-//! Serves the process's metrics and a dump of its state.
+//! Serves metrics and the state dump to operators.
 
 use std::rc::Rc;
 
@@ -9,10 +9,9 @@
 
 use crate::{quarantine, shell::Shell};
 
-/// What the path that ends a quarantine begins with.
+/// Path prefix of the call that ends a quarantine.
 const RELEASE_PATH: &str = "/quarantine/release/";
 
-/// Answers operators.
 pub(crate) struct Operator {
     shell: Rc<Shell>,
 }
@@ -22,7 +21,7 @@
         Self { shell }
     }
 
-    /// Ends a quarantine; the path ends with the request's content.
+    /// Ends the quarantine of the content at the end of the path.
     fn release(&self, exchange: &Exchange) -> (StatusCode, String) {
         if exchange.head.method != http::Method::POST {
             let text = "a quarantine is ended with POST\n";
@@ -41,14 +40,14 @@
         (StatusCode::OK, format!("released {content}\n"))
     }
 
-    /// Returns how many requests are open and how many contents are quarantined.
+    /// Returns the numbers of open requests and of quarantined contents.
     fn counts(&self) -> (usize, usize) {
         let router = self.shell.router.borrow();
         let quarantined = router.quarantine().quarantined(self.shell.now());
         (router.open_requests(), quarantined)
     }
 
-    fn count_limits(&self) {
+    fn update_limit_metrics(&self) {
         let router = self.shell.router.borrow();
         let metrics = &self.shell.metrics;
         metrics.server_limits.reset();
@@ -95,14 +94,14 @@
             "ready": shell.is_ready(),
             "config_version": router.version(),
             "newest_config_of_peers": shell.peers.borrow().newest_config(),
-            "store_era": shell.store_era(),
-            "servers_version": shell.servers_known.get().rev,
-            "newest_change_of_servers_of_peers": shell.peers.borrow().newest_change_of_servers().rev,
+            "store_era": shell.store_epoch(),
+            "servers_version": shell.server_table_version.get().rev,
+            "newest_change_of_servers_of_peers": shell.peers.borrow().newest_server_change().rev,
             "open_requests": router.open_requests(),
             "reservations": router.reservations(),
             "peers_alive": shell.peers.borrow().alive(now),
-            "entries_sharing_limits": shell.peers.borrow().sharing(now),
-            "servers_age_ms": now.since(shell.servers_current.get()).as_millis() as u64,
+            "entries_sharing_limits": shell.peers.borrow().sharing_nodes(now),
+            "servers_age_ms": now.since(shell.servers_refreshed_at.get()).as_millis() as u64,
             "servers": servers,
             "suspects": quarantine::state(shell),
         })
@@ -117,7 +116,7 @@
                     let (open, quarantined) = self.counts();
                     self.shell.metrics.quarantined.set(quarantined as i64);
                     self.shell.metrics.open_requests.set(open as i64);
-                    self.count_limits();
+                    self.update_limit_metrics();
                     let text = self.shell.metrics.text();
                     exchange.respond_text(StatusCode::OK, &text).await;
                 }
--- a/crates/notchwalk_relay/src/peer_link.rs
+++ b/crates/notchwalk_relay/src/peer_link.rs
@@ -1,9 +1,9 @@
-//! What entries tell each other: that they live, whether they take requests,
-//! and what work they have on which server.
+//! Messages between peers: liveness, readiness, work in progress on the servers, and
+//! notices of servers.
 //!
-//! Datagrams with CBOR. Every message carries whole facts, never differences,
-//! so that a lost one costs nothing but time, and the newest is all that
-//! counts: a stream would deliver old facts late after a loss.
+//! Messages are CBOR datagrams. Each carries complete facts rather than differences, so
+//! a lost one only costs time and the newest always supersedes older ones; a stream
+//! would deliver stale facts late after a loss.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -20,46 +20,46 @@
     shell::{Shell, Stopping},
 };
 
-/// Every so many heartbeats all work is told, not only what changed.
-const WHOLE_EVERY: u32 = 4;
-/// Works told in one datagram at most, so that it fits one packet.
-const MAX_WORKS: usize = 60;
-/// The same of what is told of suspects.
-const MAX_NEWS: usize = 12;
-/// Servers that leave told in one datagram at most. Releases empty a few at a time;
-/// what doesn't fit is heard from the servers themselves.
-const MAX_LEAVING: usize = 64;
-/// Servers that name limits told in one datagram at most, for the same reason.
-const MAX_LIMITS: usize = 48;
+/// Every this many heartbeats, one carries all work in progress.
+const FULL_UPDATE_HEARTBEATS: u32 = 4;
+/// Maximum number of work items per datagram, so that it fits one packet.
+const MAX_WORK_PER_DATAGRAM: usize = 60;
+/// Maximum number of suspect updates per datagram.
+const MAX_SUSPECTS_PER_DATAGRAM: usize = 12;
+/// Maximum number of draining servers per datagram. Rollouts drain a few at a time; the
+/// rest is learned from the servers' own responses.
+const MAX_DRAINING_PER_DATAGRAM: usize = 64;
+/// Maximum number of servers with rate limits per datagram.
+const MAX_LIMITS_PER_DATAGRAM: usize = 48;
 /// The largest datagram read, in bytes.
-const MAX_DATAGRAM: usize = 16 * 1024;
+const MAX_DATAGRAM_BYTES: usize = 16 * 1024;
 
-/// One message. Who sends it is known by its address.
+/// A message between peers. Its source address identifies the sender.
 #[derive(Debug, Serialize_tuple, Deserialize_tuple)]
 struct PeerMessage {
-    /// The sender's boot.
+    /// The sender's boot number.
     boot: u64,
-    /// Who sends it, in heartbeats.
+    /// The sender's presence record, in heartbeats.
     from: Option<PresenceRecord>,
-    /// Whether it takes requests.
+    /// Whether the sender accepts requests.
     ready: bool,
-    /// Whether the store answers it.
+    /// Whether the store responds to the sender.
     store_up: bool,
-    /// The version of its configuration.
+    /// The version of the sender's configuration.
     config_version: u64,
-    /// The newest change of the register of servers that it saw.
-    servers_changed: StoreVersion,
-    /// The servers it tells about.
+    /// The newest change of the server table that the sender saw.
+    newest_server_change: StoreVersion,
+    /// The servers whose work in progress is listed.
     servers: Vec<u32>,
-    /// What it has there.
+    /// The sender's work in progress on those servers.
     work: Vec<PeerWork>,
-    /// What it knows of requests under which servers ended.
+    /// Suspected contents.
     #[serde(default)]
     news: Vec<News>,
-    /// Lives of servers that said to it that they leave.
+    /// Incarnations of servers that announced to the sender that they are draining.
     #[serde(default)]
-    leaving: Vec<u32>,
-    /// Servers that name limits, and what it sends to them.
+    draining: Vec<u32>,
+    /// Servers with rate limits, and what the sender sends to them.
     #[serde(default)]
     limits: Vec<ToldLimit>,
 }
@@ -71,108 +71,107 @@
         ready: shell.is_ready(),
         store_up: shell.store_up.get(),
         config_version: shell.router.borrow().version(),
-        servers_changed: shell.servers_changed.get(),
+        newest_server_change: shell.newest_server_change.get(),
         servers,
         work,
         news: Vec::new(),
-        leaving: Vec::new(),
+        draining: Vec::new(),
         limits: Vec::new(),
     }
 }
 
-/// Cuts what is told into messages that fit a packet; a server's work is never
-/// divided, since a message replaces what was told of its servers.
+/// Splits updates into messages that fit a packet. The work of a server is never split,
+/// since a message replaces the earlier work of its servers.
 fn messages(shell: &Shell, servers: Vec<u32>, work: Vec<PeerWork>) -> Vec<PeerMessage> {
-    if work.len() <= MAX_WORKS {
+    if work.len() <= MAX_WORK_PER_DATAGRAM {
         return vec![message(shell, servers, work)];
     }
     let mut messages = Vec::new();
-    let (mut some, mut some_work) = (Vec::new(), Vec::new());
+    let (mut chunk, mut chunk_work) = (Vec::new(), Vec::new());
     for server in servers {
-        some.push(server);
-        some_work.extend(work.iter().filter(|work| work.server == server).cloned());
-        if some_work.len() >= MAX_WORKS {
-            let (some, some_work) = (std::mem::take(&mut some), std::mem::take(&mut some_work));
-            messages.push(message(shell, some, some_work));
+        chunk.push(server);
+        chunk_work.extend(work.iter().filter(|work| work.server == server).cloned());
+        if chunk_work.len() >= MAX_WORK_PER_DATAGRAM {
+            let (chunk, chunk_work) = (std::mem::take(&mut chunk), std::mem::take(&mut chunk_work));
+            messages.push(message(shell, chunk, chunk_work));
         }
     }
-    messages.push(message(shell, some, some_work));
+    messages.push(message(shell, chunk, chunk_work));
     messages
 }
 
-/// Adds what is told of suspects, in as many messages as it takes.
-fn with_news(shell: &Shell, mut messages: Vec<PeerMessage>, news: &[News]) -> Vec<PeerMessage> {
-    for some in news.chunks(MAX_NEWS) {
-        let mut told = message(shell, Vec::new(), Vec::new());
-        told.news = some.to_vec();
-        messages.push(told);
+/// Appends suspect updates, in as many messages as necessary.
+fn with_suspects(shell: &Shell, mut messages: Vec<PeerMessage>, news: &[News]) -> Vec<PeerMessage> {
+    for chunk in news.chunks(MAX_SUSPECTS_PER_DATAGRAM) {
+        let mut outgoing = message(shell, Vec::new(), Vec::new());
+        outgoing.news = chunk.to_vec();
+        messages.push(outgoing);
     }
     messages
 }
 
-async fn tell(socket: &UdpSocket, targets: &[SocketAddr], messages: Vec<PeerMessage>) {
+async fn send(socket: &UdpSocket, targets: &[SocketAddr], messages: Vec<PeerMessage>) {
     for message in messages {
         let mut buf = Vec::with_capacity(256);
         if let Err(e) = ciborium::into_writer(&message, &mut buf) {
-            log::error!("a message to peers can't be written: {e}");
+            log::error!("can't encode a peer message: {e}");
             continue;
         }
         for &target in targets {
             let (sent, returned) = socket.send_to(buf, target).await;
             buf = returned;
-            // Nobody may listen there yet or any more; the next heartbeat
-            // tells again.
+            // Nothing may listen there; the next heartbeat repeats the message.
             drop(sent);
         }
     }
 }
 
-/// Tells peers for ever what changed, at once: what they place in the
-/// meantime, they place in ignorance of it.
-pub(crate) async fn tell_changes(shell: Rc<Shell>, socket: Rc<UdpSocket>) {
+/// Publishes changes to peers as they occur, so that their placements take them into
+/// account.
+pub(crate) async fn publish_changes(shell: Rc<Shell>, socket: Rc<UdpSocket>) {
     loop {
-        shell.work_changed.wait().await;
+        shell.publish_wake.wait().await;
         let now = shell.now();
         let (servers, work) = shell.router.borrow_mut().take_changed_work(now);
         let news = shell.router.borrow_mut().take_news();
-        if shell.era_to_tell.take() {
-            // The message says up to which version the store is known.
-            let near = shell.peers.borrow().near();
-            let told = message(&shell, Vec::new(), Vec::new());
-            tell(&socket, &near, vec![told]).await;
+        if shell.epoch_to_publish.take() {
+            // The message carries the version of the store.
+            let group = shell.peers.borrow().group_peers();
+            let outgoing = message(&shell, Vec::new(), Vec::new());
+            send(&socket, &group, vec![outgoing]).await;
         }
-        let leaving = shell.router.borrow_mut().take_leaving_news();
-        for some in leaving.chunks(MAX_LEAVING) {
-            let mut told = message(&shell, Vec::new(), Vec::new());
-            told.leaving = some.to_vec();
-            let near = shell.peers.borrow().near();
-            tell(&socket, &near, vec![told]).await;
+        let draining = shell.router.borrow_mut().take_leaving_news();
+        for chunk in draining.chunks(MAX_DRAINING_PER_DATAGRAM) {
+            let mut outgoing = message(&shell, Vec::new(), Vec::new());
+            outgoing.draining = chunk.to_vec();
+            let group = shell.peers.borrow().group_peers();
+            send(&socket, &group, vec![outgoing]).await;
         }
         let limits = shell.router.borrow_mut().take_limit_news(now);
         if !servers.is_empty() || !limits.is_empty() {
-            let near = shell.peers.borrow().near();
-            let told = with_limits(&shell, messages(&shell, servers, work), limits);
-            tell(&socket, &near, told).await;
+            let group = shell.peers.borrow().group_peers();
+            let outgoing = with_limits(&shell, messages(&shell, servers, work), limits);
+            send(&socket, &group, outgoing).await;
         }
-        greet(&shell, &socket).await;
+        sync_new_peers(&shell, &socket).await;
         if !news.is_empty() {
-            // Such a request may come to any entry.
-            let all = shell.peers.borrow().all();
-            tell(&socket, &all, with_news(&shell, Vec::new(), &news)).await;
+            // Any node may receive such a request.
+            let all = shell.peers.borrow().all_peers();
+            send(&socket, &all, with_suspects(&shell, Vec::new(), &news)).await;
         }
     }
 }
 
-/// Adds what is told of servers that name limits, to the first message if it fits.
+/// Adds servers with rate limits, to the first message as far as they fit.
 fn with_limits(
     shell: &Shell,
     mut messages: Vec<PeerMessage>,
     mut limits: Vec<ToldLimit>,
 ) -> Vec<PeerMessage> {
-    while limits.len() > MAX_LIMITS {
-        let mut told = message(shell, Vec::new(), Vec::new());
-        told.limits = limits.split_off(limits.len() - MAX_LIMITS);
-        messages.push(told);
+    while limits.len() > MAX_LIMITS_PER_DATAGRAM {
+        let mut outgoing = message(shell, Vec::new(), Vec::new());
+        outgoing.limits = limits.split_off(limits.len() - MAX_LIMITS_PER_DATAGRAM);
+        messages.push(outgoing);
     }
     if let Some(first) = messages.first_mut() {
         first.limits = limits;
@@ -180,117 +179,116 @@
     messages
 }
 
-/// Tells entries that just started what servers said of themselves, before their next
-/// heartbeat: they would send to those that leave, or more than a limit allows.
-async fn greet(shell: &Rc<Shell>, socket: &UdpSocket) {
-    let to_greet = shell.peers.borrow_mut().take_to_greet();
-    if to_greet.is_empty() {
+/// Sends the known server notices to nodes that just started, before the next
+/// heartbeat: otherwise they would send to draining servers or exceed rate limits.
+async fn sync_new_peers(shell: &Rc<Shell>, socket: &UdpSocket) {
+    let pending_sync = shell.peers.borrow_mut().take_pending_sync();
+    if pending_sync.is_empty() {
         return;
     }
-    let told = heartbeat(shell, Vec::new(), Vec::new(), Told::All);
-    tell(socket, &to_greet, told).await;
+    let outgoing = heartbeat_messages(shell, Vec::new(), Vec::new(), Told::All);
+    send(socket, &pending_sync, outgoing).await;
 }
 
-/// Returns the messages that say that this entry lives, and what servers said to it.
-fn heartbeat(
+/// Returns heartbeat messages, with the known server notices.
+fn heartbeat_messages(
     shell: &Shell,
     servers: Vec<u32>,
     work: Vec<PeerWork>,
     limits: Told,
 ) -> Vec<PeerMessage> {
-    let mut told = messages(shell, servers, work);
-    if let Some(first) = told.first_mut() {
+    let mut outgoing = messages(shell, servers, work);
+    if let Some(first) = outgoing.first_mut() {
         first.from = Some(shell.presence_record());
-        // A datagram may have been lost, and an entry may have started since.
+        // Repeated since datagrams may be lost and nodes may have started since.
         let router = shell.router.borrow();
-        first.leaving = router.fleet().leaving_to_tell(MAX_LEAVING);
+        first.draining = router.fleet().leaving_to_tell(MAX_DRAINING_PER_DATAGRAM);
         first.limits = router
             .fleet()
-            .limits_to_tell(limits, MAX_LIMITS, shell.now());
+            .limits_to_tell(limits, MAX_LIMITS_PER_DATAGRAM, shell.now());
     }
-    told
+    outgoing
 }
 
-/// Says for ever that this entry lives.
-pub(crate) async fn heartbeats(shell: Rc<Shell>, socket: Rc<UdpSocket>) {
+/// Sends heartbeats forever.
+pub(crate) async fn send_heartbeats(shell: Rc<Shell>, socket: Rc<UdpSocket>) {
     let mut beat = 0u32;
     loop {
         let now = shell.now();
-        let (servers, work) = match beat % WHOLE_EVERY {
+        let (servers, work) = match beat % FULL_UPDATE_HEARTBEATS {
             0 => shell.router.borrow().all_own_work(now),
             _ => (Vec::new(), Vec::new()),
         };
-        let told = heartbeat(&shell, servers, work, Told::FirstHand);
-        let whole = beat % WHOLE_EVERY == 0;
+        let outgoing = heartbeat_messages(&shell, servers, work, Told::FirstHand);
+        let whole = beat % FULL_UPDATE_HEARTBEATS == 0;
         let news = shell.router.borrow().quarantine().retold(whole, now);
-        let to = shell.peers.borrow_mut().next_heartbeat_to();
-        tell(&socket, &to, with_news(&shell, told, &news)).await;
-        shell.peers.borrow_mut().greet_again();
-        greet(&shell, &socket).await;
+        let to = shell.peers.borrow_mut().next_heartbeat_targets();
+        send(&socket, &to, with_suspects(&shell, outgoing, &news)).await;
+        shell.peers.borrow_mut().repeat_sync();
+        sync_new_peers(&shell, &socket).await;
         beat = beat.wrapping_add(1);
-        watch_peers(&shell);
-        let pause = shell.peers.borrow().heartbeat();
+        expire_peers(&shell);
+        let pause = shell.peers.borrow().heartbeat_interval();
         monoio::time::sleep(pause).await;
     }
 }
 
-/// Tells peers at once that this entry stops.
-pub(crate) async fn tell_stopping(shell: &Shell, socket: &UdpSocket) {
+/// Notifies all peers that this node is stopping.
+pub(crate) async fn publish_stopping(shell: &Shell, socket: &UdpSocket) {
     debug_assert!(shell.stopping.get() != Stopping::No);
-    let mut told = message(shell, Vec::new(), Vec::new());
-    told.from = Some(shell.presence_record());
-    let all = shell.peers.borrow().all();
-    tell(socket, &all, vec![told]).await;
+    let mut outgoing = message(shell, Vec::new(), Vec::new());
+    outgoing.from = Some(shell.presence_record());
+    let all = shell.peers.borrow().all_peers();
+    send(socket, &all, vec![outgoing]).await;
 }
 
-/// Notices peers that fell silent and tells the router how many live.
-fn watch_peers(shell: &Rc<Shell>) {
+/// Expires unreachable peers and updates the router's view of the nodes.
+fn expire_peers(shell: &Rc<Shell>) {
     let now = shell.now();
-    let (silent, time) = {
+    let (expired, time_to_expiry) = {
         let mut peers = shell.peers.borrow_mut();
-        (peers.take_silent(now), peers.time_to_gone())
+        (peers.take_expired(now), peers.time_to_expiry())
     };
-    for peer in silent {
-        if let Some(name) = peer.near {
-            let facts = format!("entry={name} silent_ms={}", time.as_millis());
+    for peer in expired {
+        if let Some(name) = peer.name {
+            let facts = format!("entry={name} silent_ms={}", time_to_expiry.as_millis());
             LogEvent::new(LogEventKind::PeerDead, facts).emit();
         }
         shell.step(Event::PeerGone { peer: peer.number });
     }
     let alive = shell.peers.borrow().alive(now);
     shell.metrics.peers_alive.set(alive.into());
-    count_entries(shell);
+    update_node_count(shell);
 }
 
-/// Tells the router how many entries share what is allowed to all, and which group this
-/// one belongs to.
-pub(crate) fn count_entries(shell: &Rc<Shell>) {
+/// Updates the router's node count and this node's group.
+pub(crate) fn update_node_count(shell: &Rc<Shell>) {
     let servers = shell.router.borrow().fleet().largest_service();
-    shell.peers.borrow_mut().set_servers(servers);
-    let group = shell.peers.borrow_mut().regroup(shell.now());
+    shell.peers.borrow_mut().set_largest_service(servers);
+    let group = shell.peers.borrow_mut().update_group(shell.now());
     shell.step(Event::Group(group));
-    let sharing = shell.peers.borrow().sharing(shell.now());
+    let sharing = shell.peers.borrow().sharing_nodes(shell.now());
     if let Some(count) = sharing {
         shell.step(Event::Entries { count });
-        let sharing = shell.peers.borrow().sharing_servers(shell.now());
+        let sharing = shell.peers.borrow().limit_sharing(shell.now());
         shell.step(Event::Sharing(sharing));
     }
 }
 
-/// Hears peers for ever.
-pub(crate) async fn hear(shell: Rc<Shell>, socket: Rc<UdpSocket>) {
+/// Receives messages from peers forever.
+pub(crate) async fn receive_messages(shell: Rc<Shell>, socket: Rc<UdpSocket>) {
     const PAUSE: Duration = Duration::from_millis(50);
-    let mut buf = vec![0; MAX_DATAGRAM];
+    let mut buf = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let (received, returned) = socket.recv_from(buf).await;
         buf = returned;
         let Ok((n, from)) = received else {
-            // A port that was closed reports here; go on after a pause.
+            // A closed port at a peer is reported here.
             monoio::time::sleep(PAUSE).await;
             continue;
         };
         match ciborium::from_reader::<PeerMessage, _>(&buf[..n]) {
-            Ok(message) => heard(&shell, from, message),
+            Ok(message) => handle_message(&shell, from, message),
             Err(e) => {
                 let facts = format!("from={from} reason={e:?}");
                 LogEvent::new(LogEventKind::PeerGarbage, facts).emit();
@@ -299,7 +297,7 @@
     }
 }
 
-fn heard(shell: &Rc<Shell>, from: SocketAddr, message: PeerMessage) {
+fn handle_message(shell: &Rc<Shell>, from: SocketAddr, message: PeerMessage) {
     if from == shell.settings.peer {
         return;
     }
@@ -307,26 +305,26 @@
         ready: message.ready,
         store_up: message.store_up,
         config_version: message.config_version,
-        servers_changed: message.servers_changed,
+        newest_server_change: message.newest_server_change,
     };
     let (boot, now) = (message.boot, shell.now());
-    let heard = {
+    let update = {
         let mut peers = shell.peers.borrow_mut();
-        peers.hear(from, boot, message.from, state, now)
+        peers.receive(from, boot, message.from, state, now)
     };
-    let Some(heard) = heard else {
+    let Some(update) = update else {
         return;
     };
-    let number = heard.number;
-    if heard.is_new {
-        shell.peers.borrow_mut().add_newcomer(from);
-        shell.work_changed.raise();
+    let number = update.number;
+    if update.is_new {
+        shell.peers.borrow_mut().add_new_peer(from);
+        shell.publish_wake.notify();
     }
-    if let Some(name) = heard.appeared {
+    if let Some(name) = update.appeared {
         let facts = format!("entry={name} boot={boot}");
         LogEvent::new(LogEventKind::PeerAlive, facts).emit();
     }
-    if heard.started_anew {
+    if update.restarted {
         shell.step(Event::PeerGone { peer: number });
     }
     if !message.news.is_empty() {
@@ -335,16 +333,16 @@
             news: message.news,
         });
     }
-    if !message.leaving.is_empty() {
+    if !message.draining.is_empty() {
         shell.step(Event::ToldLeaving {
-            servers: message.leaving,
+            servers: message.draining,
         });
     }
     if !message.limits.is_empty() {
         shell.step(Event::ToldLimits {
             peer: number,
-            name: heard.name,
-            near: heard.is_near,
+            name: update.name,
+            near: update.in_same_group,
             limits: message.limits,
         });
     }
--- a/crates/notchwalk_relay/src/peers.rs
+++ b/crates/notchwalk_relay/src/peers.rs
@@ -1,5 +1,5 @@
-//! The other entries as this one knows them: who lives, who takes requests, what they
-//! know, and which of them share a part of the servers with it.
+//! The peers of this node: which are reachable, which accept requests, what they have
+//! seen of the store, and which share a group of servers with this node.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -13,118 +13,115 @@
 
 use crate::presence_record::PresenceRecord;
 
-/// How often an entry says that it lives, among up to [`FEW_ENTRIES`].
-const HEARTBEAT: Duration = Duration::from_millis(250);
-/// Entries of a group up to which heartbeats come at that pace; among more of them
-/// they come more slowly, so that an entry hears about as many a second.
-const FEW_ENTRIES: usize = 12;
-/// The slowest pace, as a multiple of [`HEARTBEAT`].
-const SLOWEST_PACE: f64 = 4.0;
-/// Heartbeats that a peer misses before it gets no callers.
-const MISSED_FOR_SILENCE: u32 = 4;
-/// Heartbeats that a peer misses before it no longer counts for shares and its
-/// work is forgotten, and the least time for that: a process that was killed is
-/// back within it.
-const MISSED_FOR_GONE: u32 = 6;
-const LEAST_FOR_GONE: Duration = Duration::from_secs(3);
-/// How long a silent entry counts among those that share what is allowed to all:
-/// longer than cuts and restarts last, and short enough that records of VMs that
-/// are gone for good don't add up.
-const SHARES_FOR: Duration = Duration::from_secs(600);
-/// Entries of a group that follow the store's changes for it, at least; the rest
-/// read when one of them knows of something newer. So many that a failure of some
-/// VMs leaves others of them in touch.
-const FEWEST_FOLLOWERS: usize = 6;
-/// The same as a part of the group: one in so many.
-const FOLLOWERS_ONE_IN: usize = 6;
-/// Entries of other groups that each heartbeat goes to, in turn: what is new spreads
-/// over all groups within seconds, for a bounded number of datagrams.
-const OTHERS_A_BEAT: usize = 8;
-
-/// How often an entry that was heard for the first time is greeted after the first time,
-/// once a heartbeat.
-const GREETED_AGAIN: u32 = 2;
-
-/// What a message says of its sender's state.
+/// Heartbeat interval in groups of up to [`BASE_INTERVAL_GROUP_SIZE`] nodes.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
+/// Largest group with the base heartbeat interval; in larger ones the interval grows
+/// with the size, so that the received message rate stays about constant.
+const BASE_INTERVAL_GROUP_SIZE: usize = 12;
+/// The largest heartbeat interval, as a multiple of [`HEARTBEAT_INTERVAL`].
+const MAX_INTERVAL_FACTOR: f64 = 4.0;
+/// Missed heartbeats after which a peer is omitted from the directory.
+const MISSED_UNTIL_UNREACHABLE: u32 = 4;
+/// Missed heartbeats after which a peer expires: its work is discarded and it no longer
+/// counts as alive.
+const MISSED_UNTIL_EXPIRY: u32 = 6;
+/// Minimum time until a peer expires; exceeds that of a process restart.
+const MIN_TIME_TO_EXPIRY: Duration = Duration::from_secs(3);
+/// How long an unreachable node still counts towards shared limits: longer than network
+/// partitions and restarts last, short enough that records of removed VMs don't
+/// accumulate.
+const SHARE_RETENTION: Duration = Duration::from_secs(600);
+/// Minimum number of nodes per group that follow the store's changes; the others read
+/// when one of these has seen a newer version. Enough that some remain connected if
+/// several VMs fail.
+const MIN_FOLLOWERS: usize = 6;
+/// Nodes of a group per follower.
+const NODES_PER_FOLLOWER: usize = 6;
+/// Peers of other groups that receive each heartbeat, in rotation: updates reach all
+/// groups within seconds at a bounded number of datagrams.
+const OTHER_PEERS_PER_HEARTBEAT: usize = 8;
+
+/// Number of heartbeats with which the state sync of a new peer is repeated.
+const SYNC_REPEATS: u32 = 2;
+
+/// The sender's state in a message.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PeerState {
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub ready: bool,
-    /// Whether the store answers it.
+    /// Whether the store responds to it.
     pub store_up: bool,
-    /// The version of its configuration.
     pub config_version: u64,
-    /// The newest change of the register of servers that it saw.
-    pub servers_changed: StoreVersion,
+    /// The newest change of the server table that it saw.
+    pub newest_server_change: StoreVersion,
 }
 
-/// What hearing a peer came to.
-pub(crate) struct Heard {
-    /// The peer's number on this entry.
+/// The effect of a received message on the peer table.
+pub(crate) struct PeerUpdate {
+    /// The peer's number on this node.
     pub number: u32,
-    /// Its name.
     pub name: String,
-    /// Whether it had not been heard, or started anew.
+    /// Whether the peer is new or restarted.
     pub is_new: bool,
-    /// Whether it is of this entry's group.
-    pub is_near: bool,
-    /// Its name, if it had not been heard and shares servers with this entry.
+    /// Whether it is in this node's group.
+    pub in_same_group: bool,
+    /// The peer's name, if it is new or restarted and in this node's group.
     pub appeared: Option<String>,
-    /// Whether it started anew, so that what it told before is void.
-    pub started_anew: bool,
+    /// Whether it restarted, which invalidates its earlier updates.
+    pub restarted: bool,
 }
 
-/// A peer that fell silent.
-pub(crate) struct Silent {
-    /// The peer's number on this entry.
+/// A peer that expired.
+pub(crate) struct ExpiredPeer {
+    /// The peer's number on this node.
     pub number: u32,
-    /// Its name, if it shares servers with this entry: others are heard now and then.
-    pub near: Option<String>,
+    /// Its name, if it is in this node's group; peers of other groups send heartbeats
+    /// too rarely to be logged.
+    pub name: Option<String>,
 }
 
 #[derive(Debug)]
 struct Peer {
     number: u32,
     record: PresenceRecord,
-    heard: Option<Instant>,
-    /// When it was last heard, or else put on record here.
-    known: Instant,
+    last_seen: Option<Instant>,
+    /// When the last message arrived, or else when the record was found.
+    last_known: Instant,
     state: PeerState,
 }
 
-/// The other entries, by the address that peers reach them at.
+/// The peer table, keyed by peer address.
 #[derive(Debug, Default)]
 pub(crate) struct Peers {
-    own: String,
+    own_name: String,
     by_addr: HashMap<SocketAddr, Peer>,
     next_number: u32,
-    /// Whether the records of all entries were read.
+    /// Whether the presence records of all nodes were read.
     records_read: bool,
-    /// Servers of the largest service.
-    servers: usize,
+    /// Size of the largest service, in servers.
+    largest_service: usize,
     group: Group,
-    /// The other entries of this one's group.
-    near: HashSet<SocketAddr>,
-    /// All others, and whose turn it is.
-    far: Vec<SocketAddr>,
-    next_far: usize,
-    /// Entries to be told at once what is known here.
-    to_greet: Vec<SocketAddr>,
-    /// Entries that were heard for the first time lately, and how often they are still
-    /// to be greeted.
-    newcomers: Vec<(SocketAddr, u32)>,
+    /// The peers in this node's group.
+    group_peers: HashSet<SocketAddr>,
+    /// The peers in other groups, and the position in their rotation.
+    other_peers: Vec<SocketAddr>,
+    next_other: usize,
+    /// Peers to send a state sync to.
+    pending_sync: Vec<SocketAddr>,
+    /// New peers, and how often their state sync is still to be repeated.
+    new_peers: Vec<(SocketAddr, u32)>,
 }
 
 impl Peers {
-    /// Builds the peers of the entry with this name.
-    pub fn new(own: &str) -> Self {
+    /// Builds the peer table of the node with this name.
+    pub fn new(own_name: &str) -> Self {
         Self {
-            own: own.to_owned(),
+            own_name: own_name.to_owned(),
             ..Self::default()
         }
     }
 
-    /// Adds an entry that is on record.
+    /// Adds a peer found by its presence record.
     pub fn add(&mut self, record: &PresenceRecord, now: Instant) {
         if self.by_addr.contains_key(&record.peer) {
             return;
@@ -133,166 +130,171 @@
         let peer = Peer {
             number: self.next_number,
             record: record.clone(),
-            heard: None,
-            known: now,
+            last_seen: None,
+            last_known: now,
             state: PeerState {
                 ready: false,
                 store_up: false,
                 config_version: 0,
-                servers_changed: StoreVersion::default(),
+                newest_server_change: StoreVersion::default(),
             },
         };
         self.by_addr.insert(record.peer, peer);
-        self.regroup(now);
+        self.update_group(now);
     }
 
-    /// Sets how many servers the largest service has.
-    pub fn set_servers(&mut self, servers: usize) {
-        self.servers = servers;
+    /// Sets the size of the largest service, in servers.
+    pub fn set_largest_service(&mut self, largest_service: usize) {
+        self.largest_service = largest_service;
     }
 
-    /// Finds the group of this entry and who else is in it, from the entries that are
-    /// on record and were heard or found lately.
-    pub fn regroup(&mut self, now: Instant) -> Group {
-        let since = now.before(SHARES_FOR);
-        let lately = self.by_addr.iter().filter(|(_, peer)| peer.known >= since);
-        let mut order: Vec<((u32, &str), Option<SocketAddr>)> = lately
+    /// Recomputes the group of this node and its members from the peers seen or
+    /// registered recently.
+    pub fn update_group(&mut self, now: Instant) -> Group {
+        let since = now.before(SHARE_RETENTION);
+        let recent = self
+            .by_addr
+            .iter()
+            .filter(|(_, peer)| peer.last_known >= since);
+        let mut order: Vec<((u32, &str), Option<SocketAddr>)> = recent
             .map(|(&addr, peer)| (entry_order(&peer.record.name), Some(addr)))
             .collect();
-        order.push((entry_order(&self.own), None));
+        order.push((entry_order(&self.own_name), None));
         order.sort();
-        let entries = order.len();
+        let nodes = order.len();
         let place = order.iter().position(|(_, addr)| addr.is_none());
-        let group = Group::of_place(place.unwrap_or(0), entries, self.servers);
-        let (mut near, mut far) = (HashSet::new(), Vec::new());
+        let group = Group::of_place(place.unwrap_or(0), nodes, self.largest_service);
+        let (mut group_peers, mut other_peers) = (HashSet::new(), Vec::new());
         for (place, (_, addr)) in order.into_iter().enumerate() {
             match addr {
-                Some(addr) if Group::of_place(place, entries, self.servers) == group => {
-                    near.insert(addr);
+                Some(addr) if Group::of_place(place, nodes, self.largest_service) == group => {
+                    group_peers.insert(addr);
                 }
-                Some(addr) => far.push(addr),
+                Some(addr) => other_peers.push(addr),
                 None => {}
             }
         }
-        (self.near, self.far, self.group) = (near, far, group);
+        (self.group_peers, self.other_peers, self.group) = (group_peers, other_peers, group);
         group
     }
 
-    /// Returns the entries of this one's group, it included.
+    /// Returns the size of this node's group, including itself.
     fn group_size(&self) -> usize {
-        self.near.len() + 1
+        self.group_peers.len() + 1
     }
 
-    /// Returns how often this entry says that it lives.
-    pub fn heartbeat(&self) -> Duration {
-        let pace = (self.group_size() as f64 / FEW_ENTRIES as f64).clamp(1.0, SLOWEST_PACE);
-        HEARTBEAT.mul_f64(pace)
+    /// Returns this node's heartbeat interval.
+    pub fn heartbeat_interval(&self) -> Duration {
+        let factor = (self.group_size() as f64 / BASE_INTERVAL_GROUP_SIZE as f64)
+            .clamp(1.0, MAX_INTERVAL_FACTOR);
+        HEARTBEAT_INTERVAL.mul_f64(factor)
     }
 
-    /// Returns how long a peer may be silent until it counts as gone.
-    pub fn time_to_gone(&self) -> Duration {
-        (self.heartbeat() * MISSED_FOR_GONE).max(LEAST_FOR_GONE)
+    /// Returns the time without messages after which a peer expires.
+    pub fn time_to_expiry(&self) -> Duration {
+        (self.heartbeat_interval() * MISSED_UNTIL_EXPIRY).max(MIN_TIME_TO_EXPIRY)
     }
 
-    fn heard_since(&self, since: Instant) -> impl Iterator<Item = &Peer> {
+    fn seen_since(&self, since: Instant) -> impl Iterator<Item = &Peer> {
         let peers = self.by_addr.values();
-        peers.filter(move |peer| peer.heard.is_some_and(|heard| heard >= since))
+        peers.filter(move |peer| peer.last_seen.is_some_and(|last_seen| last_seen >= since))
     }
 
-    /// Returns the peers that were heard lately.
-    fn lively(&self, now: Instant) -> impl Iterator<Item = &Peer> {
-        self.heard_since(now.before(self.heartbeat() * MISSED_FOR_SILENCE))
+    /// Returns the peers with recent messages.
+    fn reachable(&self, now: Instant) -> impl Iterator<Item = &Peer> {
+        self.seen_since(now.before(self.heartbeat_interval() * MISSED_UNTIL_UNREACHABLE))
     }
 
-    /// Returns the addresses for callers of the peers that take requests.
+    /// Returns the caller addresses of reachable peers that accept requests.
     pub fn ready(&self, now: Instant) -> Vec<SocketAddr> {
-        let ready = self.lively(now).filter(|peer| peer.state.ready);
+        let ready = self.reachable(now).filter(|peer| peer.state.ready);
         ready.map(|peer| peer.record.caller).collect()
     }
 
-    /// Returns how many peers live, as far as this entry hears them.
+    /// Returns the number of peers that have not expired.
     pub fn alive(&self, now: Instant) -> u32 {
-        self.heard_since(now.before(self.time_to_gone())).count() as u32
+        self.seen_since(now.before(self.time_to_expiry())).count() as u32
     }
 
-    /// Returns how many entries share what is allowed to all, this one included;
-    /// `None` before the records of entries were read. Those that are on record
-    /// count until they were silent for long: one that isn't heard, after a start
-    /// or a cut, may repeat sends all the same.
-    pub fn sharing(&self, now: Instant) -> Option<u32> {
-        let since = now.before(SHARES_FOR);
+    /// Returns the number of nodes that share limits, including this one; `None` before
+    /// the presence records were read. Unreachable nodes count until the retention
+    /// period ends: after a start or a partition they may still send.
+    pub fn sharing_nodes(&self, now: Instant) -> Option<u32> {
+        let since = now.before(SHARE_RETENTION);
         let peers = self.by_addr.values();
-        let sharing = peers.filter(|peer| peer.known >= since);
+        let sharing = peers.filter(|peer| peer.last_known >= since);
         self.records_read.then(|| sharing.count() as u32 + 1)
     }
 
-    /// Notes that the records of all entries were read; returns whether that is new.
-    pub fn note_records_read(&mut self) -> bool {
+    /// Marks the presence records as read; returns whether this is the first time.
+    pub fn mark_records_read(&mut self) -> bool {
         !std::mem::replace(&mut self.records_read, true)
     }
 
-    /// Returns the newest configuration that a peer has.
+    /// Returns the newest configuration version of any peer.
     pub fn newest_config(&self) -> u64 {
         let peers = self.by_addr.values();
         let versions = peers.map(|peer| peer.state.config_version);
         versions.max().unwrap_or(0)
     }
 
-    /// Returns the newest change of the register of servers that a peer saw.
-    pub fn newest_change_of_servers(&self) -> StoreVersion {
+    /// Returns the newest change of the server table that any peer saw.
+    pub fn newest_server_change(&self) -> StoreVersion {
         let peers = self.by_addr.values();
-        let versions = peers.map(|peer| peer.state.servers_changed);
+        let versions = peers.map(|peer| peer.state.newest_server_change);
         versions.max().unwrap_or_default()
     }
 
-    /// Tells whether this entry should follow the store's changes itself: it is one
-    /// of the first of its group by name among those that the store answers.
+    /// Returns whether this node should follow the store's changes itself: it is among
+    /// the first of its group by name to which the store responds.
     pub fn is_follower(&self, now: Instant) -> bool {
-        let own = self.own.as_str();
-        let near = |peer: &&Peer| self.near.contains(&peer.record.peer);
-        let before = self.lively(now).filter(near);
-        let before = before.filter(|peer| peer.state.store_up && peer.record.name.as_str() < own);
-        before.count() < FEWEST_FOLLOWERS.max(self.group_size() / FOLLOWERS_ONE_IN)
+        let own_name = self.own_name.as_str();
+        let in_group = |peer: &&Peer| self.group_peers.contains(&peer.record.peer);
+        let before = self.reachable(now).filter(in_group);
+        let before =
+            before.filter(|peer| peer.state.store_up && peer.record.name.as_str() < own_name);
+        before.count() < MIN_FOLLOWERS.max(self.group_size() / NODES_PER_FOLLOWER)
     }
 
-    /// Returns how many entries live whose names come before this one's.
+    /// Returns the number of reachable peers whose names sort before this node's.
     pub fn rank(&self, now: Instant) -> u32 {
-        let own = self.own.as_str();
-        let before = self.lively(now);
-        let before = before.filter(|peer| peer.record.name.as_str() < own);
+        let own_name = self.own_name.as_str();
+        let before = self.reachable(now);
+        let before = before.filter(|peer| peer.record.name.as_str() < own_name);
         before.count() as u32
     }
 
-    /// Returns the entries of this one's group.
-    pub fn near(&self) -> Vec<SocketAddr> {
-        self.near.iter().copied().collect()
+    /// Returns the addresses of the peers in this node's group.
+    pub fn group_peers(&self) -> Vec<SocketAddr> {
+        self.group_peers.iter().copied().collect()
     }
 
-    /// Returns all other entries.
-    pub fn all(&self) -> Vec<SocketAddr> {
+    /// Returns the addresses of all peers.
+    pub fn all_peers(&self) -> Vec<SocketAddr> {
         self.by_addr.keys().copied().collect()
     }
 
-    /// Returns whom the next heartbeat goes to: the group, and some of the others.
-    pub fn next_heartbeat_to(&mut self) -> Vec<SocketAddr> {
-        let mut to = self.near();
-        for _ in 0..OTHERS_A_BEAT.min(self.far.len()) {
-            self.next_far = (self.next_far + 1) % self.far.len();
-            to.push(self.far[self.next_far]);
+    /// Returns the targets of the next heartbeat: the group, and some of the other
+    /// peers.
+    pub fn next_heartbeat_targets(&mut self) -> Vec<SocketAddr> {
+        let mut targets = self.group_peers();
+        for _ in 0..OTHER_PEERS_PER_HEARTBEAT.min(self.other_peers.len()) {
+            self.next_other = (self.next_other + 1) % self.other_peers.len();
+            targets.push(self.other_peers[self.next_other]);
         }
-        to
+        targets
     }
 
-    /// Notes a message. `None` says that it is of a life that ended, or that its sender
-    /// is not known yet: its next heartbeat says who it is.
-    pub fn hear(
+    /// Applies a message to the peer table. Returns `None` for messages of a former
+    /// boot and of unknown senders; the next heartbeat introduces those.
+    pub fn receive(
         &mut self,
         from: SocketAddr,
         boot: u64,
         record: Option<PresenceRecord>,
         state: PeerState,
         now: Instant,
-    ) -> Option<Heard> {
+    ) -> Option<PeerUpdate> {
         if let Some(record) = &record {
             self.add(record, now);
         }
@@ -300,78 +302,76 @@
         if boot < peer.record.boot {
             return None;
         }
-        let started_anew = boot > peer.record.boot;
-        let appeared = peer.heard.is_none() || started_anew;
+        let restarted = boot > peer.record.boot;
+        let appeared = peer.last_seen.is_none() || restarted;
         peer.record.boot = boot;
         if let Some(record) = record {
             peer.record = record;
         }
-        peer.heard = Some(now);
-        peer.known = now;
+        peer.last_seen = Some(now);
+        peer.last_known = now;
         peer.state = state;
-        let is_near = self.near.contains(&from);
-        Some(Heard {
+        let in_same_group = self.group_peers.contains(&from);
+        Some(PeerUpdate {
             number: peer.number,
             name: peer.record.name.clone(),
             is_new: appeared,
-            is_near,
-            appeared: (appeared && is_near).then(|| peer.record.name.clone()),
-            started_anew,
+            in_same_group,
+            appeared: (appeared && in_same_group).then(|| peer.record.name.clone()),
+            restarted,
         })
     }
 
-    /// Notes an entry that was heard for the first time.
-    pub fn add_newcomer(&mut self, addr: SocketAddr) {
-        self.to_greet.push(addr);
-        self.newcomers.push((addr, GREETED_AGAIN));
+    /// Schedules the state sync of a new peer.
+    pub fn add_new_peer(&mut self, addr: SocketAddr) {
+        self.pending_sync.push(addr);
+        self.new_peers.push((addr, SYNC_REPEATS));
     }
 
-    /// Has entries that were heard for the first time lately greeted once more: a
-    /// datagram may have been lost.
-    pub fn greet_again(&mut self) {
-        self.to_greet
-            .extend(self.newcomers.iter().map(|(addr, _)| *addr));
-        self.newcomers.retain_mut(|(_, left)| {
+    /// Schedules the repeated state sync of new peers, since datagrams may be lost.
+    pub fn repeat_sync(&mut self) {
+        self.pending_sync
+            .extend(self.new_peers.iter().map(|(addr, _)| *addr));
+        self.new_peers.retain_mut(|(_, left)| {
             *left -= 1;
             *left > 0
         });
     }
 
-    /// Has the entries of this one's group told that it is here.
-    pub fn greet_near(&mut self) {
-        self.to_greet.extend(&self.near);
+    /// Schedules a state sync of all peers in this node's group.
+    pub fn sync_group(&mut self) {
+        self.pending_sync.extend(&self.group_peers);
     }
 
-    /// Takes the entries that are to be told at once what is known here.
-    pub fn take_to_greet(&mut self) -> Vec<SocketAddr> {
-        std::mem::take(&mut self.to_greet)
+    /// Takes the peers to send a state sync to.
+    pub fn take_pending_sync(&mut self) -> Vec<SocketAddr> {
+        std::mem::take(&mut self.pending_sync)
     }
 
-    /// Returns who shares what servers allow: the entries of this one's group that are
-    /// on record, and those of them that are heard. One that is not heard may send all
-    /// the same.
-    pub fn sharing_servers(&self, now: Instant) -> Sharing {
-        let near = |peer: &&Peer| self.near.contains(&peer.record.peer);
-        let heard = self.lively(now).filter(near).count() as u32 + 1;
-        Sharing::new(&self.own, self.group_size() as u32, heard)
+    /// Returns who shares the rate limits of servers: the registered nodes of this
+    /// group, and how many of them are reachable. Unreachable ones may still send.
+    pub fn limit_sharing(&self, now: Instant) -> Sharing {
+        let in_group = |peer: &&Peer| self.group_peers.contains(&peer.record.peer);
+        let reachable = self.reachable(now).filter(in_group).count() as u32 + 1;
+        Sharing::new(&self.own_name, self.group_size() as u32, reachable)
     }
 
-    /// Takes the peers that fell silent since the last call.
-    pub fn take_silent(&mut self, now: Instant) -> Vec<Silent> {
-        let since = now.before(self.time_to_gone());
-        let mut silent = Vec::new();
+    /// Takes the peers that expired since the last call.
+    pub fn take_expired(&mut self, now: Instant) -> Vec<ExpiredPeer> {
+        let since = now.before(self.time_to_expiry());
+        let mut expired = Vec::new();
         for (addr, peer) in &mut self.by_addr {
-            if peer.heard.is_none_or(|heard| heard >= since) {
+            if peer.last_seen.is_none_or(|last_seen| last_seen >= since) {
                 continue;
             }
-            peer.heard = None;
+            peer.last_seen = None;
             peer.state.ready = false;
-            let near = self.near.contains(addr);
-            silent.push(Silent {
+            let in_group = self.group_peers.contains(addr);
+            expired.push(ExpiredPeer {
                 number: peer.number,
-                near: near.then(|| peer.record.name.clone()),
+                name: in_group.then(|| peer.record.name.clone()),
             });
         }
-        silent
+        expired
     }
 }
--- a/crates/notchwalk_relay/src/presence_record.rs
+++ b/crates/notchwalk_relay/src/presence_record.rs
@@ -1,21 +1,21 @@
-//! The record by which entries find each other.
+//! The record by which nodes discover each other.
 
 use std::net::SocketAddr;
 
 use serde_tuple::{Deserialize_tuple, Serialize_tuple};
 
-/// The table that holds the records, and what else an entry reads at its start.
-pub(crate) const TABLE: &str = "entries";
+/// The table of presence records and quarantines, which nodes read when they start.
+pub(crate) const PRESENCE_TABLE: &str = "entries";
 
-/// What an entry says of itself.
+/// The presence of a node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
 pub(crate) struct PresenceRecord {
-    /// The VM's name.
+    /// The name of the VM.
     pub name: String,
-    /// Rises with each start on that VM.
+    /// Boot number; rises with each start on that VM.
     pub boot: u64,
-    /// Where peers reach it.
+    /// Address for messages from peers.
     pub peer: SocketAddr,
-    /// Where callers reach it.
+    /// Address for callers.
     pub caller: SocketAddr,
 }
--- a/crates/notchwalk_relay/src/quarantine.rs
+++ b/crates/notchwalk_relay/src/quarantine.rs
@@ -1,9 +1,9 @@
-//! Logs, counts and keeps what the router finds out about requests under which
-//! servers ended.
+//! Logs, counts and persists the router's findings about requests that crash servers.
 //!
-//! Quarantines are kept in the platform's store, since entries forget all when all
-//! of them lose power, and each request would cost three servers more. They stand
-//! in the table of the entries' records, which each entry reads at its start anyway.
+//! Quarantines are persisted in the platform's store: if all nodes restart together,
+//! each such request would otherwise crash further servers before it is quarantined
+//! again. They share the table of presence records, which each node reads when it
+//! starts.
 
 use std::{collections::HashSet, io::ErrorKind, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -16,18 +16,18 @@
 use notchwalk_route::{Event, Fleet};
 use serde_tuple::{Deserialize_tuple, Serialize_tuple};
 
-use crate::{presence_record::TABLE, shell::Shell};
+use crate::{presence_record::PRESENCE_TABLE, shell::Shell};
 
-/// What keys of quarantines begin with; names of entries hold no slash.
+/// Key prefix of quarantines; names of nodes contain no slash.
 const KEY_PREFIX: &str = "quarantine/";
-/// How long after its end a row stays for others to see, before whoever reads it
-/// removes it.
-const KEPT_AFTER_END: Duration = Duration::from_secs(3_600);
+/// How long an ended quarantine's row is retained before a node that reads it removes
+/// it.
+const RETENTION_AFTER_END: Duration = Duration::from_secs(3_600);
 
-/// A quarantine as the store keeps it.
+/// A persisted quarantine.
 #[derive(Debug, Serialize_tuple, Deserialize_tuple)]
 struct QuarantineRow {
-    /// When it ends, by the store's clock, in milliseconds.
+    /// When it ends, by the store's clock, in milliseconds since its origin.
     until_ms: u64,
     /// How often the content was quarantined.
     times: u32,
@@ -37,13 +37,13 @@
     format!("{KEY_PREFIX}{content}")
 }
 
-/// Tells whether a row holds a quarantine.
+/// Returns whether a row holds a quarantine.
 pub(crate) fn is_quarantine(row: &Row) -> bool {
     row.key.starts_with(KEY_PREFIX)
 }
 
-/// Carries out what follows from a finding.
-pub(crate) fn found(shell: &Rc<Shell>, finding: Finding) {
+/// Logs, counts and persists a finding.
+pub(crate) fn handle_finding(shell: &Rc<Shell>, finding: Finding) {
     match finding {
         Finding::Crashed {
             content,
@@ -53,7 +53,11 @@
         Finding::Quarantined(quarantined) => {
             log_quarantined(shell, &quarantined);
             if quarantined.own {
-                monoio::spawn(keep(shell.clone(), quarantined.content, quarantined.times));
+                monoio::spawn(persist(
+                    shell.clone(),
+                    quarantined.content,
+                    quarantined.times,
+                ));
             }
         }
         Finding::Ended { content, reason } => {
@@ -66,14 +70,14 @@
     }
 }
 
-/// Finds out whether anybody listens at a server's address. Only a refusal says that
-/// nobody does: a cut link is no end of the server.
-pub(crate) async fn check(shell: Rc<Shell>, server: u32, addr: SocketAddr) {
+/// Probes whether a server's address accepts connections. Only a refused connection
+/// proves that nothing listens; a network partition does not.
+pub(crate) async fn probe(shell: Rc<Shell>, server: u32, addr: SocketAddr) {
     match shell.client.connection(addr, Reuse::Fresh).await {
         Err(HttpError::Connect(e)) if e.kind() == ErrorKind::ConnectionRefused => {
             shell.step(Event::NotListening { server });
         }
-        Err(e) => log::debug!("whether {addr} listens is not known: {e}"),
+        Err(e) => log::debug!("could not determine whether {addr} accepts connections: {e}"),
         Ok(_) => {}
     }
 }
@@ -113,7 +117,7 @@
     LogEvent::new(LogEventKind::RequestQuarantined, facts).emit();
 }
 
-/// Returns a server's instance, or the short id of one that is gone.
+/// Returns a server's instance id, or the short id of a removed one.
 fn server_name(fleet: &Fleet, tag: u32) -> String {
     let known = fleet.by_tag(tag).and_then(|key| fleet.get(key));
     known.map_or_else(
@@ -122,8 +126,8 @@
     )
 }
 
-/// Keeps a quarantine in the store, as often as it takes while it is in force.
-async fn keep(shell: Rc<Shell>, content: Fingerprint, times: u32) {
+/// Persists a quarantine, retrying while it is in force.
+async fn persist(shell: Rc<Shell>, content: Fingerprint, times: u32) {
     let mut backoff = Backoff::new(Duration::from_millis(200));
     loop {
         let now = shell.now();
@@ -138,47 +142,48 @@
                 return;
             }
         }
-        backoff.pause().await;
+        backoff.wait().await;
     }
 }
 
-/// Keeps the quarantines in force that the store lacks; returns how many.
-pub(crate) async fn keep_missing(shell: &Rc<Shell>, kept: &HashSet<String>) -> usize {
+/// Persists the quarantines in force that are missing from the store; returns their
+/// number.
+pub(crate) async fn persist_missing(shell: &Rc<Shell>, stored: &HashSet<String>) -> usize {
     let now = shell.now();
     let missing: Vec<(Fingerprint, u32)> = {
         let router = shell.router.borrow();
         let suspects = router.quarantine().suspects(now).into_iter();
         let quarantined = suspects.filter(|s| matches!(s.verdict, Verdict::Quarantined { .. }));
-        let missing = quarantined.filter(|s| !kept.contains(&key_of(s.content)));
+        let missing = quarantined.filter(|s| !stored.contains(&key_of(s.content)));
         missing.map(|s| (s.content, s.times)).collect()
     };
     for &(content, times) in &missing {
-        keep(shell.clone(), content, times).await;
+        persist(shell.clone(), content, times).await;
     }
     missing.len()
 }
 
-/// Removes a quarantine from the store, as often as it takes.
+/// Removes a quarantine from the store, retrying until it succeeds.
 async fn remove(shell: Rc<Shell>, content: Fingerprint) {
     let mut backoff = Backoff::new(Duration::from_millis(200));
     while !write(&shell, content, None).await {
-        backoff.pause().await;
+        backoff.wait().await;
     }
 }
 
-/// Returns whether the store took the row, or nothing can be written at all.
+/// Writes a quarantine's row; returns whether no retry is needed.
 async fn write(shell: &Shell, content: Fingerprint, row: Option<&QuarantineRow>) -> bool {
     let mut value = None;
     if let Some(row) = row {
         let mut buf = Vec::new();
         if let Err(e) = ciborium::into_writer(row, &mut buf) {
-            log::error!("a quarantine can't be written: {e}");
+            log::error!("can't encode a quarantine: {e}");
             return true;
         }
         value = Some(Bytes::from(buf));
     }
     let write = RowWrite {
-        table: TABLE.to_owned(),
+        table: PRESENCE_TABLE.to_owned(),
         key: key_of(content),
         value,
         expected: None,
@@ -186,40 +191,40 @@
     match shell.store.write(write).await {
         Ok(_) => true,
         Err(e) => {
-            log::debug!("the quarantine of {content} is not kept yet: {e}");
+            log::debug!("could not persist the quarantine of {content}, retrying: {e}");
             false
         }
     }
 }
 
-/// Takes a quarantine that the store kept.
-pub(crate) fn learn(shell: &Rc<Shell>, row: &Row) {
+/// Applies a persisted quarantine.
+pub(crate) fn apply_row(shell: &Rc<Shell>, row: &Row) {
     let content = row.key.strip_prefix(KEY_PREFIX).unwrap_or("").parse();
     let value = row.value.as_ref().map(|value| value.as_ref());
-    let kept = ciborium::from_reader::<QuarantineRow, _>(value.unwrap_or_default());
-    let (Ok(content), Ok(kept)) = (content, kept) else {
-        log::warn!("the quarantine in row {:?} can't be read", row.key);
+    let stored = ciborium::from_reader::<QuarantineRow, _>(value.unwrap_or_default());
+    let (Ok(content), Ok(stored)) = (content, stored) else {
+        log::warn!("can't decode the quarantine in row {:?}", row.key);
         return;
     };
     let Some(store_ms) = shell.store_ms() else {
         return;
     };
-    let left = Duration::from_millis(kept.until_ms.saturating_sub(store_ms));
+    let left = Duration::from_millis(stored.until_ms.saturating_sub(store_ms));
     if !left.is_zero() {
-        let times = kept.times;
+        let times = stored.times;
         return shell.step(Event::Restored {
             content,
             left,
             times,
         });
     }
-    let ended = Duration::from_millis(store_ms.saturating_sub(kept.until_ms));
-    if ended >= KEPT_AFTER_END {
+    let ended = Duration::from_millis(store_ms.saturating_sub(stored.until_ms));
+    if ended >= RETENTION_AFTER_END {
         monoio::spawn(remove(shell.clone(), content));
     }
 }
 
-/// Returns what is known of suspects, for operators.
+/// Returns the state of suspects for the state dump.
 pub(crate) fn state(shell: &Shell) -> Vec<serde_json::Value> {
     let (router, now) = (shell.router.borrow(), shell.now());
     let fleet = router.fleet();
@@ -239,7 +244,7 @@
                 })
             })
             .collect();
-        let (word, left) = match suspect.verdict {
+        let (label, left) = match suspect.verdict {
             Verdict::Free => ("free", None),
             Verdict::Suspected { .. } => ("suspected", None),
             Verdict::Busy => ("runs_elsewhere", None),
@@ -248,7 +253,7 @@
         };
         serde_json::json!({
             "content": suspect.content.to_string(),
-            "verdict": word,
+            "verdict": label,
             "left_ms": left.map(|left| left.as_millis() as u64),
             "times": suspect.times,
             "crashes": crashes,
--- a/crates/notchwalk_relay/src/server_watch.rs
+++ b/crates/notchwalk_relay/src/server_watch.rs
@@ -1,4 +1,4 @@
-//! Keeps the register of backend servers.
+//! Follows the table of backend servers.
 
 use std::{collections::HashMap, rc::Rc, time::Duration};
 
@@ -8,35 +8,33 @@
 
 use crate::{
     shell::Shell,
-    table_watch::{TableReader, WAIT},
+    table_watch::{TableReader, POLL_WAIT},
 };
 
-/// How long records that lapsed while the store was away may take to come
-/// back, before their servers are taken as gone: about two seconds.
-const RETURN_TIME: Duration = Duration::from_millis(1_800);
+/// How long servers have to renew registrations that lapsed during an outage of the
+/// store before they are removed.
+const RENEWAL_GRACE: Duration = Duration::from_millis(1_800);
 
-/// Outages shorter than this make no record lapse: servers renew theirs about
-/// once a second and three renewals must fail.
-const LAPSE_TIME: Duration = Duration::from_millis(1_000);
+/// Shortest outage of the store in which registrations can lapse: servers renew about
+/// once a second, and three renewals must fail.
+const MIN_LAPSE_OUTAGE: Duration = Duration::from_millis(1_000);
 
-/// Reads the table of backend servers.
 pub(crate) struct ServerReader {
     shell: Rc<Shell>,
-    /// Servers whose records lapsed while the store was away, and when they
-    /// are taken as gone.
+    /// Servers whose registrations lapsed during an outage, and when they are removed.
     missing: HashMap<String, Instant>,
-    /// Until when a record that is missing may be one that lapsed.
-    doubt_until: Instant,
-    /// Whether the table is read for the first time since the store came back from an
-    /// older copy: its records may be of lives that ended.
-    reads_copy: bool,
-    known: HashMap<String, KnownServer>,
+    /// Until when a missing registration may have lapsed due to an outage.
+    grace_until: Instant,
+    /// Whether the table is read for the first time since the store was restored from a
+    /// snapshot: its rows may be of former incarnations.
+    reading_snapshot: bool,
+    known: HashMap<String, RegisteredServer>,
 }
 
-/// A server on record.
-struct KnownServer {
+/// A registered server.
+struct RegisteredServer {
     record: ServerRecord,
-    /// The version of its row: an older one that comes later says nothing.
+    /// The version of its row; older ones that arrive later are ignored.
     version: StoreVersion,
 }
 
@@ -45,20 +43,20 @@
         Self {
             shell,
             missing: HashMap::new(),
-            doubt_until: Instant::ZERO,
-            reads_copy: false,
+            grace_until: Instant::ZERO,
+            reading_snapshot: false,
             known: HashMap::new(),
         }
     }
 
-    /// Reads a record. One that says less than before of a server that tells when
-    /// it started has another writer.
+    /// Decodes a registration. One that lacks the start time that an earlier one had is
+    /// rejected, since it has another writer.
     fn record(&self, row: &Row) -> Option<ServerRecord> {
         let record = self.shell.dialect.server(row);
         let known = self.known.get(&row.key);
-        let told_birth = known.is_some_and(|known| known.record.born.is_some());
-        let record = record.and_then(|record| match told_birth && record.born.is_none() {
-            true => Err("it no longer says when the server started".to_owned()),
+        let had_start_time = known.is_some_and(|known| known.record.born.is_some());
+        let record = record.and_then(|record| match had_start_time && record.born.is_none() {
+            true => Err("the start time is missing, which an earlier registration had".to_owned()),
             false => Ok(record),
         });
         match record {
@@ -71,7 +69,7 @@
         }
     }
 
-    fn present(&mut self, record: ServerRecord, version: StoreVersion) {
+    fn upsert(&mut self, record: ServerRecord, version: StoreVersion) {
         self.missing.remove(&record.instance);
         let known = self.known.get_mut(&record.instance);
         if let Some(known) = known.filter(|known| known.record == record) {
@@ -87,29 +85,29 @@
             record.born.unwrap_or(0)
         );
         LogEvent::new(LogEventKind::ServerRegistered, facts).emit();
-        self.forget_connections(&record);
-        let known = KnownServer {
+        self.close_idle_connections(&record);
+        let known = RegisteredServer {
             record: record.clone(),
             version,
         };
         self.known.insert(record.instance.clone(), known);
-        let change = match self.reads_copy {
+        let change = match self.reading_snapshot {
             true => ServerChange::Copied(record),
             false => ServerChange::Present(record),
         };
         self.shell.step(Event::Servers(change));
     }
 
-    /// Tells whether a record of an older copy is of a life before the one known.
-    fn is_former_life(&self, record: &ServerRecord) -> bool {
+    /// Returns whether a row of a snapshot is of an incarnation before the known one.
+    fn is_former_incarnation(&self, record: &ServerRecord) -> bool {
         let known = self.known.get(&record.instance);
         let born = known.and_then(|known| known.record.born);
-        self.reads_copy && born > record.born
+        self.reading_snapshot && born > record.born
     }
 
-    /// Closes the connections kept to a server that started again: they lead to a
-    /// process that is gone, and may not say so.
-    fn forget_connections(&self, record: &ServerRecord) {
+    /// Closes idle connections to the former incarnation of a server; its end may not
+    /// have closed them.
+    fn close_idle_connections(&self, record: &ServerRecord) {
         let Some(known) = self.known.get(&record.instance) else {
             return;
         };
@@ -118,27 +116,27 @@
         }
     }
 
-    /// Tells whether a newer row of the same server was seen.
+    /// Returns whether a newer row of the same server was seen.
     fn is_outdated(&self, row: &Row) -> bool {
         let known = self.known.get(&row.key);
         known.is_some_and(|known| row.version < known.version)
     }
 
-    fn lapsed(&mut self, instance: &str) {
+    fn handle_lapsed(&mut self, instance: &str) {
         if !self.known.contains_key(instance) {
             return;
         }
         let now = self.shell.now();
-        if now < self.doubt_until {
+        if now < self.grace_until {
             self.missing
                 .entry(instance.to_owned())
-                .or_insert(self.doubt_until);
+                .or_insert(self.grace_until);
             return;
         }
-        self.gone(instance);
+        self.remove_server(instance);
     }
 
-    fn gone(&mut self, instance: &str) {
+    fn remove_server(&mut self, instance: &str) {
         self.missing.remove(instance);
         self.known.remove(instance);
         let facts = format!("server={instance}");
@@ -147,12 +145,12 @@
         self.shell.step(Event::Servers(change));
     }
 
-    fn take_missing_as_gone(&mut self) {
+    fn remove_overdue(&mut self) {
         let now = self.shell.now();
         let due = self.missing.iter().filter(|(_, &at)| now >= at);
         let due: Vec<String> = due.map(|(instance, _)| instance.clone()).collect();
         for instance in due {
-            self.gone(&instance);
+            self.remove_server(&instance);
         }
     }
 }
@@ -162,77 +160,77 @@
         self.shell.dialect.server_table()
     }
 
-    fn wait(&self) -> Duration {
+    fn poll_wait(&self) -> Duration {
         if self.missing.is_empty() {
-            return WAIT;
+            return POLL_WAIT;
         }
-        RETURN_TIME / 4
+        RENEWAL_GRACE / 4
     }
 
     fn is_behind(&self) -> bool {
-        let newest = self.shell.peers.borrow().newest_change_of_servers();
-        let known = self.shell.servers_known.get();
-        newest > known || self.shell.newest_era() > known.era
+        let newest = self.shell.peers.borrow().newest_server_change();
+        let known = self.shell.server_table_version.get();
+        newest > known || self.shell.newest_epoch() > known.era
     }
 
-    fn is_unsettled(&self) -> bool {
+    fn has_pending(&self) -> bool {
         !self.missing.is_empty()
     }
 
-    fn whole(&mut self, rows: Vec<Row>) {
+    fn replace_all(&mut self, rows: Vec<Row>) {
         let known: Vec<String> = self.known.keys().cloned().collect();
         for instance in known {
             if !rows.iter().any(|row| row.key == instance) {
-                self.lapsed(&instance);
+                self.handle_lapsed(&instance);
             }
         }
-        self.changed(rows);
-        self.reads_copy = false;
+        self.apply_changes(rows);
+        self.reading_snapshot = false;
     }
 
-    fn changed(&mut self, rows: Vec<Row>) {
+    fn apply_changes(&mut self, rows: Vec<Row>) {
         let versions = rows.iter().map(|row| row.version);
         let newest = versions.max().unwrap_or_default();
-        self.shell.note_servers_changed(newest);
+        self.shell.observe_server_change(newest);
         for row in rows {
             if self.is_outdated(&row) {
                 continue;
             }
             if row.value.is_none() {
-                self.lapsed(&row.key);
+                self.handle_lapsed(&row.key);
                 continue;
             }
             match self.record(&row) {
-                // Its server writes again what it is now.
-                Some(record) if self.is_former_life(&record) => self.lapsed(&row.key),
-                Some(record) => self.present(record, row.version),
-                // It names no server to use, whatever stood there before.
-                None => self.lapsed(&row.key),
+                // The server writes its current registration again.
+                Some(record) if self.is_former_incarnation(&record) => self.handle_lapsed(&row.key),
+                Some(record) => self.upsert(record, row.version),
+                // An invalid row names no usable server, whatever it held before.
+                None => self.handle_lapsed(&row.key),
             }
         }
     }
 
-    fn current(&mut self, version: StoreVersion) {
-        self.shell.servers_known.set(version);
-        // Peers learn of a new era by it, also where it brought no record.
+    fn set_current(&mut self, version: StoreVersion) {
+        self.shell.server_table_version.set(version);
+        // Publishes the new epoch even if no row changed.
         self.shell
-            .note_servers_changed(StoreVersion::new(version.era, 0));
-        self.take_missing_as_gone();
-        self.shell.servers_current.set(self.shell.now());
+            .observe_server_change(StoreVersion::new(version.era, 0));
+        self.remove_overdue();
+        self.shell.servers_refreshed_at.set(self.shell.now());
         self.shell.metrics.servers.set(self.known.len() as i64);
     }
 
-    fn regained(&mut self, away: Duration) {
-        if away < LAPSE_TIME {
+    fn store_recovered(&mut self, outage: Duration) {
+        if outage < MIN_LAPSE_OUTAGE {
             return;
         }
-        self.doubt_until = self.shell.now().after(RETURN_TIME);
+        self.grace_until = self.shell.now().after(RENEWAL_GRACE);
     }
 
-    /// A server whose record is younger than the copy writes it again, and has as long
-    /// for it as after an outage, however short the store was away.
-    fn restored(&mut self) {
-        self.doubt_until = self.shell.now().after(RETURN_TIME);
-        self.reads_copy = true;
+    /// Servers whose registrations are newer than the snapshot register again, with the
+    /// same grace period as after an outage, however short it was.
+    fn store_restored(&mut self) {
+        self.grace_until = self.shell.now().after(RENEWAL_GRACE);
+        self.reading_snapshot = true;
     }
 }
--- a/crates/notchwalk_relay/src/server_words.rs
+++ b/crates/notchwalk_relay/src/server_words.rs
@@ -1,4 +1,4 @@
-//! Hears what backend servers say of themselves in the heads of their answers.
+//! Applies the notices that backend servers announce in response heads.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -7,79 +7,83 @@
 
 use crate::{shell::Shell, AnswerFacts, AnswerWord, ComeBack, SaidLimit};
 
-/// The longest time without requests that is taken from a server: one that says more
-/// counts its time in another unit, and would be lost to this entry for as long as it
-/// lives.
-const LONGEST_REST: Duration = Duration::from_secs(3_600);
+/// The longest back-off time that is accepted: a longer one is likely in another unit,
+/// and would exclude the server for too long.
+const MAX_BACKOFF: Duration = Duration::from_secs(3_600);
 
-/// How often it is logged of one server that what it says can't be taken as said: it may
-/// stand in each of its answers.
-const FAULTY_LOGGED_EVERY: Duration = Duration::from_secs(60);
+/// How often invalid notices of one server are logged: each of its responses may carry
+/// one.
+const INVALID_NOTICE_LOG_INTERVAL: Duration = Duration::from_secs(60);
 
-/// Who an answer came from, as far as the sender knows.
+/// The origin of a response, as known to the sender of the request.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Asked {
-    /// The server that was meant, where it is on record.
+pub(crate) struct ResponseOrigin {
+    /// The server that the request was for, if registered.
     pub server: Option<ServerKey>,
-    /// The address that was asked.
+    /// The address that the request was sent to.
     pub addr: SocketAddr,
-    /// When it was asked.
-    pub at: Instant,
+    /// When the request was sent.
+    pub sent_at: Instant,
 }
 
-/// Takes what a server says of itself from the head of any answer: to a request, to
-/// an order, also one that belongs to another request. Called as soon as the head is
-/// read, before anything of the answer is passed on.
-pub(crate) fn hear(shell: &Rc<Shell>, asked: Asked, facts: &AnswerFacts) {
-    let Some(server) = speaker(shell, asked, facts) else {
+/// Applies the notices in the head of any response: to a request, to an order, also to
+/// a different request on the same connection. Called before anything of the response
+/// is relayed.
+pub(crate) fn apply_notices(shell: &Rc<Shell>, origin: ResponseOrigin, facts: &AnswerFacts) {
+    let Some(server) = notice_source(shell, origin, facts) else {
         return;
     };
     if let Some(limit) = limit(shell, server, facts) {
-        let asked = asked.at;
-        say(shell, server, ServerWord::Limit { limit, asked });
+        let asked = origin.sent_at;
+        apply_notice(shell, server, ServerWord::Limit { limit, asked });
     }
     if facts.leaving {
-        say(shell, server, ServerWord::Leaving);
+        apply_notice(shell, server, ServerWord::Leaving);
     }
-    if let Some(rest) = rest(shell, server, &facts.wants_nothing_for) {
-        say(shell, server, ServerWord::WantsNothing(rest));
+    if let Some(backoff) = backoff(shell, server, &facts.wants_nothing_for) {
+        apply_notice(shell, server, ServerWord::WantsNothing(backoff));
     }
 }
 
-fn say(shell: &Rc<Shell>, server: ServerKey, word: ServerWord) {
+fn apply_notice(shell: &Rc<Shell>, server: ServerKey, word: ServerWord) {
     let label = match word {
         ServerWord::Leaving => Some("leaving"),
         ServerWord::WantsNothing(_) => Some("wants_nothing"),
         ServerWord::Limit { limit, .. } => limit.map(|_| "limit"),
     };
     if let Some(label) = label {
-        shell.metrics.server_words.with_label_values(&[label]).inc();
+        shell
+            .metrics
+            .server_notices
+            .with_label_values(&[label])
+            .inc();
     }
     shell.step(Event::ServerSaid { server, word });
 }
 
-/// Returns the server that an answer speaks of: the one it names, else the one that
-/// was asked, unless the answer says that another one has the address by now.
-fn speaker(shell: &Shell, asked: Asked, facts: &AnswerFacts) -> Option<ServerKey> {
+/// Returns the server that a response speaks for: the one it names, else the one that
+/// the request was for, unless the address now belongs to another one.
+fn notice_source(shell: &Shell, origin: ResponseOrigin, facts: &AnswerFacts) -> Option<ServerKey> {
     let router = shell.router.borrow();
     let fleet = router.fleet();
     if let Some(instance) = &facts.instance {
         return fleet.by_instance(instance);
     }
     if facts.word != AnswerWord::Moved {
-        return asked.server.or_else(|| fleet.by_addr(asked.addr));
+        return origin.server.or_else(|| fleet.by_addr(origin.addr));
     }
-    fleet.other_at(asked.addr, asked.server)
+    fleet.other_at(origin.addr, origin.server)
 }
 
-/// Returns the limit that an answer names, or that it names none where one was known;
-/// `None` if it says nothing of it. An answer that is not the server's own says nothing.
+/// Returns the limit that a response announces, or `Some(None)` if a known limit has
+/// ended; `None` if the response changes nothing. Only the server's own responses can
+/// end a limit.
 fn limit(shell: &Shell, server: ServerKey, facts: &AnswerFacts) -> Option<Option<RateLimit>> {
     match &facts.limit {
         SaidLimit::Rate(rate) => Some(Some(*rate)),
         SaidLimit::Faulty { reason, taken } => {
             let rate = taken.map_or_else(|| "none".to_owned(), |rate| rate.to_string());
-            log_faulty(shell, server, reason, &format!("taken_per_second={rate}"));
+            log_invalid(shell, server, reason, &format!("taken_per_second={rate}"));
             taken.map(Some)
         }
         SaidLimit::NotSaid => {
@@ -94,40 +98,43 @@
     }
 }
 
-/// Returns for how long a server wants no requests. A date, a negative number and
-/// what is no number count as not said; more than [`LONGEST_REST`] as that.
-fn rest(shell: &Shell, server: ServerKey, said: &ComeBack) -> Option<Duration> {
-    match said {
+/// Returns how long to back off from a server. Invalid values are ignored; longer ones
+/// are capped at [`MAX_BACKOFF`].
+fn backoff(shell: &Shell, server: ServerKey, retry_after: &ComeBack) -> Option<Duration> {
+    match retry_after {
         ComeBack::NotSaid => None,
-        ComeBack::After(time) if *time > LONGEST_REST => {
-            let reason = format!("{} s are too long", time.as_secs());
-            let taken = format!("taken_ms={}", LONGEST_REST.as_millis());
-            log_faulty(shell, server, &reason, &taken);
-            Some(LONGEST_REST)
+        ComeBack::After(time) if *time > MAX_BACKOFF => {
+            let reason = format!("{} s exceed the maximum", time.as_secs());
+            let taken = format!("taken_ms={}", MAX_BACKOFF.as_millis());
+            log_invalid(shell, server, &reason, &taken);
+            Some(MAX_BACKOFF)
         }
         ComeBack::After(time) => Some(*time).filter(|time| !time.is_zero()),
         ComeBack::Faulty(reason) => {
-            log_faulty(shell, server, reason, "taken_ms=0");
+            log_invalid(shell, server, reason, "taken_ms=0");
             None
         }
     }
 }
 
-/// Logs that what a server said can't be taken as said, and what is `taken` in its place.
-fn log_faulty(shell: &Shell, server: ServerKey, reason: &str, taken: &str) {
+/// Logs an invalid notice, and the value `applied` instead.
+fn log_invalid(shell: &Shell, server: ServerKey, reason: &str, applied: &str) {
     let now = shell.now();
-    let mut logged = shell.faulty_words.borrow_mut();
+    let mut logged = shell.invalid_notice_logged_at.borrow_mut();
     let last = logged.get(server);
-    if last.is_some_and(|&last| now.since(last) < FAULTY_LOGGED_EVERY) {
+    if last.is_some_and(|&last| now.since(last) < INVALID_NOTICE_LOG_INTERVAL) {
         return;
     }
     logged.insert(server, now);
-    let facts = format!("server={} reason={reason:?} {taken}", name(shell, server));
+    let facts = format!(
+        "server={} reason={reason:?} {applied}",
+        instance_of(shell, server)
+    );
     LogEvent::new(LogEventKind::ServerWordFaulty, facts).emit();
 }
 
-/// Logs what is new of a server.
-pub(crate) fn log_heard(shell: &Shell, server: ServerKey, word: ServerWord, by_peer: bool) {
+/// Logs a notice that is new to this node.
+pub(crate) fn log_notice(shell: &Shell, server: ServerKey, word: ServerWord, by_peer: bool) {
     let (kind, facts) = match word {
         ServerWord::Leaving => {
             let router = shell.router.borrow();
@@ -154,12 +161,12 @@
             }
         }
     };
-    let facts = format!("server={} {facts}", name(shell, server));
+    let facts = format!("server={} {facts}", instance_of(shell, server));
     LogEvent::new(kind, facts).emit();
 }
 
-/// Logs that a server's limit is used up.
-pub(crate) fn log_used_up(shell: &Shell, server: ServerKey) {
+/// Logs that a server's rate limit is exhausted.
+pub(crate) fn log_limit_exhausted(shell: &Shell, server: ServerKey) {
     let router = shell.router.borrow();
     let Some(known) = router.fleet().get(server) else {
         return;
@@ -176,7 +183,7 @@
     LogEvent::new(LogEventKind::ServerLimitUsedUp, facts).emit();
 }
 
-fn name(shell: &Shell, server: ServerKey) -> String {
+fn instance_of(shell: &Shell, server: ServerKey) -> String {
     let router = shell.router.borrow();
     let known = router.fleet().get(server);
     known.map_or_else(|| "gone".to_owned(), |known| known.record.instance.clone())
--- a/crates/notchwalk_relay/src/shell.rs
+++ b/crates/notchwalk_relay/src/shell.rs
@@ -1,5 +1,5 @@
-//! What all drivers of one process share: the router, its clock, and the way
-//! of its effects to those that carry them out.
+//! State shared by all drivers of one process, and the dispatch of the router's
+//! effects.
 
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
@@ -15,26 +15,26 @@
     metrics::Metrics, peers::Peers, presence_record::PresenceRecord, Dialect, RelaySettings,
 };
 
-/// How often a wait looks at the clock: timers stand still while the machine is
-/// suspended, deadlines don't.
-const LOOK_EVERY: Duration = Duration::from_millis(250);
+/// How often a wait compares its deadline with the clock: timers stop while the machine
+/// is suspended, deadlines don't.
+const CLOCK_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Carries out the effects that are not for the task of one request.
+/// Executes the effects that don't belong to the task of one request.
 pub(crate) trait EffectDriver {
-    /// Carries one out, or has a task do so.
-    fn carry_out(&self, shell: &Rc<Shell>, effect: Effect);
+    /// Executes an effect, or spawns a task that does.
+    fn execute(&self, shell: &Rc<Shell>, effect: Effect);
 }
 
-/// Receives the effects that concern one request.
+/// Receives the effects for one request.
 pub(crate) type Inbox = unbounded::Rx<Effect>;
 
-/// How far the process is on its way to the end.
+/// Progress of the shutdown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum Stopping {
-    /// It serves.
+    /// Not stopping.
     #[default]
     No,
-    /// It was told to stop, at this time.
+    /// Stopping since this time.
     Since(Instant),
 }
 
@@ -42,7 +42,7 @@
 pub(crate) struct Shell {
     pub settings: RelaySettings,
     pub clock: Clock,
-    /// Rises with each start on this VM.
+    /// Boot number; rises with each start on this VM.
     pub boot: u64,
     pub router: RefCell<Router>,
     pub dialect: Rc<dyn Dialect>,
@@ -52,30 +52,30 @@
     pub peers: RefCell<Peers>,
     pub limits: std::cell::Cell<ClientLimits>,
     pub stopping: std::cell::Cell<Stopping>,
-    /// Whether the store answered the last question.
+    /// Whether the last poll of the store succeeded.
     pub store_up: std::cell::Cell<bool>,
-    /// The newest change of the register of servers that was seen; peers are
-    /// told of it.
-    pub servers_changed: std::cell::Cell<StoreVersion>,
-    /// The version of the store up to which the register is known here. Peers'
-    /// newest change is compared with it: of a record that was removed before
-    /// the whole register was read, no change is ever seen.
-    pub servers_known: std::cell::Cell<StoreVersion>,
-    /// When the register of servers was last known to be current.
-    pub servers_current: std::cell::Cell<Instant>,
-    /// The newest era of the store that an answer told; `None` before the first.
-    store_era: std::cell::Cell<Option<u64>>,
-    /// How often a new era began since this process started.
+    /// The newest change of the server table that was seen; published to peers.
+    pub newest_server_change: std::cell::Cell<StoreVersion>,
+    /// The store version up to which the server table is known. Compared with the
+    /// newest change that peers saw: the removal of a row before the whole table was
+    /// read is never seen as a change.
+    pub server_table_version: std::cell::Cell<StoreVersion>,
+    /// When the server table was last known to be current.
+    pub servers_refreshed_at: std::cell::Cell<Instant>,
+    /// The newest epoch seen in a response of the store; `None` before the first
+    /// response.
+    store_epoch: std::cell::Cell<Option<u64>>,
+    /// How often the store was restored from a snapshot since this process started.
     store_restores: std::cell::Cell<u64>,
-    /// Whether peers are to be told of a new era at once.
-    pub era_to_tell: std::cell::Cell<bool>,
-    /// The store's clock in milliseconds, and when it said so.
+    /// Whether a new epoch is to be published to peers.
+    pub epoch_to_publish: std::cell::Cell<bool>,
+    /// The store's clock in milliseconds, and when it was received.
     store_clock: std::cell::Cell<Option<(Instant, u64)>>,
     suspension: SuspensionWatch,
-    /// Raised when peers are to be told of this entry's work, or of suspects.
-    pub work_changed: Wake,
-    /// When it was last logged of a server that what it says can't be taken as said.
-    pub faulty_words: RefCell<SecondaryMap<ServerKey, Instant>>,
+    /// Notified when changes are to be published to peers.
+    pub publish_wake: Wake,
+    /// When an invalid notice of a server was last logged.
+    pub invalid_notice_logged_at: RefCell<SecondaryMap<ServerKey, Instant>>,
     inboxes: RefCell<SecondaryMap<RequestKey, unbounded::Tx<Effect>>>,
     effects: Box<dyn EffectDriver>,
 }
@@ -105,43 +105,42 @@
             limits: std::cell::Cell::default(),
             stopping: std::cell::Cell::default(),
             store_up: std::cell::Cell::new(false),
-            servers_changed: std::cell::Cell::default(),
-            servers_known: std::cell::Cell::default(),
-            store_era: std::cell::Cell::default(),
+            newest_server_change: std::cell::Cell::default(),
+            server_table_version: std::cell::Cell::default(),
+            store_epoch: std::cell::Cell::default(),
             store_restores: std::cell::Cell::new(0),
-            era_to_tell: std::cell::Cell::new(false),
-            servers_current: std::cell::Cell::new(Instant::ZERO),
+            epoch_to_publish: std::cell::Cell::new(false),
+            servers_refreshed_at: std::cell::Cell::new(Instant::ZERO),
             store_clock: std::cell::Cell::default(),
-            work_changed: Wake::default(),
-            faulty_words: RefCell::default(),
+            publish_wake: Wake::default(),
+            invalid_notice_logged_at: RefCell::default(),
             inboxes: RefCell::default(),
             effects,
         }
     }
 
-    /// Sets the clock.
     pub fn with_clock(mut self, clock: Clock) -> Self {
         self.suspension = SuspensionWatch::new(&clock);
         self.clock = clock;
         self
     }
 
-    /// Returns how often the machine was suspended and resumed so far.
+    /// Returns how often the machine resumed from a suspension so far.
     pub fn resumes(&self) -> u64 {
         self.suspension.resumes()
     }
 
-    /// Notices that the machine was suspended. Connections kept from before are
-    /// closed: the other ends gave them up unheard, and a call that may run once is
-    /// lost on one. Whoever reads the store starts anew.
-    pub fn notice_suspension(&self) {
+    /// Checks whether the machine was suspended. If so, idle connections are closed:
+    /// the other ends may have closed them unnoticed, and a request that must run at
+    /// most once would be lost on one.
+    pub fn check_suspension(&self) {
         if self.suspension.notice(&self.clock) {
             self.client.forget_idle();
             self.store.renew_connections();
         }
     }
 
-    /// Returns this entry's own record.
+    /// Returns this node's presence record.
     pub fn presence_record(&self) -> PresenceRecord {
         PresenceRecord {
             name: self.settings.name.clone(),
@@ -151,86 +150,85 @@
         }
     }
 
-    /// Returns the present time.
     pub fn now(&self) -> Instant {
         self.clock.now()
     }
 
-    /// Returns the newest era of the store that was seen.
-    pub fn store_era(&self) -> u64 {
-        self.store_era.get().unwrap_or(0)
+    /// Returns the newest epoch of the store that was seen.
+    pub fn store_epoch(&self) -> u64 {
+        self.store_epoch.get().unwrap_or(0)
     }
 
-    /// Returns the newest era of the store that this entry or a peer has seen. A
-    /// question under way may not notice that the store came back until its wait is
-    /// over.
-    pub fn newest_era(&self) -> u64 {
-        let peers = self.peers.borrow().newest_change_of_servers().era;
-        self.store_era().max(peers)
+    /// Returns the newest epoch of the store that this node or a peer has seen. A
+    /// pending poll may not notice a restore until its wait ends.
+    pub fn newest_epoch(&self) -> u64 {
+        let peers = self.peers.borrow().newest_server_change().era;
+        self.store_epoch().max(peers)
     }
 
-    /// Returns how often the store came back from a copy since this process started.
+    /// Returns how often the store was restored from a snapshot since this process
+    /// started.
     pub fn store_restores(&self) -> u64 {
         self.store_restores.get()
     }
 
-    /// Notes up to which version the register of servers changed.
-    pub fn note_servers_changed(&self, version: StoreVersion) {
-        let before = self.servers_changed.get();
-        self.servers_changed.set(before.max(version));
+    /// Updates the version of the newest change of the server table.
+    pub fn observe_server_change(&self, version: StoreVersion) {
+        let before = self.newest_server_change.get();
+        self.newest_server_change.set(before.max(version));
     }
 
-    /// Notes the version of an answer of the store; the first of a new era says that
-    /// the store came back from a copy.
-    pub fn note_store_version(&self, version: StoreVersion) {
-        let former = self.store_era.get();
+    /// Observes the version of a response of the store and detects a restore from a
+    /// snapshot by its epoch.
+    pub fn observe_store_version(&self, version: StoreVersion) {
+        let former = self.store_epoch.get();
         if former.is_some_and(|former| version.era <= former) {
             return;
         }
-        self.store_era.set(Some(version.era));
-        self.metrics.store_era.set(version.era as i64);
+        self.store_epoch.set(Some(version.era));
+        self.metrics.store_epoch.set(version.era as i64);
         let Some(former) = former else {
             return;
         };
         self.store_restores.set(self.store_restores.get() + 1);
-        self.note_servers_changed(StoreVersion::new(version.era, 0));
-        self.era_to_tell.set(true);
-        self.work_changed.raise();
+        self.observe_server_change(StoreVersion::new(version.era, 0));
+        self.epoch_to_publish.set(true);
+        self.publish_wake.notify();
         let facts = format!("era={} former_era={former}", version.era);
         LogEvent::new(LogEventKind::StoreRestored, facts).emit();
     }
 
-    /// Notes what the store's clock said.
-    pub fn note_store_ms(&self, page: &RowPage) {
+    /// Observes the store's clock.
+    pub fn observe_store_clock(&self, page: &RowPage) {
         if let Some(ms) = page.now_ms {
             self.store_clock.set(Some((self.now(), ms)));
         }
     }
 
-    /// Returns the time by the store's clock, in milliseconds, if it ever said it.
+    /// Returns the time by the store's clock, in milliseconds, if it was ever received.
     pub fn store_ms(&self) -> Option<u64> {
         let (at, ms) = self.store_clock.get()?;
         Some(ms + self.now().since(at).as_millis() as u64)
     }
 
-    /// Waits until a time by the clock.
+    /// Waits until a time by the clock, which includes time suspended.
     pub async fn sleep_until(&self, at: Instant) {
         loop {
             let left = at.since(self.now());
             if left.is_zero() {
                 return;
             }
-            monoio::time::sleep(left.min(LOOK_EVERY)).await;
+            monoio::time::sleep(left.min(CLOCK_CHECK_INTERVAL)).await;
         }
     }
 
-    /// Tells whether requests can be served: a configuration is in force and
-    /// the process was not told to stop.
+    /// Returns whether requests can be served: a configuration is in force and the
+    /// process is not stopping.
     pub fn is_ready(&self) -> bool {
         self.stopping.get() == Stopping::No && self.router.borrow().version() > 0
     }
 
-    /// Makes room for a request and its inbox.
+    /// Registers a request with the router and opens its inbox.
     pub fn open_request(&self) -> (RequestKey, Inbox) {
         let key = self.router.borrow_mut().new_request();
         let (tx, rx) = unbounded::channel();
@@ -238,31 +236,31 @@
         (key, rx)
     }
 
-    /// Tells the router what happened and has its effects carried out.
+    /// Passes an event to the router and executes the resulting effects.
     pub fn step(self: &Rc<Self>, event: Event) {
         let mut effects = Vec::new();
         self.router
             .borrow_mut()
             .step(self.now(), event, &mut effects);
         for effect in effects {
-            self.carry_out(effect);
+            self.execute(effect);
         }
         let router = self.router.borrow();
         let fleet = router.fleet();
-        let said = fleet.has_leaving_news() || fleet.has_limit_news();
-        if router.has_changed_work() || router.quarantine().has_news() || said {
-            self.work_changed.raise();
+        let has_notices = fleet.has_leaving_news() || fleet.has_limit_news();
+        if router.has_changed_work() || router.quarantine().has_news() || has_notices {
+            self.publish_wake.notify();
         }
     }
 
-    fn carry_out(self: &Rc<Self>, effect: Effect) {
+    fn execute(self: &Rc<Self>, effect: Effect) {
         match effect {
             Effect::Send { request, .. } => self.deliver(request, effect),
             Effect::Refuse { request, .. } | Effect::DeliverFailure { request } => {
                 self.deliver(request, effect);
                 self.inboxes.borrow_mut().remove(request);
             }
-            effect => self.effects.carry_out(self, effect),
+            effect => self.effects.execute(self, effect),
         }
     }
 
@@ -271,11 +269,11 @@
         let Some(tx) = inboxes.get(request) else {
             return;
         };
-        // The request's task ended: its caller left in the same moment.
+        // Fails if the request's task has just ended.
         let _ = tx.send(effect);
     }
 
-    /// Forgets a request whose answer ended.
+    /// Removes the inbox of a request that ended.
     pub fn close_request(&self, request: RequestKey) {
         self.inboxes.borrow_mut().remove(request);
     }
--- /dev/null
+++ b/crates/notchwalk_relay/src/store_repair.rs
@@ -0,0 +1,64 @@
+//! Rewrites what the store lost when it was restored from a snapshot: this node's
+//! presence record, and quarantines, which would not survive a simultaneous restart of
+//! all nodes.
+
+use std::{collections::HashSet, rc::Rc, time::Duration};
+
+use notchwalk_core::{LogEvent, LogEventKind};
+use notchwalk_daemon::Backoff;
+use rand::Rng;
+
+use crate::{presence, quarantine, shell::Shell};
+
+/// How often the epoch is compared.
+const EPOCH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Spread of the presence record writes per live node, which bounds the total write
+/// rate.
+const RECORD_SPREAD_PER_NODE: Duration = Duration::from_millis(3);
+/// Delay per rank between nodes that write quarantines: all hold the same ones, so
+/// later nodes find them already written. Longer than a write takes while the store is
+/// busy.
+const DELAY_PER_RANK: Duration = Duration::from_millis(400);
+/// Maximum of that delay.
+const MAX_DELAY: Duration = Duration::from_secs(8);
+
+/// Rewrites lost rows after each restore, forever.
+pub(crate) async fn rewrite_after_restores(shell: Rc<Shell>) {
+    let mut restores = shell.store_restores();
+    loop {
+        monoio::time::sleep(EPOCH_CHECK_INTERVAL).await;
+        if restores == shell.store_restores() {
+            continue;
+        }
+        restores = shell.store_restores();
+        rewrite_all(&shell).await;
+    }
+}
+
+async fn rewrite_all(shell: &Rc<Shell>) {
+    let alive = shell.peers.borrow().alive(shell.now());
+    let spread = RECORD_SPREAD_PER_NODE * (alive + 1);
+    monoio::time::sleep(spread.mul_f64(rand::rng().random_range(0.0..1.0))).await;
+    presence::write_record(shell).await;
+    let quarantines = write_quarantines(shell).await;
+    let facts = format!("record=true quarantines={quarantines}");
+    LogEvent::new(LogEventKind::WrittenAgain, facts).emit();
+}
+
+/// Writes the quarantines missing from the store; returns their number.
+async fn write_quarantines(shell: &Rc<Shell>) -> usize {
+    if shell.router.borrow().quarantine().quarantined(shell.now()) == 0 {
+        return 0;
+    }
+    let rank = shell.peers.borrow().rank(shell.now());
+    monoio::time::sleep((DELAY_PER_RANK * rank).min(MAX_DELAY)).await;
+    let mut backoff = Backoff::new(Duration::from_millis(200));
+    let stored: HashSet<String> = loop {
+        match presence::keys(shell).await {
+            Ok(keys) => break keys,
+            Err(e) => log::debug!("can't read the stored quarantines, retrying: {e}"),
+        }
+        backoff.wait().await;
+    };
+    quarantine::persist_missing(shell, &stored).await
+}
