--- a/crates/notchwalk_daemon/src/metrics.rs
+++ b/crates/notchwalk_daemon/src/metrics.rs
@@ -30,7 +30,7 @@
     }
 
     /// Adds counters with labels.
-    pub fn counters(&self, name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
+    pub fn counter_vec(&self, name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
         self.register(IntCounterVec::new(Opts::new(name, help), labels))
     }
 
@@ -40,7 +40,7 @@
     }
 
     /// Adds integer gauges with labels.
-    pub fn gauges(&self, name: &str, help: &str, labels: &[&str]) -> IntGaugeVec {
+    pub fn gauge_vec(&self, name: &str, help: &str, labels: &[&str]) -> IntGaugeVec {
         self.register(IntGaugeVec::new(Opts::new(name, help), labels))
     }
 
@@ -50,12 +50,12 @@
     }
 
     /// Adds floating-point gauges with labels.
-    pub fn fractions(&self, name: &str, help: &str, labels: &[&str]) -> GaugeVec {
+    pub fn float_gauge_vec(&self, name: &str, help: &str, labels: &[&str]) -> GaugeVec {
         self.register(GaugeVec::new(Opts::new(name, help), labels))
     }
 
     /// Adds histograms with labels.
-    pub fn histograms(
+    pub fn histogram_vec(
         &self,
         name: &str,
         help: &str,
--- a/crates/notchwalk_daemon/tests/parts.rs
+++ b/crates/notchwalk_daemon/tests/parts.rs
@@ -85,7 +85,7 @@
 fn registered_metrics_are_rendered() {
     let set = MetricSet::new();
     set.counter("a_total", "counted").inc();
-    set.counters("b_total", "by kind", &["kind"])
+    set.counter_vec("b_total", "by kind", &["kind"])
         .with_label_values(&["x"])
         .inc_by(2);
     set.fraction("c", "a fraction").set(0.5);
--- a/crates/notchwalk_relay/src/metrics.rs
+++ b/crates/notchwalk_relay/src/metrics.rs
@@ -40,7 +40,7 @@
     pub server_notices: IntCounterVec,
     /// Rate limits that servers announce for all nodes together.
     pub server_limits: GaugeVec,
-    /// Requests and orders sent by this node to servers with rate limits.
+    /// Requests, parts of them and orders sent by this node to servers with rate limits.
     pub limited_sends: IntCounter,
 }
 
@@ -59,22 +59,22 @@
                 "notchwalk_limited_sends_total",
                 "Requests, parts of them and orders that went to servers with limits",
             ),
-            server_limits: set.fractions(
+            server_limits: set.float_gauge_vec(
                 "notchwalk_server_limit_per_second",
                 "Requests a second that a server takes from all entries together",
                 &["server"],
             ),
-            requests: set.counters(
+            requests: set.counter_vec(
                 "notchwalk_requests_total",
                 "Requests that ended",
                 &["route", "outcome"],
             ),
-            attempts: set.counters(
+            attempts: set.counter_vec(
                 "notchwalk_attempts_total",
                 "Sends to backend servers",
                 &["end"],
             ),
-            store_polls: set.counters(
+            store_polls: set.counter_vec(
                 "notchwalk_store_questions_total",
                 "Questions to the store for changes",
                 &["table", "end"],
@@ -101,25 +101,25 @@
                 "notchwalk_quarantined",
                 "Contents that are sent to no server for a while",
             ),
-            server_notices: set.counters(
+            server_notices: set.counter_vec(
                 "notchwalk_server_words_total",
                 "Answers in which servers say that they leave, want nothing, or name a limit",
                 &["word"],
             ),
             servers: set.gauge("notchwalk_backend_servers", "Backend servers on record"),
-            first_byte: set.histograms(
+            first_byte: set.histogram_vec(
                 "notchwalk_first_byte_seconds",
                 "Time from arrival to the first event or the whole answer",
                 seconds,
                 &["route"],
             ),
-            prediction_ratio: set.histograms(
+            prediction_ratio: set.histogram_vec(
                 "notchwalk_prediction_ratio",
                 "Predicted over seen time to the first event",
                 ratios,
                 &["route"],
             ),
-            store_up: set.gauges(
+            store_up: set.gauge_vec(
                 "notchwalk_store_up",
                 "Whether the store answers",
                 &["table"],
--- a/crates/notchwalk_relay/src/peer_link.rs
+++ b/crates/notchwalk_relay/src/peer_link.rs
@@ -55,7 +55,7 @@
     work: Vec<PeerWork>,
     /// Suspected contents.
     #[serde(default)]
-    news: Vec<News>,
+    suspects: Vec<News>,
     /// Incarnations of servers that announced to the sender that they are draining.
     #[serde(default)]
     draining: Vec<u32>,
@@ -74,7 +74,7 @@
         newest_server_change: shell.newest_server_change.get(),
         servers,
         work,
-        news: Vec::new(),
+        suspects: Vec::new(),
         draining: Vec::new(),
         limits: Vec::new(),
     }
@@ -101,10 +101,14 @@
 }
 
 /// Appends suspect updates, in as many messages as necessary.
-fn with_suspects(shell: &Shell, mut messages: Vec<PeerMessage>, news: &[News]) -> Vec<PeerMessage> {
-    for chunk in news.chunks(MAX_SUSPECTS_PER_DATAGRAM) {
+fn with_suspects(
+    shell: &Shell,
+    mut messages: Vec<PeerMessage>,
+    suspects: &[News],
+) -> Vec<PeerMessage> {
+    for chunk in suspects.chunks(MAX_SUSPECTS_PER_DATAGRAM) {
         let mut outgoing = message(shell, Vec::new(), Vec::new());
-        outgoing.news = chunk.to_vec();
+        outgoing.suspects = chunk.to_vec();
         messages.push(outgoing);
     }
     messages
@@ -133,7 +137,7 @@
         shell.publish_wake.wait().await;
         let now = shell.now();
         let (servers, work) = shell.router.borrow_mut().take_changed_work(now);
-        let news = shell.router.borrow_mut().take_news();
+        let suspects = shell.router.borrow_mut().take_news();
         if shell.epoch_to_publish.take() {
             // The message carries the version of the store.
             let group = shell.peers.borrow().group_peers();
@@ -154,10 +158,10 @@
             send(&socket, &group, outgoing).await;
         }
         sync_new_peers(&shell, &socket).await;
-        if !news.is_empty() {
+        if !suspects.is_empty() {
             // Any node may receive such a request.
             let all = shell.peers.borrow().all_peers();
-            send(&socket, &all, with_suspects(&shell, Vec::new(), &news)).await;
+            send(&socket, &all, with_suspects(&shell, Vec::new(), &suspects)).await;
         }
     }
 }
@@ -221,9 +225,9 @@
         };
         let outgoing = heartbeat_messages(&shell, servers, work, Told::FirstHand);
         let whole = beat % FULL_UPDATE_HEARTBEATS == 0;
-        let news = shell.router.borrow().quarantine().retold(whole, now);
+        let suspects = shell.router.borrow().quarantine().retold(whole, now);
         let to = shell.peers.borrow_mut().next_heartbeat_targets();
-        send(&socket, &to, with_suspects(&shell, outgoing, &news)).await;
+        send(&socket, &to, with_suspects(&shell, outgoing, &suspects)).await;
         shell.peers.borrow_mut().repeat_sync();
         sync_new_peers(&shell, &socket).await;
         beat = beat.wrapping_add(1);
@@ -327,10 +331,10 @@
     if update.restarted {
         shell.step(Event::PeerGone { peer: number });
     }
-    if !message.news.is_empty() {
+    if !message.suspects.is_empty() {
         shell.step(Event::News {
             peer: number,
-            news: message.news,
+            news: message.suspects,
         });
     }
     if !message.draining.is_empty() {
--- a/crates/notchwalk_relay/src/peers.rs
+++ b/crates/notchwalk_relay/src/peers.rs
@@ -20,7 +20,8 @@
 const BASE_INTERVAL_GROUP_SIZE: usize = 12;
 /// The largest heartbeat interval, as a multiple of [`HEARTBEAT_INTERVAL`].
 const MAX_INTERVAL_FACTOR: f64 = 4.0;
-/// Missed heartbeats after which a peer is omitted from the directory.
+/// Missed heartbeats after which a peer counts as unreachable and is omitted from the
+/// directory.
 const MISSED_UNTIL_UNREACHABLE: u32 = 4;
 /// Missed heartbeats after which a peer expires: its work is discarded and it no longer
 /// counts as alive.
--- a/crates/notchwalk_relay/src/server_words.rs
+++ b/crates/notchwalk_relay/src/server_words.rs
@@ -45,8 +45,8 @@
     }
 }
 
-fn apply_notice(shell: &Rc<Shell>, server: ServerKey, word: ServerWord) {
-    let label = match word {
+fn apply_notice(shell: &Rc<Shell>, server: ServerKey, notice: ServerWord) {
+    let label = match notice {
         ServerWord::Leaving => Some("leaving"),
         ServerWord::WantsNothing(_) => Some("wants_nothing"),
         ServerWord::Limit { limit, .. } => limit.map(|_| "limit"),
@@ -58,7 +58,10 @@
             .with_label_values(&[label])
             .inc();
     }
-    shell.step(Event::ServerSaid { server, word });
+    shell.step(Event::ServerSaid {
+        server,
+        word: notice,
+    });
 }
 
 /// Returns the server that a response speaks for: the one it names, else the one that
@@ -128,14 +131,14 @@
     logged.insert(server, now);
     let facts = format!(
         "server={} reason={reason:?} {applied}",
-        instance_of(shell, server)
+        instance_name(shell, server)
     );
     LogEvent::new(LogEventKind::ServerWordFaulty, facts).emit();
 }
 
 /// Logs a notice that is new to this node.
-pub(crate) fn log_notice(shell: &Shell, server: ServerKey, word: ServerWord, by_peer: bool) {
-    let (kind, facts) = match word {
+pub(crate) fn log_notice(shell: &Shell, server: ServerKey, notice: ServerWord, by_peer: bool) {
+    let (kind, facts) = match notice {
         ServerWord::Leaving => {
             let router = shell.router.borrow();
             let stage = router.fleet().get(server).map(|known| known.record.stage);
@@ -161,7 +164,7 @@
             }
         }
     };
-    let facts = format!("server={} {facts}", instance_of(shell, server));
+    let facts = format!("server={} {facts}", instance_name(shell, server));
     LogEvent::new(kind, facts).emit();
 }
 
@@ -183,7 +186,7 @@
     LogEvent::new(LogEventKind::ServerLimitUsedUp, facts).emit();
 }
 
-fn instance_of(shell: &Shell, server: ServerKey) -> String {
+fn instance_name(shell: &Shell, server: ServerKey) -> String {
     let router = shell.router.borrow();
     let known = router.fleet().get(server);
     known.map_or_else(|| "gone".to_owned(), |known| known.record.instance.clone())
--- a/crates/notchwalk_relay/src/table_watch.rs
+++ b/crates/notchwalk_relay/src/table_watch.rs
@@ -343,7 +343,7 @@
 }
 
 /// Waits for a response; `None` if a peer has seen a newer version, or if the machine
-/// was suspended meanwhile, so that the response is lost.
+/// was suspended meanwhile, since the response is lost then.
 async fn wait_unless_behind<T, E>(
     shell: &Shell,
     reader: &impl TableReader,
