--- a/crates/notchwalk_route/src/board.rs
+++ b/crates/notchwalk_route/src/board.rs
@@ -1,5 +1,5 @@
-//! What runs on each server, as this entry believes: its own requests exactly,
-//! those of its peers as they told.
+//! The load view: what runs on each server, from this node's own requests and from the
+//! updates of its peers.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -9,46 +9,45 @@
 
 use crate::{shares::Shares, Fleet, RequestKey, ServerKey, WorkspaceTag};
 
-/// What a request does on a server.
+/// The phase of a request on a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum WorkPhase {
-    /// Its prompt, or a part of it, is being read; it will generate there.
+    /// Prefill of its prompt, or of a part of it; it will decode on this server.
     Reading,
-    /// It generates.
+    /// Decode.
     Writing,
-    /// A part of its prompt is being read for a request that generates
-    /// elsewhere.
+    /// Prefill of a part of its prompt; it decodes on another server.
     Helping,
-    /// A part of its prompt is held for a request that generates elsewhere.
+    /// Memory is reserved for a part of its prompt; it decodes on another server.
     Holding,
-    /// A call of a plain service.
+    /// A call to a plain service.
     Calling,
 }
 
-/// A peer's work on one server, as peers tell each other.
+/// A request of a peer on a server, as published to peers.
 #[derive(Clone, Debug, PartialEq, Serialize_tuple, Deserialize_tuple)]
 pub struct PeerWork {
     /// The server's short id.
     pub server: u32,
-    /// What it does.
+    /// Its phase.
     pub phase: WorkPhase,
-    /// Tokens of its prompt held there.
+    /// Prompt tokens in the server's memory.
     pub context_tokens: u32,
-    /// Tokens of context that each pass there pays for once it generates.
+    /// Context tokens that add to the cost of each engine step during its decode.
     pub pass_tokens: u32,
-    /// Time its reading takes there, in milliseconds.
+    /// Prefill time on the server, in milliseconds.
     pub read_ms: u16,
-    /// The longest pause that is in time for it, in milliseconds.
+    /// Its inter-token latency objective, in milliseconds.
     pub pause_ms: u16,
     /// Time since it was sent, in milliseconds.
     pub age_ms: u16,
-    /// Time from sending until reading was predicted to end, in milliseconds.
+    /// Predicted time from its send to the end of its prefill, in milliseconds.
     pub reading_ms: u16,
     /// The short id of its workspace.
     pub workspace: u32,
 }
 
-/// One request's work on one server.
+/// The work of one request on one server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Work {
     pub owner: Owner,
@@ -56,12 +55,12 @@
     pub phase: WorkPhase,
     pub context_tokens: f64,
     pub pass_tokens: f64,
-    /// Reading at this server, whole, in milliseconds.
+    /// Total prefill time on this server, in milliseconds.
     pub read_ms: f64,
-    /// Longest pause in time, in milliseconds.
+    /// Inter-token latency objective, in milliseconds.
     pub pause_ms: f64,
     pub since: Instant,
-    /// When its reading was predicted to end.
+    /// Predicted end of its prefill.
     pub read_by: Instant,
 }
 
@@ -72,75 +71,75 @@
 }
 
 impl Work {
-    /// Returns the reading still to be done, in milliseconds.
-    pub fn reading_left_ms(&self, now: Instant) -> f64 {
-        /// Part of its reading that is taken to be left while its end was not
-        /// seen, though it was predicted.
-        const LATE_PART: f64 = 0.15;
+    /// Returns the remaining prefill time, in milliseconds.
+    pub fn remaining_prefill_ms(&self, now: Instant) -> f64 {
+        /// Fraction of the prefill that counts as remaining after its predicted end, until
+        /// the first token is seen.
+        const MIN_REMAINING: f64 = 0.15;
         if !matches!(self.phase, WorkPhase::Reading | WorkPhase::Helping) {
             return 0.0;
         }
-        let whole = self.read_by.since(self.since).as_secs_f64();
-        let left = self.read_by.since(now).as_secs_f64();
-        if whole <= 0.0 {
-            return self.read_ms * LATE_PART;
+        let total = self.read_by.since(self.since).as_secs_f64();
+        let remaining = self.read_by.since(now).as_secs_f64();
+        if total <= 0.0 {
+            return self.read_ms * MIN_REMAINING;
         }
-        self.read_ms * (left / whole).clamp(LATE_PART, 1.0)
+        self.read_ms * (remaining / total).clamp(MIN_REMAINING, 1.0)
     }
 }
 
-/// What stands on a server, summed up.
+/// The total load of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServerLoad {
-    /// Requests that generate.
+    /// Requests in decode.
     pub writers: usize,
-    /// Requests that will generate once their prompt is read.
+    /// Requests in prefill that will decode here.
     pub readers: usize,
     /// Memory in use, in tokens.
     pub context_tokens: f64,
-    /// Context in tokens that passes pay for.
+    /// Context tokens that add to the cost of each engine step.
     pub pass_tokens: f64,
-    /// Reading left, in milliseconds.
+    /// Remaining prefill time, in milliseconds.
     pub reading_ms: f64,
-    /// Long prompts that are read here and will generate here; an engine reads
-    /// parts for others before them.
+    /// Requests without a tight latency objective that are in prefill and will decode here.
+    /// An engine prefills parts for other engines before them.
     pub own_long_reads: usize,
-    /// Requests with a tight pause objective.
+    /// Requests with a tight inter-token latency objective.
     pub short: usize,
-    /// The tightest pause objective of those that generate, in milliseconds;
-    /// infinite without any.
+    /// The tightest inter-token latency objective in decode, in milliseconds; infinite if
+    /// there is none.
     pub tightest_pause_ms: f64,
-    /// The same over those that still read as well.
+    /// The same for decode and prefill.
     pub tightest_coming_pause_ms: f64,
-    /// Calls of a plain service.
+    /// Calls to a plain service.
     pub calls: usize,
-    /// Prompts being read as a helper.
+    /// Parts of prompts in prefill for other engines.
     pub helping: usize,
 }
 
 impl ServerLoad {
-    /// Returns the requests that take a slot.
+    /// Returns the number of occupied slots.
     pub fn occupied(&self) -> usize {
         self.writers + self.readers + self.calls
     }
 }
 
-/// Work on all servers.
+/// The load view of all servers.
 #[derive(Debug, Default)]
 pub struct Board {
     work: SecondaryMap<ServerKey, Vec<Work>>,
-    /// When each peer last told something.
+    /// Time of the last update of each peer.
     peers: HashMap<u32, Instant>,
-    /// Servers whose own work changed since the last digest.
+    /// Servers on which this node's own work has changed since it was last published.
     changed: Vec<ServerKey>,
 }
 
-/// Pause objectives at or below this mark short work, in milliseconds.
+/// Maximum inter-token latency objective of short requests, in milliseconds.
 const SHORT_PAUSE_MS: f64 = 400.0;
-/// Reading that counts as a whole engine kept busy, in milliseconds: the time
-/// over which shares are compared, about that of a short answer.
-const FULL_READING_MS: f64 = 1_000.0;
-/// The pause objective of work that has none, in milliseconds.
+/// Remaining prefill time that counts as one fully used engine, in milliseconds: about the
+/// duration of a short response.
+const FULL_PREFILL_MS: f64 = 1_000.0;
+/// Inter-token latency objective of requests without one, in milliseconds.
 pub(crate) const NO_PAUSE_MS: f64 = 60_000.0;
 
 impl Board {
@@ -148,16 +147,16 @@
         if let Some(entry) = self.work.entry(server) {
             entry.or_default().push(work);
         }
-        self.mark(server);
+        self.mark_changed(server);
     }
 
-    fn mark(&mut self, server: ServerKey) {
+    fn mark_changed(&mut self, server: ServerKey) {
         if !self.changed.contains(&server) {
             self.changed.push(server);
         }
     }
 
-    /// Sets the phase of an own request on a server.
+    /// Sets the phase of one of this node's requests on a server.
     pub(crate) fn set_phase(&mut self, server: ServerKey, request: RequestKey, phase: WorkPhase) {
         let works = self.work.get_mut(server).into_iter().flatten();
         for work in works {
@@ -165,24 +164,24 @@
                 work.phase = phase;
             }
         }
-        self.mark(server);
+        self.mark_changed(server);
     }
 
-    /// Takes an own request off a server.
+    /// Removes one of this node's requests from a server.
     pub(crate) fn remove(&mut self, server: ServerKey, request: RequestKey) {
         if let Some(works) = self.work.get_mut(server) {
             works.retain(|work| work.owner != Owner::Own(request));
         }
-        self.mark(server);
+        self.mark_changed(server);
     }
 
-    /// Forgets a server that is gone.
+    /// Removes all work on a server that no longer exists.
     pub(crate) fn forget_server(&mut self, server: ServerKey) {
         self.work.remove(server);
         self.changed.retain(|&other| other != server);
     }
 
-    /// Replaces what a peer has on some servers.
+    /// Replaces the work of a peer on the given servers.
     pub(crate) fn replace_peer(
         &mut self,
         peer: u32,
@@ -196,18 +195,18 @@
                 works.retain(|work| work.owner != Owner::Peer(peer));
             }
         }
-        for (server, told) in work {
-            let since = now.before(Duration::from_millis(told.age_ms.into()));
+        for (server, update) in work {
+            let since = now.before(Duration::from_millis(update.age_ms.into()));
             let item = Work {
                 owner: Owner::Peer(peer),
-                workspace: WorkspaceTag::from_number(told.workspace),
-                phase: told.phase,
-                context_tokens: told.context_tokens.into(),
-                pass_tokens: told.pass_tokens.into(),
-                read_ms: told.read_ms.into(),
-                pause_ms: told.pause_ms.into(),
+                workspace: WorkspaceTag::from_number(update.workspace),
+                phase: update.phase,
+                context_tokens: update.context_tokens.into(),
+                pass_tokens: update.pass_tokens.into(),
+                read_ms: update.read_ms.into(),
+                pause_ms: update.pause_ms.into(),
                 since,
-                read_by: since.after(Duration::from_millis(told.reading_ms.into())),
+                read_by: since.after(Duration::from_millis(update.reading_ms.into())),
             };
             if let Some(entry) = self.work.entry(server) {
                 entry.or_default().push(item);
@@ -215,7 +214,7 @@
         }
     }
 
-    /// Forgets what a peer told.
+    /// Removes all work of a peer.
     pub(crate) fn forget_peer(&mut self, peer: u32) {
         self.peers.remove(&peer);
         for (_, works) in &mut self.work {
@@ -223,12 +222,12 @@
         }
     }
 
-    /// Forgets peers that have told nothing since `since`.
+    /// Removes peers without an update since `since`.
     pub(crate) fn forget_silent_peers(&mut self, since: Instant) {
         let silent: Vec<u32> = self
             .peers
             .iter()
-            .filter(|(_, &heard)| heard < since)
+            .filter(|(_, &updated_at)| updated_at < since)
             .map(|(&peer, _)| peer)
             .collect();
         for peer in silent {
@@ -236,7 +235,7 @@
         }
     }
 
-    /// Sums up what stands on a server.
+    /// Returns the total load of a server.
     pub fn load(&self, server: ServerKey, now: Instant) -> ServerLoad {
         let mut load = ServerLoad {
             tightest_pause_ms: f64::INFINITY,
@@ -244,13 +243,13 @@
             ..ServerLoad::default()
         };
         for work in self.work.get(server).into_iter().flatten() {
-            load.reading_ms += work.reading_left_ms(now);
-            let generates = matches!(work.phase, WorkPhase::Reading | WorkPhase::Writing);
-            if generates {
+            load.reading_ms += work.remaining_prefill_ms(now);
+            let decodes = matches!(work.phase, WorkPhase::Reading | WorkPhase::Writing);
+            if decodes {
                 let tightest = load.tightest_coming_pause_ms.min(work.pause_ms);
                 load.tightest_coming_pause_ms = tightest;
             }
-            if generates && work.pause_ms <= SHORT_PAUSE_MS {
+            if decodes && work.pause_ms <= SHORT_PAUSE_MS {
                 load.short += 1;
             }
             match work.phase {
@@ -272,7 +271,7 @@
         load
     }
 
-    /// Sums up what workspaces have on all servers.
+    /// Returns the load of each workspace over all servers.
     pub(crate) fn shares(&self, fleet: &Fleet, now: Instant) -> Shares {
         let mut shares = Shares::default();
         for (server, works) in &self.work {
@@ -282,14 +281,14 @@
                     WorkPhase::Reading | WorkPhase::Writing => 1.0 / f64::from(slots.max(1)),
                     WorkPhase::Helping | WorkPhase::Holding | WorkPhase::Calling => 0.0,
                 };
-                let reading = work.reading_left_ms(now) / FULL_READING_MS;
-                shares.add(work.workspace, slot + reading.min(1.0));
+                let prefill = work.remaining_prefill_ms(now) / FULL_PREFILL_MS;
+                shares.add(work.workspace, slot + prefill.min(1.0));
             }
         }
         shares
     }
 
-    /// Tells whether there was ever work on a server, as far as is known.
+    /// Returns whether the view has ever contained work on a server.
     pub(crate) fn knows(&self, server: ServerKey) -> bool {
         self.work.contains_key(server)
     }
@@ -299,23 +298,24 @@
         self.work.get(server).map_or(&[], Vec::as_slice)
     }
 
-    /// Tells whether an own request is on any server.
+    /// Returns whether one of this node's requests is on any server.
     pub(crate) fn has_request(&self, request: RequestKey) -> bool {
         let mut works = self.work.iter().flat_map(|(_, works)| works);
         works.any(|work| work.owner == Owner::Own(request))
     }
 
-    /// Tells whether own work changed since it was last taken.
+    /// Returns whether this node's work has changed since the last call of
+    /// [`Self::take_changed`].
     pub fn has_changed(&self) -> bool {
         !self.changed.is_empty()
     }
 
-    /// Returns the servers whose own work changed since the last call.
+    /// Returns the servers on which this node's work has changed since the last call.
     pub fn take_changed(&mut self) -> Vec<ServerKey> {
         std::mem::take(&mut self.changed)
     }
 
-    /// Returns this entry's own work on a server, for its peers.
+    /// Returns this node's work on a server for publishing.
     pub fn own_work(&self, server: ServerKey, tag: u32, now: Instant) -> Vec<PeerWork> {
         let works = self.on(server).iter();
         let own = works.filter(|work| matches!(work.owner, Owner::Own(_)));
