--- /dev/null
+++ b/crates/notchwalk_route/src/fleet/draining_incarnations.rs
@@ -0,0 +1,58 @@
+//! Draining incarnations without a registration.
+
+use std::collections::{HashMap, VecDeque};
+
+/// Maximum number of incarnations; the oldest are evicted first.
+const CAPACITY: usize = 1_024;
+
+/// Why an incarnation is remembered.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Reason {
+    /// A peer reported it as draining before its registration was read.
+    Reported,
+    /// Its registration was removed, but may come back: it expires while the store is
+    /// unavailable, and an older snapshot still contains it.
+    Ended,
+}
+
+/// The short ids of draining incarnations without a registration.
+#[derive(Debug, Default)]
+pub(super) struct DrainingIncarnations {
+    reasons: HashMap<u32, Reason>,
+    /// The newest last.
+    order: VecDeque<u32>,
+}
+
+impl DrainingIncarnations {
+    pub fn contains(&self, tag: u32) -> bool {
+        self.reasons.contains_key(&tag)
+    }
+
+    pub fn add_reported(&mut self, tag: u32) {
+        self.add(tag, Reason::Reported);
+    }
+
+    pub fn add_ended(&mut self, tag: u32) {
+        self.add(tag, Reason::Ended);
+    }
+
+    fn add(&mut self, tag: u32, reason: Reason) {
+        if self.reasons.insert(tag, reason).is_some() {
+            return;
+        }
+        self.order.push_back(tag);
+        if self.order.len() > CAPACITY {
+            let oldest = self.order.pop_front();
+            oldest.map(|oldest| self.reasons.remove(&oldest));
+        }
+    }
+
+    /// Removes an ended incarnation whose short id the next one shares.
+    pub fn forget_ended(&mut self, tag: u32) {
+        if self.reasons.get(&tag) != Some(&Reason::Ended) {
+            return;
+        }
+        self.reasons.remove(&tag);
+        self.order.retain(|&other| other != tag);
+    }
+}
--- a/crates/notchwalk_route/src/fleet/limit.rs
+++ b/crates/notchwalk_route/src/fleet/limit.rs
@@ -1,4 +1,4 @@
-//! The limit that a server names for all entries together, and what ends it.
+//! The rate limit that a server announces for all nodes together.
 
 use std::time::Duration;
 
@@ -7,128 +7,128 @@
 use super::shared_bucket::SharedBucket;
 use crate::RateLimit;
 
-/// The least rate at which a server is tried, whatever it names: only an answer tells
-/// that a limit of zero is over. Requests a second, of all entries.
-const LEAST_RATE: f64 = 0.2;
-/// Part of a limit that is used, so that entries whose views differ for a moment stay
+/// Minimum rate at which a server is probed, in requests per second over all nodes: only a
+/// response can lift a limit of zero.
+const MIN_RATE: f64 = 0.2;
+/// Fraction of a limit that is used, so that nodes whose views differ for a moment stay
 /// within it.
-const USED_SHARE: f64 = 0.95;
-/// How much newer than this entry's own knowledge what a peer tells has to be: its age
-/// is told in another clock, and grows on the way.
-const TOLD_MARGIN: Duration = Duration::from_millis(50);
-/// How long peers are told that a limit ended.
-const END_TOLD_FOR: Duration = Duration::from_secs(3);
+const USED_FRACTION: f64 = 0.95;
+/// How much newer than this node's own observation a peer's must be to replace it: clocks
+/// differ, and the age of an update excludes its time in transit.
+const PEER_AGE_MARGIN: Duration = Duration::from_millis(50);
+/// How long the end of a limit is published to peers.
+const END_PUBLISHED_FOR: Duration = Duration::from_secs(3);
 
-/// What an answer said of a server's limit.
+/// The limit that one response announced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct LimitWord {
-    /// The limit; `None` if the answer named none.
+pub(super) struct LimitObservation {
+    /// The limit; `None` if the response announced none.
     pub limit: Option<RateLimit>,
-    /// When the request was sent that it answers.
-    pub asked: Instant,
-    /// Whether the answer came to this entry; otherwise a peer told of it.
-    pub first_hand: bool,
+    /// When the request of that response was sent.
+    pub requested_at: Instant,
+    /// Whether this node received the response; otherwise a peer reported it.
+    pub is_direct: bool,
 }
 
 /// A limit in force.
 #[derive(Clone, Debug)]
-pub(super) struct Limited {
+pub(super) struct ActiveLimit {
     pub limit: RateLimit,
-    /// When the newest request was sent whose answer named it.
-    asked: Instant,
-    /// Whether an answer to this entry named it: only then are peers told.
-    first_hand: bool,
+    /// When the newest request was sent whose response announced it.
+    requested_at: Instant,
+    /// Whether this node received a response that announced it. Only then is it published
+    /// to peers.
+    is_direct: bool,
     pub bucket: SharedBucket,
 }
 
-/// What is known of one server's limit.
+/// The limit of one server, and when it was last lifted.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ServerLimit {
-    in_force: Option<Limited>,
-    /// When the newest request was sent whose answer named none.
-    none_asked: Instant,
-    /// Until when peers are told that it ended.
-    end_told_until: Instant,
+    active: Option<ActiveLimit>,
+    /// When the newest request was sent whose response announced no limit.
+    unlimited_at: Instant,
+    /// Until when the end of the limit is published to peers.
+    end_published_until: Instant,
 }
 
 impl ServerLimit {
-    pub fn in_force(&self) -> Option<&Limited> {
-        self.in_force.as_ref()
+    pub fn active(&self) -> Option<&ActiveLimit> {
+        self.active.as_ref()
     }
 
-    pub fn in_force_mut(&mut self) -> Option<&mut Limited> {
-        self.in_force.as_mut()
+    pub fn active_mut(&mut self) -> Option<&mut ActiveLimit> {
+        self.active.as_mut()
     }
 
-    /// Takes what an answer said; returns whether that changes the limit.
+    /// Applies an observation; returns whether it changes the limit.
     ///
-    /// Answers cross, so that the one whose request is newer counts. One that names a
-    /// limit where none is in force, or a lower one, counts even if it is older: a
-    /// server that is overrun in error costs more than a limit that ends with the next
-    /// answer.
-    pub fn hear(&mut self, said: LimitWord, server: u32, now: Instant) -> bool {
-        match (&mut self.in_force, said.limit) {
+    /// Responses may arrive out of order, so the one with the newer request wins. A limit
+    /// where none is in force, or a lower one, applies even if it is older: exceeding a
+    /// server's limit costs more than keeping one until the next response lifts it.
+    pub fn apply(&mut self, observed: LimitObservation, server: u32, now: Instant) -> bool {
+        match (&mut self.active, observed.limit) {
             (None, None) => {
-                self.none_asked = self.none_asked.max(said.asked);
+                self.unlimited_at = self.unlimited_at.max(observed.requested_at);
                 false
             }
             (None, Some(limit)) => {
-                let known_better = self.none_asked > Instant::ZERO
-                    && said.asked <= self.none_asked.after(TOLD_MARGIN);
-                if known_better && !said.first_hand {
+                let is_outdated = self.unlimited_at > Instant::ZERO
+                    && observed.requested_at <= self.unlimited_at.after(PEER_AGE_MARGIN);
+                if is_outdated && !observed.is_direct {
                     return false;
                 }
-                self.in_force = Some(Limited {
+                self.active = Some(ActiveLimit {
                     limit,
-                    asked: said.asked,
-                    first_hand: said.first_hand,
+                    requested_at: observed.requested_at,
+                    is_direct: observed.is_direct,
                     bucket: SharedBucket::new(server, now),
                 });
                 true
             }
-            (Some(known), None) => {
-                if said.asked < known.asked {
+            (Some(active), None) => {
+                if observed.requested_at < active.requested_at {
                     return false;
                 }
-                self.in_force = None;
-                self.none_asked = said.asked;
-                if said.first_hand {
-                    self.end_told_until = now.after(END_TOLD_FOR);
+                self.active = None;
+                self.unlimited_at = observed.requested_at;
+                if observed.is_direct {
+                    self.end_published_until = now.after(END_PUBLISHED_FOR);
                 }
                 true
             }
-            (Some(known), Some(limit)) => known.hear(limit, said),
+            (Some(active), Some(limit)) => active.apply(limit, observed),
         }
     }
 
-    /// Returns what is known here, first-hand or not.
-    pub fn known(&self, now: Instant) -> Option<LimitWord> {
-        match &self.in_force {
-            Some(known) => Some(LimitWord {
-                limit: Some(known.limit),
-                asked: known.asked,
-                first_hand: known.first_hand,
+    /// Returns the current limit, or its recent end, whoever observed it.
+    pub fn latest(&self, now: Instant) -> Option<LimitObservation> {
+        match &self.active {
+            Some(active) => Some(LimitObservation {
+                limit: Some(active.limit),
+                requested_at: active.requested_at,
+                is_direct: active.is_direct,
             }),
-            None => self.tells_end(now).then_some(LimitWord {
+            None => self.publishes_end(now).then_some(LimitObservation {
                 limit: None,
-                asked: self.none_asked,
-                first_hand: true,
+                requested_at: self.unlimited_at,
+                is_direct: true,
             }),
         }
     }
 
-    /// Tells whether peers are still told that the limit ended.
-    pub fn tells_end(&self, now: Instant) -> bool {
-        now < self.end_told_until
+    /// Returns whether the end of the limit is still published to peers.
+    pub fn publishes_end(&self, now: Instant) -> bool {
+        now < self.end_published_until
     }
 }
 
-impl Limited {
-    fn hear(&mut self, limit: RateLimit, said: LimitWord) -> bool {
-        let is_newer = said.asked >= self.asked;
-        let is_stricter = limit < self.limit && said.first_hand;
-        self.first_hand |= said.first_hand;
-        self.asked = self.asked.max(said.asked);
+impl ActiveLimit {
+    fn apply(&mut self, limit: RateLimit, observed: LimitObservation) -> bool {
+        let is_newer = observed.requested_at >= self.requested_at;
+        let is_stricter = limit < self.limit && observed.is_direct;
+        self.is_direct |= observed.is_direct;
+        self.requested_at = self.requested_at.max(observed.requested_at);
         if limit == self.limit || !(is_newer || is_stricter) {
             return false;
         }
@@ -136,9 +136,9 @@
         true
     }
 
-    /// Sets the part of the limit that the entries have which this one hears.
-    pub fn set_part(&mut self, own: u32, part: f64, now: Instant) {
-        let rate = self.limit.rate().max(LEAST_RATE);
-        self.bucket.set_rate(own, rate * USED_SHARE * part, now);
+    /// Sets the share of the limit that the reachable nodes of this group may use.
+    pub fn set_share(&mut self, own: u32, share: f64, now: Instant) {
+        let rate = self.limit.rate().max(MIN_RATE);
+        self.bucket.set_rate(own, rate * USED_FRACTION * share, now);
     }
 }
--- /dev/null
+++ b/crates/notchwalk_route/src/fleet/limit_update.rs
@@ -0,0 +1,60 @@
+//! Updates on limited servers that nodes publish to their peers.
+
+use serde_tuple::{Deserialize_tuple, Serialize_tuple};
+
+use crate::{shares::tag_of, RateLimit};
+
+/// The nodes that share the limits of servers.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Sharing {
+    /// This node's id.
+    pub(super) own: u32,
+    /// Number of registered nodes in this node's group, itself included.
+    pub(super) registered: u32,
+    /// Number of those that are reachable, itself included.
+    pub(super) reachable: u32,
+}
+
+impl Sharing {
+    /// Creates the sharing of the node with this name.
+    pub fn new(name: &str, registered: u32, reachable: u32) -> Self {
+        Self {
+            own: tag_of(name),
+            registered,
+            reachable: reachable.min(registered),
+        }
+    }
+}
+
+/// An update on a limited server, as published to peers.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
+pub struct ToldLimit {
+    /// The server's short id.
+    pub server: u32,
+    /// The limit that the publishing node observed, if any.
+    pub said: Option<ToldLimitWord>,
+    /// Number of requests that the publishing node has sent to the server.
+    pub sent: u32,
+    /// Whether the publishing node has demand for the server.
+    pub wants: bool,
+}
+
+/// An observed limit, as published to peers.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
+pub struct ToldLimitWord {
+    /// The limit; `None` once the server announces none.
+    pub limit: Option<RateLimit>,
+    /// Time since the request was sent whose response announced it, in milliseconds.
+    pub age_ms: u32,
+}
+
+/// Which observed limits are published.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Told {
+    /// Those from responses to this node. Limits received from peers are not rebroadcast:
+    /// each hop would add to their age, and they would never expire.
+    FirstHand,
+    /// All of them, for a node that has just started: it may have been the only one that
+    /// received a response before.
+    All,
+}
--- a/crates/notchwalk_route/src/fleet/server.rs
+++ b/crates/notchwalk_route/src/fleet/server.rs
@@ -1,4 +1,4 @@
-//! One backend server, and what is believed of it.
+//! One backend server, its availability and its observed failures.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -7,63 +7,62 @@
 use super::limit::ServerLimit;
 use crate::{shares::tag_of, RateLimit, ServerWord};
 
-/// Failures in a row after which a server gets no work for a while.
-const FAILURES_TO_OPEN: u32 = 2;
-/// The shortest time without work after failures. A crashed server is back
-/// after three to four seconds on the deployments known.
-const SHORTEST_PAUSE: Duration = Duration::from_millis(500);
-/// The longest time without work after failures.
-const LONGEST_PAUSE: Duration = Duration::from_secs(4);
-/// A server that answered within this time is alive: an engine that has work
-/// passes events on several times a second.
-const HEARD_LATELY: Duration = Duration::from_millis(1_200);
+/// Consecutive failures after which a server is ejected.
+const FAILURES_TO_EJECT: u32 = 2;
+/// Duration of the first ejection; it doubles with each further failure.
+const MIN_EJECTION: Duration = Duration::from_millis(500);
+/// Maximum duration of an ejection.
+const MAX_EJECTION: Duration = Duration::from_secs(4);
+/// A server that responded within this time is alive: a busy engine emits events several
+/// times per second.
+const ALIVE_WINDOW: Duration = Duration::from_millis(1_200);
 /// Weight of a new observation in the failure rate.
 const FAILURE_WEIGHT: f64 = 0.12;
-/// In this time the failure rate halves if nothing is observed: a server that is
-/// avoided for its failures has no answers that could speak for it.
+/// Half-life of the failure rate without observations: a server that is avoided for its
+/// failures gets no requests that could succeed.
 const FAILURE_HALF_LIFE: Duration = Duration::from_secs(2);
-/// Without observation for this long the rate counts no more, as long as the longest
-/// pause: what is left of it outweighs any difference in use at light load.
-const FAILURE_RATE_LASTS: Duration = LONGEST_PAUSE;
-/// How often a server that failed repeatedly gets a request after its pause, until one
-/// ends well: one that hangs costs one request at a time then.
-const TRIED_EVERY: Duration = Duration::from_millis(300);
+/// Time without observations after which the failure rate counts as zero: at light load
+/// even a small rate outweighs any difference in load.
+const FAILURE_RATE_TTL: Duration = MAX_EJECTION;
+/// Minimum interval between requests to a server after its ejection, until one succeeds:
+/// a server that hangs then delays one request at a time.
+const PROBE_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Failures this long ago are not in a row with a new one.
-const FAILURES_FORGOTTEN: Duration = Duration::from_secs(20);
+/// Time without failures after which the count of consecutive failures is reset.
+const FAILURE_RESET: Duration = Duration::from_secs(20);
 
-/// What a server says of itself.
+/// The stage that a server announces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerStage {
-    /// It takes requests.
+    /// It accepts requests.
     Ready,
-    /// It leaves and takes no new requests.
+    /// It is draining and accepts no new requests.
     Leaving,
 }
 
-/// A server as it registered itself.
+/// A server's registration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerRecord {
-    /// Its id, which it may keep when it starts again.
+    /// The instance id, which may stay the same across restarts.
     pub instance: String,
-    /// When this life of it began, in milliseconds since 1970, if it says so: all
-    /// that is believed of a server belongs to one life.
+    /// Start time of this incarnation in milliseconds since the Unix epoch, if announced.
+    /// State about a server never outlives its incarnation.
     pub born: Option<u64>,
-    /// Its service.
+    /// The service that it serves.
     pub service: String,
-    /// Where it listens.
+    /// The address that it listens on.
     pub addr: SocketAddr,
     /// Its failure domain.
     pub failure_domain: String,
-    /// Requests it works on at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// What it says of itself.
+    /// The stage that it announces.
     pub stage: ServerStage,
 }
 
 impl ServerRecord {
-    /// Derives the short id of this life of the server.
-    pub(super) fn life_tag(&self) -> u32 {
+    /// Derives the short id of this incarnation.
+    pub(super) fn incarnation_tag(&self) -> u32 {
         match self.born {
             Some(born) => tag_of(&format!("{}/{born}", self.instance)),
             None => tag_of(&self.instance),
@@ -71,275 +70,274 @@
     }
 }
 
-/// How it became known that a server leaves.
+/// Whether a server is draining, and who reported it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Leaving {
-    /// It did not: the server stays.
+pub(super) enum Draining {
+    /// It is not draining.
     No,
-    /// A peer told it, or it was known of this life before its record came back.
-    Told,
-    /// The server said so to this entry, by its record or in an answer.
-    Said,
+    /// A peer reported it, or this incarnation was draining before it registered again.
+    Reported,
+    /// The server announced it to this node, in its registration or in a response.
+    Announced,
 }
 
-/// A server and what is known of it.
+/// A server and its observed state.
 #[derive(Clone, Debug)]
 pub struct Server {
-    /// Its record.
+    /// Its registration.
     pub record: ServerRecord,
-    /// A short id that all entries derive alike.
+    /// The short id of its incarnation, the same on all nodes.
     pub tag: u32,
-    /// Requests in a row that failed.
+    /// Consecutive failed requests.
     failures: u32,
-    /// Running mean of failures, 0 to 1, as it was at `failures_at`.
-    mean_failures: f64,
-    failures_at: Instant,
-    /// No work before this time, for its failures.
-    closed_until: Instant,
-    /// When it was last tried after it had failed repeatedly.
-    tried_at: Instant,
-    /// When it last answered a request as it should.
-    heard_at: Instant,
-    /// Whether it leaves, whoever said so. It ends with this life, never with a time:
-    /// a record that says otherwise was written before.
-    leaving: Leaving,
-    /// Until when it wants no requests of this entry, as it said in an answer.
-    wants_nothing_until: Instant,
-    /// What it takes from all entries together.
+    /// Moving average of failures, 0 to 1, as of `failure_rate_at`.
+    failure_rate: f64,
+    failure_rate_at: Instant,
+    /// Until when it is ejected for its failures.
+    ejected_until: Instant,
+    /// When it was last probed after an ejection.
+    probed_at: Instant,
+    /// When it last responded successfully.
+    responded_at: Instant,
+    /// Whether it is draining. This lasts for the whole incarnation: a registration that
+    /// says otherwise is older.
+    draining: Draining,
+    /// Until when it accepts no requests from this node, from its `Retry-After`.
+    back_off_until: Instant,
+    /// Its rate limit for all nodes together.
     pub(super) limit: ServerLimit,
-    /// Requests, parts of them and orders that this entry has sent to it.
+    /// Number of requests, parts of requests and reservation orders that this node has
+    /// sent to it.
     pub(super) sent: u32,
-    /// From when on it is told again that its limit is used up.
-    pub(super) tells_used_up_from: Instant,
+    /// Earliest time of the next report that its limit is used up.
+    pub(super) next_used_up_report: Instant,
 }
 
 impl Server {
     pub(super) fn new(record: ServerRecord) -> Self {
-        let leaving = leaving_by(&record);
+        let draining = draining_from(&record);
         Self {
-            tag: record.life_tag(),
+            tag: record.incarnation_tag(),
             record,
             failures: 0,
-            mean_failures: 0.0,
-            failures_at: Instant::ZERO,
-            closed_until: Instant::ZERO,
-            tried_at: Instant::ZERO,
-            heard_at: Instant::ZERO,
-            leaving,
-            wants_nothing_until: Instant::ZERO,
+            failure_rate: 0.0,
+            failure_rate_at: Instant::ZERO,
+            ejected_until: Instant::ZERO,
+            probed_at: Instant::ZERO,
+            responded_at: Instant::ZERO,
+            draining,
+            back_off_until: Instant::ZERO,
             limit: ServerLimit::default(),
             sent: 0,
-            tells_used_up_from: Instant::ZERO,
+            next_used_up_report: Instant::ZERO,
         }
     }
 
-    /// Tells whether the server may be given new work.
+    /// Returns whether the server may be given new work.
     pub fn takes_work(&self, now: Instant) -> bool {
-        self.open_in(now) == Some(Duration::ZERO) && self.allowed_in(now) == Some(Duration::ZERO)
+        self.time_until_available(now) == Some(Duration::ZERO)
+            && self.time_until_allowed(now) == Some(Duration::ZERO)
     }
 
-    /// Tells whether the server failed repeatedly and a request that shows whether it
-    /// is well was just sent.
-    fn is_being_tried(&self, now: Instant) -> bool {
-        self.failures >= FAILURES_TO_OPEN && now < self.tried_at.after(TRIED_EVERY)
+    /// Returns whether a probe was sent to the server after an ejection and is recent.
+    fn is_being_probed(&self, now: Instant) -> bool {
+        self.failures >= FAILURES_TO_EJECT && now < self.probed_at.after(PROBE_INTERVAL)
     }
 
-    /// Notes that a request is sent to the server.
+    /// Records that a request is sent to the server.
     pub(super) fn note_sent(&mut self, now: Instant) {
-        if self.failures >= FAILURES_TO_OPEN {
-            self.tried_at = now;
+        if self.failures >= FAILURES_TO_EJECT {
+            self.probed_at = now;
         }
     }
 
-    /// Tells whether the server stays and has not said that it wants no requests now.
+    /// Returns whether the server is neither draining nor asking this node to back off.
     pub fn wants_work(&self, now: Instant) -> bool {
-        !self.leaves() && now >= self.wants_nothing_until
+        !self.leaves() && now >= self.back_off_until
     }
 
-    /// Tells whether the server leaves. Every way of a request asks here.
+    /// Returns whether the server is draining. Every send to a server checks this.
     pub fn leaves(&self) -> bool {
-        self.leaving != Leaving::No
+        self.draining != Draining::No
     }
 
-    /// Tells whether the server itself said to this entry that it leaves.
-    pub(super) fn said_that_it_leaves(&self) -> bool {
-        self.leaving == Leaving::Said
+    /// Returns whether the server itself announced to this node that it is draining.
+    pub(super) fn announced_draining(&self) -> bool {
+        self.draining == Draining::Announced
     }
 
-    /// Returns how long the server takes no work, whatever its limit, if it doesn't
-    /// leave.
-    pub(super) fn open_in(&self, now: Instant) -> Option<Duration> {
-        let from = self.closed_until.max(self.wants_nothing_until);
-        let from = match self.is_being_tried(now) {
-            true => from.max(self.tried_at.after(TRIED_EVERY)),
-            false => from,
+    /// Returns the time until the server accepts work, regardless of its limit; `None` if
+    /// it is draining.
+    pub(super) fn time_until_available(&self, now: Instant) -> Option<Duration> {
+        let until = self.ejected_until.max(self.back_off_until);
+        let until = match self.is_being_probed(now) {
+            true => until.max(self.probed_at.after(PROBE_INTERVAL)),
+            false => until,
         };
-        (!self.leaves()).then(|| from.since(now))
+        (!self.leaves()).then(|| until.since(now))
     }
 
-    /// Returns how long its limit allows this entry no request; `None` if it leaves the
-    /// server to other entries.
-    pub(super) fn allowed_in(&self, now: Instant) -> Option<Duration> {
-        let Some(limited) = self.limit.in_force() else {
+    /// Returns the time until its limit allows this node a request; `None` if this node
+    /// leaves the server to other nodes.
+    pub(super) fn time_until_allowed(&self, now: Instant) -> Option<Duration> {
+        let Some(limited) = self.limit.active() else {
             return Some(Duration::ZERO);
         };
         limited.bucket.may_send_in(self.sent, now)
     }
 
-    /// Counts messages that were sent to the server; below 0 those that were not sent
-    /// after all. Returns whether they count against a limit.
+    /// Counts messages sent to the server, or rolls back (negative) messages that were not
+    /// sent. Returns whether they count against a limit.
     pub(super) fn count_sent(&mut self, messages: i32, now: Instant) -> bool {
         self.sent = self.sent.wrapping_add_signed(messages);
-        let Some(limited) = self.limit.in_force_mut() else {
+        let Some(limited) = self.limit.active_mut() else {
             return false;
         };
         limited.bucket.take(messages, now);
         true
     }
 
-    /// Returns the requests that its limit allows to the entries heard here; `None`
+    /// Returns the number of requests that its limit allows the reachable nodes now; `None`
     /// without a limit.
     pub fn allowance(&self, now: Instant) -> Option<f64> {
-        let limited = self.limit.in_force()?;
+        let limited = self.limit.active()?;
         Some(limited.bucket.level(now))
     }
 
-    /// Returns how many messages this entry has sent to the server.
+    /// Returns how many messages this node has sent to the server.
     pub fn sent(&self) -> u32 {
         self.sent
     }
 
-    /// Returns how many entries with demand share its limit, this one included; 0 without
-    /// a limit.
+    /// Returns how many nodes with demand share its limit, this one included; 0 without a
+    /// limit.
     pub fn limit_users(&self, now: Instant) -> usize {
-        let limited = self.limit.in_force();
+        let limited = self.limit.active();
         limited.map_or(0, |limited| limited.bucket.users(now))
     }
 
-    /// Tells whether its limit is so low that a part of a prompt is better read
-    /// elsewhere.
+    /// Returns whether its limit is too low for a prefill worker.
     pub(crate) fn is_scarce(&self) -> bool {
-        /// Requests a second: a long prompt has up to seventeen parts.
-        const ENOUGH_FOR_PARTS: f64 = 8.0;
+        /// Minimum rate in requests per second; each part of a long prompt is a request.
+        const MIN_PREFILL_WORKER_RATE: f64 = 8.0;
         self.limit()
-            .is_some_and(|limit| limit.rate() < ENOUGH_FOR_PARTS)
+            .is_some_and(|limit| limit.rate() < MIN_PREFILL_WORKER_RATE)
     }
 
-    /// Returns how long the server still wants no requests.
+    /// Returns how much longer the server asks this node to back off.
     pub fn wants_nothing_for(&self, now: Instant) -> Duration {
-        self.wants_nothing_until.since(now)
+        self.back_off_until.since(now)
     }
 
-    /// Returns the mean of its failures, 0 to 1; it fades with answers and with time.
+    /// Returns its failure rate, 0 to 1, which decays with successes and with time.
     pub fn failure_rate(&self, now: Instant) -> f64 {
-        let age = now.since(self.failures_at);
-        if age >= FAILURE_RATE_LASTS {
+        let age = now.since(self.failure_rate_at);
+        if age >= FAILURE_RATE_TTL {
             return 0.0;
         }
         let halvings = age.as_secs_f64() / FAILURE_HALF_LIFE.as_secs_f64();
-        self.mean_failures * 0.5f64.powf(halvings)
+        self.failure_rate * 0.5f64.powf(halvings)
     }
 
-    /// Takes a newer record of the same life.
+    /// Applies a newer registration of the same incarnation.
     pub(super) fn update(&mut self, record: ServerRecord) {
-        if leaving_by(&record) == Leaving::Said {
-            self.leaving = Leaving::Said;
+        if draining_from(&record) == Draining::Announced {
+            self.draining = Draining::Announced;
         }
         self.record = record;
     }
 
-    /// Notes that a peer told that the server leaves; returns whether that is new.
+    /// Marks the server as draining on a peer's report; returns whether that is new.
     pub(super) fn note_told_leaving(&mut self) -> bool {
         let is_new = !self.leaves();
         if is_new {
-            self.leaving = Leaving::Told;
+            self.draining = Draining::Reported;
         }
         is_new
     }
 
-    /// Notes what the server said of itself; returns whether that is new.
+    /// Applies a notice from the server; returns whether it changes anything.
     pub(super) fn note_word(&mut self, word: ServerWord, now: Instant) -> bool {
         match word {
             ServerWord::Leaving => {
-                let is_new = self.leaving != Leaving::Said;
-                self.leaving = Leaving::Said;
+                let is_new = self.draining != Draining::Announced;
+                self.draining = Draining::Announced;
                 is_new
             }
             ServerWord::WantsNothing(time) => {
                 let until = now.after(time);
-                let is_new = until > self.wants_nothing_until;
-                self.wants_nothing_until = self.wants_nothing_until.max(until);
+                let is_new = until > self.back_off_until;
+                self.back_off_until = self.back_off_until.max(until);
                 is_new
             }
-            // Fleet::note_limit takes it: others share it.
+            // Applied by `Fleet::note_limit`, as the limit is shared with other nodes.
             ServerWord::Limit { .. } => false,
         }
     }
 
-    /// Returns how many requests a second the server takes from all entries together.
+    /// Returns the server's rate limit for all nodes together.
     pub fn limit(&self) -> Option<RateLimit> {
-        self.limit.in_force().map(|limited| limited.limit)
+        self.limit.active().map(|limited| limited.limit)
     }
 
     pub(super) fn was_heard_since(&self, since: Instant) -> bool {
-        self.heard_at > since
+        self.responded_at > since
     }
 
     pub(super) fn note_success(&mut self, now: Instant) {
-        self.heard_at = now;
+        self.responded_at = now;
         self.failures = 0;
-        self.observe(0.0, now);
+        self.record_outcome(0.0, now);
     }
 
     pub(super) fn note_silence(&mut self, now: Instant) -> Option<Duration> {
-        if now.since(self.heard_at) < HEARD_LATELY {
+        if now.since(self.responded_at) < ALIVE_WINDOW {
             return None;
         }
         self.note_failure(now)
     }
 
     pub(super) fn note_failure(&mut self, now: Instant) -> Option<Duration> {
-        self.forget_old_failures(now);
+        self.reset_old_failures(now);
         self.count_failure(now)
     }
 
-    /// Counts a failure; returns how long the server gets no work, if it was just
-    /// closed.
+    /// Counts a failure; returns the duration of the ejection if it starts one.
     fn count_failure(&mut self, now: Instant) -> Option<Duration> {
         self.failures += 1;
-        self.observe(1.0, now);
-        if self.failures < FAILURES_TO_OPEN || now < self.closed_until {
+        self.record_outcome(1.0, now);
+        if self.failures < FAILURES_TO_EJECT || now < self.ejected_until {
             return None;
         }
-        let doublings = (self.failures - FAILURES_TO_OPEN).min(3);
-        let pause = (SHORTEST_PAUSE * 2u32.pow(doublings)).min(LONGEST_PAUSE);
-        self.closed_until = now.after(pause);
-        Some(pause)
+        let doublings = (self.failures - FAILURES_TO_EJECT).min(3);
+        let ejection = (MIN_EJECTION * 2u32.pow(doublings)).min(MAX_EJECTION);
+        self.ejected_until = now.after(ejection);
+        Some(ejection)
     }
 
     pub(super) fn note_unreachable(&mut self, now: Instant) {
-        self.forget_old_failures(now);
-        self.failures = self.failures.max(FAILURES_TO_OPEN);
+        self.reset_old_failures(now);
+        self.failures = self.failures.max(FAILURES_TO_EJECT);
         self.count_failure(now);
     }
 
-    fn forget_old_failures(&mut self, now: Instant) {
-        if now.since(self.failures_at) > FAILURES_FORGOTTEN {
+    fn reset_old_failures(&mut self, now: Instant) {
+        if now.since(self.failure_rate_at) > FAILURE_RESET {
             self.failures = 0;
         }
     }
 
-    /// Takes an observation, 1 for a failure, into the failure rate.
-    fn observe(&mut self, failed: f64, now: Instant) {
+    /// Adds an observation to the failure rate: 1 for a failure, 0 for a success.
+    fn record_outcome(&mut self, failed: f64, now: Instant) {
         let rate = self.failure_rate(now);
-        self.mean_failures = rate + FAILURE_WEIGHT * (failed - rate);
-        self.failures_at = now;
+        self.failure_rate = rate + FAILURE_WEIGHT * (failed - rate);
+        self.failure_rate_at = now;
     }
 }
 
-fn leaving_by(record: &ServerRecord) -> Leaving {
+fn draining_from(record: &ServerRecord) -> Draining {
     match record.stage {
-        ServerStage::Ready => Leaving::No,
-        ServerStage::Leaving => Leaving::Said,
+        ServerStage::Ready => Draining::No,
+        ServerStage::Leaving => Draining::Announced,
     }
 }
--- a/crates/notchwalk_route/src/fleet/shared_bucket.rs
+++ b/crates/notchwalk_route/src/fleet/shared_bucket.rs
@@ -1,66 +1,65 @@
-//! What all entries together may send to one server, as one of them knows it.
+//! A token bucket per limited server, replicated on every node.
 //!
-//! Every entry keeps the same bucket: it fills at the server's rate, and each send is
-//! taken from it, a peer's as soon as it is told. Nobody is asked before a send. Three
-//! things keep the entries from spending the same allowance several times:
+//! The bucket fills at the server's rate. Every send is deducted from it, a peer's as soon
+//! as its update arrives. No node asks another before a send. Three rules keep nodes from
+//! spending the same tokens more than once:
 //!
-//! - Of those that wait for it, each stands at a place in an order that changes with
-//!   every send, and waits [`TURN`] longer than the one before, whose send it hears of
-//!   meanwhile.
-//! - Two that send at once all the same leave a debt, which all wait for.
-//! - Entries on record that are not heard keep their part, whether they are gone or
-//!   cut off: the owner of the bucket fills it by the part of those it hears.
+//! - Nodes with demand are ranked in an order that changes with every send. Each waits
+//!   [`TURN`] longer than the one before it, which gives that one's update time to arrive.
+//! - Nodes that send at the same moment overdraw the bucket, and all wait until it has
+//!   refilled.
+//! - The bucket fills only by the share of the reachable nodes. Registered nodes that are
+//!   unreachable keep their share, whether they have stopped or are partitioned.
 
 use std::{collections::HashMap, time::Duration};
 
 use notchwalk_core::Instant;
 
-use crate::groups::mixed;
+use crate::groups::mix_bits;
 
-/// How much longer than the one before it an entry leaves what is allowed to others:
-/// longer than telling takes, and than the pause between two looks at what waits.
+/// How much longer than the one before it a node waits: longer than an update takes to
+/// arrive, and than the interval at which waiting requests are checked.
 const TURN: Duration = Duration::from_millis(25);
-/// The longest time that the last of them leaves it to others.
-const LAST_TURN: Duration = Duration::from_millis(300);
-/// Entries that use a server in need, at most: with more, turns would be too short for
-/// a low limit, and as many send at once before they hear of each other.
-const FEWEST_USERS: usize = 12;
-/// The same for each request a second: among many entries few ask for the server at any
-/// moment, and at a high rate what is sent at once is soon made up for.
-const USERS_PER_RATE: f64 = 4.0;
-/// How long a peer's demand counts after it was told.
-const DEMAND_LASTS: Duration = Duration::from_secs(2);
-/// A peer's count that falls by more than this began anew; by less, sends were taken
-/// back that reached nobody.
-const MOST_TAKEN_BACK: i32 = 8;
-
-/// What a peer told of its sends.
+/// Maximum wait of the node that is last in the order.
+const MAX_TURN_WAIT: Duration = Duration::from_millis(300);
+/// Maximum number of nodes that use a server at a low rate: with more, turns would be too
+/// short, and several nodes would send before they receive each other's updates.
+const MIN_MAX_USERS: usize = 12;
+/// The same per request per second. At a high rate an overdrawn bucket refills quickly.
+const MAX_USERS_PER_RPS: f64 = 4.0;
+/// How long a peer's demand counts after its last update.
+const DEMAND_TTL: Duration = Duration::from_secs(2);
+/// A peer's counter that falls by more than this has been reset; by less, the peer rolled
+/// back sends that reached no server.
+const MAX_ROLLBACK: i32 = 8;
+
+/// The sends of a peer to the server, from its last update.
 #[derive(Clone, Copy, Debug)]
 struct PeerSends {
-    /// The peer's id, which all entries derive alike.
+    /// The peer's id, the same on all nodes.
     id: u32,
     sent: u32,
-    wants_until: Instant,
+    demand_until: Instant,
 }
 
-/// See the module's page.
+/// One node's replica of a server's token bucket. See the module documentation.
 #[derive(Clone, Debug)]
 pub(super) struct SharedBucket {
     /// The server's short id.
     server: u32,
-    /// The id of the entry that keeps it.
+    /// The id of this node.
     own: u32,
-    /// Requests a second that it fills by.
+    /// Fill rate, in requests per second.
     rate: f64,
-    /// Requests that may be sent, as of `at`; below 0 for a debt.
+    /// Available tokens as of `at`, one per request; negative if overdrawn.
     level: f64,
     at: Instant,
     peers: HashMap<u32, PeerSends>,
 }
 
 impl SharedBucket {
-    /// Builds an empty bucket: entries that hear of a limit together would spend a
-    /// full one together.
+    /// Creates an empty bucket: nodes that learn of a limit at the same moment would each
+    /// spend a full one.
     pub fn new(server: u32, now: Instant) -> Self {
         Self {
             server,
@@ -72,59 +71,60 @@
         }
     }
 
-    /// Sets who keeps the bucket, and the requests a second that it fills by.
+    /// Sets the id of this node and the fill rate in requests per second.
     pub fn set_rate(&mut self, own: u32, rate: f64, now: Instant) {
         self.level = self.level(now);
         self.at = now;
         (self.own, self.rate) = (own, rate);
     }
 
-    /// Returns the requests that may be sent now, by any entry that is heard.
+    /// Returns the number of requests that the reachable nodes may send now.
     pub fn level(&self, now: Instant) -> f64 {
         let filled = self.level + self.rate * now.since(self.at).as_secs_f64();
         let users = self.users(now);
-        let most = 1.0 + users as f64 * self.turn_level(users);
-        filled.min(most)
+        let capacity = 1.0 + users as f64 * self.turn_level(users);
+        filled.min(capacity)
     }
 
-    /// Returns what the bucket fills by in one of the turns of so many users.
+    /// Returns the tokens added during one turn if there are `users` users.
     fn turn_level(&self, users: usize) -> f64 {
-        self.rate * TURN.min(LAST_TURN / users as u32).as_secs_f64()
+        self.rate * TURN.min(MAX_TURN_WAIT / users as u32).as_secs_f64()
     }
 
-    fn most_users(&self) -> usize {
-        FEWEST_USERS.max((self.rate * USERS_PER_RATE) as usize)
+    fn max_users(&self) -> usize {
+        MIN_MAX_USERS.max((self.rate * MAX_USERS_PER_RPS) as usize)
     }
 
-    /// Returns the peers that have demand for the server.
-    fn wanting(&self, now: Instant) -> impl Iterator<Item = &PeerSends> {
+    /// Returns the peers with demand for the server.
+    fn peers_with_demand(&self, now: Instant) -> impl Iterator<Item = &PeerSends> {
         let peers = self.peers.values();
-        peers.filter(move |peer| peer.wants_until > now)
+        peers.filter(move |peer| peer.demand_until > now)
     }
 
-    /// Returns how many entries with demand use the server, this one included.
+    /// Returns how many nodes use the server, this one included.
     pub fn users(&self, now: Instant) -> usize {
-        (self.wanting(now).count() + 1).min(self.most_users())
+        (self.peers_with_demand(now).count() + 1).min(self.max_users())
     }
 
-    /// Returns the requests a second that are this entry's, if all that have demand
-    /// send alike.
+    /// Returns this node's share in requests per second, if all users send at the same
+    /// rate.
     pub fn own_rate(&self, now: Instant) -> f64 {
         self.rate / self.users(now) as f64
     }
 
-    /// Returns how many entries with demand come before this one, in the order that
-    /// holds for `round`.
+    /// Returns how many nodes with demand precede this one in the order of `round`.
     fn rank(&self, round: u32, now: Instant) -> usize {
-        let key = |id: u32| mixed(self.server ^ mixed(id ^ round));
+        let key = |id: u32| mix_bits(self.server ^ mix_bits(id ^ round));
         let own = key(self.own);
-        self.wanting(now).filter(|peer| key(peer.id) < own).count()
+        self.peers_with_demand(now)
+            .filter(|peer| key(peer.id) < own)
+            .count()
     }
 
-    /// Returns this entry's turn at the next request; `None` if it leaves the server
-    /// to others.
+    /// Returns how many turns this node waits before the next request; `None` if it leaves
+    /// the server to other nodes.
     fn turn(&self, own_sent: u32, now: Instant) -> Option<usize> {
-        if self.rank(0, now) >= self.most_users() {
+        if self.rank(0, now) >= self.max_users() {
             return None;
         }
         let peers = self.peers.values();
@@ -132,8 +132,8 @@
         Some(self.rank(sent, now).min(self.users(now) - 1))
     }
 
-    /// Returns how long this entry, which has sent `own_sent` requests to the server,
-    /// has to wait until it may send one; `None` while it may send none at all.
+    /// Returns the time until this node, which has sent `own_sent` requests to the server,
+    /// may send another; `None` if it may send none.
     pub fn may_send_in(&self, own_sent: u32, now: Instant) -> Option<Duration> {
         let turn = self.turn(own_sent, now)?;
         let turn_level = self.turn_level(self.users(now));
@@ -144,33 +144,34 @@
         (self.rate > 0.0).then(|| Duration::from_secs_f64(missing / self.rate))
     }
 
-    /// Takes requests that were sent, or gives back what reached nobody (below 0).
+    /// Takes a token per request sent, or returns tokens (negative) of requests that
+    /// reached no server.
     pub fn take(&mut self, requests: i32, now: Instant) {
         self.level = self.level(now) - f64::from(requests);
         self.at = now;
     }
 
-    /// Hears how many requests a peer has sent to the server so far. The first count is
-    /// where counting starts: what was sent before is over.
-    pub fn hear(&mut self, peer: u32, id: u32, sent: u32, wants: bool, now: Instant) {
+    /// Applies a peer's send counter. The first one only sets the baseline.
+    pub fn apply_peer(&mut self, peer: u32, id: u32, sent: u32, has_demand: bool, now: Instant) {
         let known = self.peers.get(&peer).copied();
-        let wants_until = match wants {
-            true => now.after(DEMAND_LASTS),
-            false => known.map_or(now, |known| known.wants_until),
+        let demand_until = match has_demand {
+            true => now.after(DEMAND_TTL),
+            false => known.map_or(now, |known| known.demand_until),
         };
-        let news = known.map_or(0, |known| sent.wrapping_sub(known.sent) as i32);
-        if news >= -MOST_TAKEN_BACK {
-            self.take(news, now);
+        let added = known.map_or(0, |known| sent.wrapping_sub(known.sent) as i32);
+        if added >= -MAX_ROLLBACK {
+            self.take(added, now);
         }
         let sends = PeerSends {
             id,
             sent,
-            wants_until,
+            demand_until,
         };
         self.peers.insert(peer, sends);
     }
 
-    /// Forgets a peer that fell silent: what it sends from now on is its own part.
+    /// Removes a peer that became unreachable; what it sends from now on counts against
+    /// its own share.
     pub fn forget(&mut self, peer: u32) {
         self.peers.remove(&peer);
     }
--- a/crates/notchwalk_route/src/fleet/sharing.rs
+++ b/crates/notchwalk_route/src/fleet/sharing.rs
@@ -1,5 +1,5 @@
-//! Servers that name a limit: what entries tell each other of them, and when they take
-//! a request.
+//! Servers that announce a limit: the updates that nodes exchange about them, and when
+//! they accept a request.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -9,274 +9,277 @@
 use notchwalk_core::Instant;
 
 use super::{
-    limit::{LimitWord, ServerLimit},
-    told_limit::{Sharing, Told, ToldLimit, ToldLimitWord},
+    limit::{LimitObservation, ServerLimit},
+    limit_update::{Sharing, Told, ToldLimit, ToldLimitWord},
     Fleet, Server, ServerKey,
 };
 use crate::{shares::tag_of, RateLimit, ServerWord};
 
-/// How long a service counts as asked for after a request for it.
-const DEMAND_LASTS: Duration = Duration::from_secs(1);
-/// How often it is told of one server that its limit is used up.
-const TOLD_USED_UP_EVERY: Duration = Duration::from_secs(5);
-/// Limits kept of servers whose records are gone: they lapse while the store is away.
-const KEPT: usize = 64;
+/// How long a service counts as in demand after a request for it.
+const DEMAND_TTL: Duration = Duration::from_secs(1);
+/// Minimum interval between two reports that a server's limit is used up.
+const USED_UP_REPORT_INTERVAL: Duration = Duration::from_secs(5);
+/// Maximum number of limits retained of unregistered servers: registrations expire while
+/// the store is unavailable.
+const MAX_RETAINED: usize = 64;
 
-/// When a service takes another request.
+/// When a service accepts another request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-    /// At once.
+    /// Immediately.
     Now,
-    /// When the limits of its servers allow one.
+    /// After this time, when the limits of its servers allow one.
     WithinLimits(Duration),
-    /// When the first of its servers takes requests again.
+    /// After this time, when the first of its servers becomes available.
     Later(Duration),
-    /// Not as far as is known: all servers leave, or there is none.
+    /// At no known time: all servers are draining, or there is none.
     Never,
 }
 
-/// What the fleet keeps of servers that name limits.
+/// State of the servers that announce limits.
 #[derive(Debug, Default)]
 pub(super) struct Limits {
     sharing: Option<Sharing>,
-    /// Servers with a limit, or whose limit ended lately.
+    /// Servers with a limit, or whose limit ended recently.
     servers: Vec<ServerKey>,
-    /// Those of which peers are to be told at once.
-    news: Vec<ServerKey>,
-    /// Limits of servers whose records are gone, by their lives. The newest last.
-    kept: VecDeque<(u32, ServerLimit)>,
-    /// When each service was asked for last.
-    asked_for: HashMap<String, Instant>,
-    /// Messages to servers with limits so far.
+    /// Those with an update that is to be published without delay.
+    pending: Vec<ServerKey>,
+    /// Limits of unregistered servers by their short ids, oldest first.
+    retained: VecDeque<(u32, ServerLimit)>,
+    /// Time of the last request for each service.
+    last_demand: HashMap<String, Instant>,
+    /// Number of messages sent to limited servers.
     sent: u64,
 }
 
 impl Limits {
-    pub fn keep(&mut self, server: &Server) {
+    pub fn retain(&mut self, server: &Server) {
         if server.limit().is_none() {
             return;
         }
-        self.kept.push_back((server.tag, server.limit.clone()));
-        if self.kept.len() > KEPT {
-            self.kept.pop_front();
+        self.retained.push_back((server.tag, server.limit.clone()));
+        if self.retained.len() > MAX_RETAINED {
+            self.retained.pop_front();
         }
     }
 
-    fn take_kept(&mut self, life: u32) -> Option<ServerLimit> {
-        let index = self.kept.iter().position(|(tag, _)| *tag == life)?;
-        self.kept.remove(index).map(|(_, limit)| limit)
+    fn take_retained(&mut self, incarnation: u32) -> Option<ServerLimit> {
+        let index = self
+            .retained
+            .iter()
+            .position(|(tag, _)| *tag == incarnation)?;
+        self.retained.remove(index).map(|(_, limit)| limit)
     }
 }
 
 impl Fleet {
-    /// Gives a server that is on record again the limit that it had: a record lapses
-    /// while the store is away.
+    /// Restores the limit of a server that has registered again.
     pub(super) fn restore_limit(&mut self, key: ServerKey, now: Instant) {
         let server = &mut self.servers[key];
-        if let Some(kept) = self.limits.take_kept(server.tag) {
-            server.limit = kept;
-            self.watch_limit(key, now);
+        if let Some(retained) = self.limits.take_retained(server.tag) {
+            server.limit = retained;
+            self.track_limit(key, now);
         }
     }
 
-    /// Sets who shares what servers allow.
+    /// Sets which nodes share the limits of servers.
     pub fn set_sharing(&mut self, sharing: Sharing, now: Instant) {
         if self.limits.sharing == Some(sharing) {
             return;
         }
         self.limits.sharing = Some(sharing);
-        self.set_parts(now);
+        self.update_shares(now);
     }
 
-    pub(super) fn set_parts(&mut self, now: Instant) {
+    pub(super) fn update_shares(&mut self, now: Instant) {
         for key in self.limits.servers.clone() {
-            self.set_part(key, now);
+            self.update_share(key, now);
         }
     }
 
-    /// Sets the part of its limit by which a server's bucket fills.
-    fn set_part(&mut self, key: ServerKey, now: Instant) {
-        let (own, part) = self.limits.sharing.map_or((0, 0.0), |sharing| {
-            (sharing.own, self.part_of_limit(key, sharing))
+    /// Updates the share of its limit by which a server's bucket fills.
+    fn update_share(&mut self, key: ServerKey, now: Instant) {
+        let (own, share) = self.limits.sharing.map_or((0, 0.0), |sharing| {
+            (sharing.own, self.limit_share(key, sharing))
         });
         let server = self.servers.get_mut(key);
-        if let Some(limited) = server.and_then(|server| server.limit.in_force_mut()) {
-            limited.set_part(own, part, now);
+        if let Some(limited) = server.and_then(|server| server.limit.active_mut()) {
+            limited.set_share(own, share, now);
         }
     }
 
-    /// Returns the part of a server's limit that the entries have which this one hears.
-    /// Those of other groups that use the server too are not heard in time.
-    fn part_of_limit(&self, key: ServerKey, sharing: Sharing) -> f64 {
+    /// Returns the share of a server's limit that the reachable nodes of this group may use.
+    /// Other groups that use the server have a share each, as their updates arrive too late.
+    fn limit_share(&self, key: ServerKey, sharing: Sharing) -> f64 {
         let Some(server) = self.servers.get(key) else {
             return 0.0;
         };
         let servers = self.of_service(&server.record.service).len();
-        let groups = self.group.sharing(servers);
-        f64::from(sharing.heard) / f64::from(sharing.on_record.max(1)) / groups as f64
+        let groups = self.group.groups_sharing(servers);
+        f64::from(sharing.reachable) / f64::from(sharing.registered.max(1)) / groups as f64
     }
 
-    /// Keeps the limit of a server up to date and tells peers of it.
-    fn watch_limit(&mut self, key: ServerKey, now: Instant) {
+    /// Adds a server to those with limits and sets its share.
+    fn track_limit(&mut self, key: ServerKey, now: Instant) {
         if !self.limits.servers.contains(&key) {
             self.limits.servers.push(key);
         }
-        self.set_part(key, now);
+        self.update_share(key, now);
     }
 
-    fn mark_limit(&mut self, key: ServerKey) {
-        if !self.limits.news.contains(&key) {
-            self.limits.news.push(key);
+    fn queue_limit_update(&mut self, key: ServerKey) {
+        if !self.limits.pending.contains(&key) {
+            self.limits.pending.push(key);
         }
     }
 
-    /// Notes what an answer to this entry said of a server's limit; returns whether that
-    /// is new here.
+    /// Applies the limit that a response to this node announced; returns whether that
+    /// changes the server's limit.
     pub(super) fn note_limit(
         &mut self,
         key: ServerKey,
         limit: Option<RateLimit>,
-        asked: Instant,
+        requested_at: Instant,
         now: Instant,
     ) -> bool {
-        let said = LimitWord {
+        let observed = LimitObservation {
             limit,
-            asked,
-            first_hand: true,
+            requested_at,
+            is_direct: true,
         };
-        let is_new = self.hear_limit(key, said, now);
+        let is_new = self.apply_limit(key, observed, now);
         if is_new {
-            self.mark_limit(key);
+            self.queue_limit_update(key);
         }
         is_new
     }
 
-    fn hear_limit(&mut self, key: ServerKey, said: LimitWord, now: Instant) -> bool {
+    fn apply_limit(&mut self, key: ServerKey, observed: LimitObservation, now: Instant) -> bool {
         let Some(server) = self.servers.get_mut(key) else {
             return false;
         };
         let tag = server.tag;
-        let is_new = server.limit.hear(said, tag, now);
+        let is_new = server.limit.apply(observed, tag, now);
         if is_new {
-            self.watch_limit(key, now);
+            self.track_limit(key, now);
         }
         is_new
     }
 
-    /// Hears what a peer tells of servers that name limits; returns what is new here.
-    /// `near` is the number and the name of a peer of this entry's group: what others send
-    /// is their groups' part, by which the bucket does not fill.
+    /// Applies a peer's updates on limited servers; returns the limits that changed.
+    /// `near` is the number and the name of a peer in this node's group. Sends of other
+    /// peers count against their own groups' shares.
     pub fn hear_limits(
         &mut self,
         near: Option<(u32, &str)>,
-        told: &[ToldLimit],
+        updates: &[ToldLimit],
         now: Instant,
     ) -> Vec<(ServerKey, ServerWord)> {
-        let mut news = Vec::new();
-        for told in told {
-            let Some(key) = self.by_tag(told.server) else {
+        let mut changed = Vec::new();
+        for update in updates {
+            let Some(key) = self.by_tag(update.server) else {
                 continue;
             };
-            if let Some(said) = told.said {
-                let limit = said.limit;
-                let asked = now.before(Duration::from_millis(said.age_ms.into()));
-                let said = LimitWord {
+            if let Some(observed) = update.said {
+                let limit = observed.limit;
+                let asked = now.before(Duration::from_millis(observed.age_ms.into()));
+                let observed = LimitObservation {
                     limit,
-                    asked,
-                    first_hand: false,
+                    requested_at: asked,
+                    is_direct: false,
                 };
-                if self.hear_limit(key, said, now) {
-                    news.push((key, ServerWord::Limit { limit, asked }));
+                if self.apply_limit(key, observed, now) {
+                    changed.push((key, ServerWord::Limit { limit, asked }));
                 }
             }
             let Some((peer, name)) = near else { continue };
-            if let Some(limited) = self.servers[key].limit.in_force_mut() {
+            if let Some(limited) = self.servers[key].limit.active_mut() {
                 let bucket = &mut limited.bucket;
-                bucket.hear(peer, tag_of(name), told.sent, told.wants, now);
+                bucket.apply_peer(peer, tag_of(name), update.sent, update.wants, now);
             }
         }
-        news
+        changed
     }
 
-    /// Forgets what a peer told of its sends.
+    /// Discards the send counters of a peer.
     pub fn forget_sends_of(&mut self, peer: u32) {
         for &key in &self.limits.servers {
             let server = self.servers.get_mut(key);
-            if let Some(limited) = server.and_then(|server| server.limit.in_force_mut()) {
+            if let Some(limited) = server.and_then(|server| server.limit.active_mut()) {
                 limited.bucket.forget(peer);
             }
         }
     }
 
-    /// Tells whether peers are to be told at once of servers that name limits.
+    /// Returns whether updates on limited servers are to be published without delay.
     pub fn has_limit_news(&self) -> bool {
-        !self.limits.news.is_empty()
+        !self.limits.pending.is_empty()
     }
 
-    /// Takes what peers are to be told at once.
+    /// Takes the updates on limited servers that are to be published without delay.
     pub fn take_limit_news(&mut self, now: Instant) -> Vec<ToldLimit> {
-        let news = std::mem::take(&mut self.limits.news);
-        let told = news.iter();
-        let told = told.filter_map(|&key| self.limit_to_tell(key, Told::FirstHand, now));
-        told.collect()
+        let pending = std::mem::take(&mut self.limits.pending);
+        let updates = pending.iter();
+        let updates = updates.filter_map(|&key| self.limit_update(key, Told::FirstHand, now));
+        updates.collect()
     }
 
-    /// Returns what peers are told of servers that name limits, `most` of them at most.
-    pub fn limits_to_tell(&self, told: Told, most: usize, now: Instant) -> Vec<ToldLimit> {
+    /// Returns at most `max` updates on limited servers for publishing.
+    pub fn limits_to_tell(&self, scope: Told, max: usize, now: Instant) -> Vec<ToldLimit> {
         let servers = self.limits.servers.iter();
-        let told = servers.filter_map(|&key| self.limit_to_tell(key, told, now));
-        told.take(most).collect()
+        let updates = servers.filter_map(|&key| self.limit_update(key, scope, now));
+        updates.take(max).collect()
     }
 
-    fn limit_to_tell(&self, key: ServerKey, told: Told, now: Instant) -> Option<ToldLimit> {
+    fn limit_update(&self, key: ServerKey, scope: Told, now: Instant) -> Option<ToldLimit> {
         let server = self.servers.get(key)?;
-        let said = server.limit.known(now);
-        let said = said.filter(|said| said.first_hand || told == Told::All);
-        let said = said.map(|said| ToldLimitWord {
-            limit: said.limit,
-            age_ms: now.since(said.asked).as_millis() as u32,
+        let latest = server.limit.latest(now);
+        let latest = latest.filter(|latest| latest.is_direct || scope == Told::All);
+        let said = latest.map(|latest| ToldLimitWord {
+            limit: latest.limit,
+            age_ms: now.since(latest.requested_at).as_millis() as u32,
         });
-        let asked_for = self.limits.asked_for.get(&server.record.service);
+        let last_demand = self.limits.last_demand.get(&server.record.service);
         Some(ToldLimit {
             server: server.tag,
             said,
             sent: server.sent,
-            wants: asked_for.is_some_and(|&at| now.since(at) < DEMAND_LASTS),
+            wants: last_demand.is_some_and(|&at| now.since(at) < DEMAND_TTL),
         })
     }
 
-    /// Notes a request for a service: peers leave some of what limited servers allow to
-    /// an entry with demand.
+    /// Records demand for a service: a node with demand gets a share of the limits of its
+    /// servers.
     pub fn note_asked_for(&mut self, service: &str, now: Instant) {
         if self.limits.servers.is_empty() {
             return;
         }
-        match self.limits.asked_for.get_mut(service) {
+        match self.limits.last_demand.get_mut(service) {
             Some(at) => *at = now,
             None => {
-                self.limits.asked_for.insert(service.to_owned(), now);
+                self.limits.last_demand.insert(service.to_owned(), now);
             }
         }
     }
 
-    /// Forgets limits that ended and that peers were told of.
+    /// Removes servers whose limits have ended and whose end has been published.
     pub fn forget_ended_limits(&mut self, now: Instant) {
         let servers = &self.servers;
         self.limits.servers.retain(|&key| {
             let server = servers.get(key);
-            server.is_some_and(|server| server.limit().is_some() || server.limit.tells_end(now))
+            server.is_some_and(|server| server.limit().is_some() || server.limit.publishes_end(now))
         });
         if self.limits.servers.is_empty() {
-            self.limits.asked_for.clear();
+            self.limits.last_demand.clear();
         }
     }
 
-    /// Notes that a request, a part of one or an order goes to a server.
+    /// Counts a message to a server: a request, a part of one or a reservation order.
     pub fn note_message(&mut self, key: ServerKey, now: Instant) {
         self.count_sent(key, 1, now);
     }
 
-    /// Notes that a message to a server was not sent after all.
+    /// Rolls back the count of a message that was not sent.
     pub fn note_unsent(&mut self, key: ServerKey, now: Instant) {
         self.count_sent(key, -1, now);
     }
@@ -287,60 +290,60 @@
         };
         if server.count_sent(messages, now) {
             self.limits.sent = self.limits.sent.saturating_add_signed(messages.into());
-            self.mark_limit(key);
+            self.queue_limit_update(key);
         }
     }
 
-    /// Returns the servers that name limits.
+    /// Returns the servers with a limit.
     pub fn limited(&self) -> impl Iterator<Item = (&Server, RateLimit)> {
         let servers = self.limits.servers.iter();
         let servers = servers.filter_map(|&key| self.servers.get(key));
         servers.filter_map(|server| Some((server, server.limit()?)))
     }
 
-    /// Returns how many messages this entry has sent to servers with limits.
+    /// Returns how many messages this node has sent to limited servers.
     pub fn sent_within_limits(&self) -> u64 {
         self.limits.sent
     }
 
-    /// Returns servers whose limits leave requests for their services to others, each at
-    /// most once in a while.
+    /// Returns servers whose services are in demand but whose limits allow no request now.
+    /// Each is returned at most once per [`USED_UP_REPORT_INTERVAL`].
     pub(crate) fn used_up_limits(&mut self, now: Instant) -> Vec<ServerKey> {
         let mut used_up = Vec::new();
         for &key in &self.limits.servers {
             let Some(server) = self.servers.get_mut(key) else {
                 continue;
             };
-            let asked_for = self.limits.asked_for.get(&server.record.service);
-            let is_asked_for = asked_for.is_some_and(|&at| now.since(at) < DEMAND_LASTS);
-            let is_allowed = server.allowed_in(now) == Some(Duration::ZERO);
-            if is_allowed || !is_asked_for || now < server.tells_used_up_from {
+            let last_demand = self.limits.last_demand.get(&server.record.service);
+            let has_demand = last_demand.is_some_and(|&at| now.since(at) < DEMAND_TTL);
+            let is_allowed = server.time_until_allowed(now) == Some(Duration::ZERO);
+            if is_allowed || !has_demand || now < server.next_used_up_report {
                 continue;
             }
-            server.tells_used_up_from = now.after(TOLD_USED_UP_EVERY);
+            server.next_used_up_report = now.after(USED_UP_REPORT_INTERVAL);
             used_up.push(key);
         }
         used_up
     }
 
-    /// Returns when the servers of a service take another request, but for those that
-    /// `tried` names.
+    /// Returns when the servers of a service accept another request, except those in
+    /// `tried`.
     pub fn availability(&self, service: &str, tried: &[ServerKey], now: Instant) -> Availability {
         let servers = self.of_service(service).iter();
         let servers = servers.filter(|key| !tried.contains(key));
         let (mut limited, mut later) = (None, None);
         for &key in servers {
             let server = &self.servers[key];
-            let Some(open_in) = server.open_in(now) else {
+            let Some(until_available) = server.time_until_available(now) else {
                 continue;
             };
-            if !open_in.is_zero() {
-                later = soonest(later, open_in);
+            if !until_available.is_zero() {
+                later = earliest(later, until_available);
                 continue;
             }
-            match server.allowed_in(now) {
+            match server.time_until_allowed(now) {
                 Some(Duration::ZERO) => return Availability::Now,
-                Some(allowed_in) => limited = soonest(limited, allowed_in),
+                Some(until_allowed) => limited = earliest(limited, until_allowed),
                 None => {}
             }
         }
@@ -351,17 +354,18 @@
         }
     }
 
-    /// Returns the requests a second that the limited servers of a service leave to this
-    /// entry.
+    /// Returns this node's share of the limits of a service's servers, in requests per
+    /// second.
     pub fn allowed_rate(&self, service: &str, now: Instant) -> f64 {
         let servers = self.of_service(service).iter();
         let servers = servers.map(|&key| &self.servers[key]);
-        let open = servers.filter(|server| server.open_in(now) == Some(Duration::ZERO));
-        let limits = open.filter_map(|server| server.limit.in_force());
+        let available =
+            servers.filter(|server| server.time_until_available(now) == Some(Duration::ZERO));
+        let limits = available.filter_map(|server| server.limit.active());
         limits.map(|limited| limited.bucket.own_rate(now)).sum()
     }
 }
 
-fn soonest(known: Option<Duration>, time: Duration) -> Option<Duration> {
+fn earliest(known: Option<Duration>, time: Duration) -> Option<Duration> {
     Some(known.map_or(time, |known| known.min(time)))
 }
--- a/crates/notchwalk_route/src/groups.rs
+++ b/crates/notchwalk_route/src/groups.rs
@@ -1,29 +1,30 @@
-//! Groups of entries that share a part of the servers.
+//! Groups of nodes that use a subset of the servers.
 //!
-//! Among a few entries everybody tells everybody what it has on which engine, and all
-//! use all engines. What that costs grows with the square of the entries: 72 KB a second
-//! an entry at 30 of them, 2.1 MB at 300. So many entries fall into groups, each of
-//! which has a part of the engines to itself and tells only its own members.
+//! In a small deployment each node publishes its load to all others, and all nodes use all
+//! servers. This traffic grows with the square of the number of nodes. In a large one the
+//! nodes are divided into groups: each group uses its own subset of the servers, and its
+//! nodes publish their load only to each other.
 //!
-//! Nobody forms groups: each entry finds its own from the entries on record and the
-//! servers on record, both in an order that all entries share. An entry or a server more
-//! moves each border by one place at most. Entries whose views differ for a moment share
-//! an engine without telling each other, which costs time and no promise.
+//! Groups need no coordination. Each node derives its group from the registered nodes and
+//! servers, both in an order that is the same on all nodes. Adding a node or a server moves
+//! each boundary by at most one position. Nodes whose views differ for a moment may use a
+//! server without seeing each other's load there, which can add latency but is otherwise
+//! harmless.
 
 use crate::shares::tag_of;
 
-/// Entries up to which there is one group.
-const MOST_TOGETHER: usize = 64;
-/// Entries of a group at most, where there are several; each has more than half as many.
-const MOST_IN_GROUP: usize = 24;
-/// Servers of the largest service that a group has at least: a long prompt is read by up
-/// to 17, and others are served beside it.
-const LEAST_SERVERS_A_GROUP: usize = 48;
-/// Servers of any service that a group has at least; with fewer, neighbouring groups
-/// share theirs.
-const LEAST_SERVERS: usize = 8;
+/// Maximum number of nodes that form a single group.
+const MAX_UNDIVIDED_NODES: usize = 64;
+/// Maximum number of nodes per group where there are several.
+const MAX_NODES_PER_GROUP: usize = 24;
+/// Minimum number of servers per group for the largest service: a long prompt occupies
+/// many of them, and others are served at the same time.
+const MIN_SERVERS_PER_GROUP: usize = 48;
+/// Minimum number of servers per group for any service; with fewer, neighboring groups
+/// share a subset.
+const MIN_SUBSET_SIZE: usize = 8;
 
-/// One of a number of groups, which is a power of two.
+/// One of `count` groups, where `count` is a power of two.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Group {
     index: usize,
@@ -37,17 +38,17 @@
 }
 
 impl Group {
-    /// Returns the group of the entry at a place in the order of all entries, before
-    /// `servers` of the largest service.
-    pub fn of_place(place: usize, entries: usize, servers: usize) -> Self {
-        let groups = match entries {
-            0..=MOST_TOGETHER => 1,
-            _ => entries.div_ceil(MOST_IN_GROUP).next_power_of_two(),
+    /// Returns the group of the node at `position` in the order of all `nodes` nodes, if the
+    /// largest service has `servers` servers.
+    pub fn of_place(position: usize, nodes: usize, servers: usize) -> Self {
+        let groups = match nodes {
+            0..=MAX_UNDIVIDED_NODES => 1,
+            _ => nodes.div_ceil(MAX_NODES_PER_GROUP).next_power_of_two(),
         };
-        let most = (servers / LEAST_SERVERS_A_GROUP).max(1);
-        let groups = groups.min(1 << most.ilog2());
+        let max_groups = (servers / MIN_SERVERS_PER_GROUP).max(1);
+        let groups = groups.min(1 << max_groups.ilog2());
         Self {
-            index: place * groups / entries.max(1),
+            index: position * groups / nodes.max(1),
             count: groups,
         }
     }
@@ -57,45 +58,45 @@
         self.count
     }
 
-    /// Returns the group's place among all groups.
+    /// Returns the group's index among all groups.
     pub fn index(self) -> usize {
         self.index
     }
 
-    /// Returns the group's part of servers in an order that all entries share.
-    pub fn part<T>(self, servers: &[T]) -> &[T] {
+    /// Returns the group's subset of `servers`, which are in the same order on all nodes.
+    pub fn subset<T>(self, servers: &[T]) -> &[T] {
         let Self { index, count } = self.merged(servers.len());
-        let border = |index: usize| servers.len() * index / count;
-        &servers[border(index)..border(index + 1)]
+        let boundary = |index: usize| servers.len() * index / count;
+        &servers[boundary(index)..boundary(index + 1)]
     }
 
-    /// Returns how many groups share a part of so many servers.
-    pub fn sharing(self, servers: usize) -> usize {
+    /// Returns how many groups share a subset of a service with `servers` servers.
+    pub fn groups_sharing(self, servers: usize) -> usize {
         self.count / self.merged(servers).count
     }
 
-    /// Returns this group with its neighbours, as many as it takes for enough servers.
+    /// Merges this group with its neighbors until the subset has enough servers.
     fn merged(self, servers: usize) -> Self {
         let Self {
             mut index,
             mut count,
         } = self;
-        while count > 1 && servers / count < LEAST_SERVERS {
+        while count > 1 && servers / count < MIN_SUBSET_SIZE {
             (index, count) = (index / 2, count / 2);
         }
         Self { index, count }
     }
 }
 
-/// Returns what orders entries by, so that those of one failure domain, whose names
-/// are alike, spread over all groups.
+/// Returns the key that orders nodes. It spreads the nodes of one failure domain, whose
+/// names are similar, over all groups.
 pub fn entry_order(name: &str) -> (u32, &str) {
-    (mixed(tag_of(name)), name)
+    (mix_bits(tag_of(name)), name)
 }
 
-/// Spreads a short id over all bits: names that differ in their last letters have ids
-/// that differ in few (the finalizer of MurmurHash3).
-pub(crate) fn mixed(mut id: u32) -> u32 {
+/// Mixes the bits of a short id (the finalizer of MurmurHash3): similar names have ids that
+/// differ in few bits.
+pub(crate) fn mix_bits(mut id: u32) -> u32 {
     id = (id ^ (id >> 16)).wrapping_mul(0x85eb_ca6b);
     id = (id ^ (id >> 13)).wrapping_mul(0xc2b2_ae35);
     id ^ (id >> 16)
--- a/crates/notchwalk_route/src/lib.rs
+++ b/crates/notchwalk_route/src/lib.rs
@@ -11,7 +11,7 @@
 //! | `routes` | which route a request takes, and whose key it carries |
 //! | `first_try` | since when a caller has been asking |
 //! | `fleet` | which backend servers exist and which may be used |
-//! | `server_word` | what servers say of themselves in their answers |
+//! | `server_notice` | what servers say of themselves in their answers |
 //! | `groups` | which servers an entry uses among many entries |
 //! | `board` | what runs on each server, by this entry and by its peers |
 //! | `engine_cost` | what work costs on a model engine |
@@ -35,7 +35,7 @@
 mod retry_budget;
 mod router;
 mod routes;
-mod server_word;
+mod server_notice;
 mod shares;
 mod site;
 mod wait_queue;
@@ -55,7 +55,7 @@
 pub use retry_budget::RetryBudget;
 pub use router::{Router, RouterConfig};
 pub use routes::{host_name, RouteLookup, RouteTable};
-pub use server_word::{RateLimit, ServerWord};
+pub use server_notice::{RateLimit, ServerWord};
 pub use shares::WorkspaceTag;
 pub use site::{
     Backend, ClientLimits, EngineParameters, Repeatability, Route, Service, SiteConfig, Workspace,
--- a/crates/notchwalk_route/tests/decisions/leaving.rs
+++ b/crates/notchwalk_route/tests/decisions/leaving.rs
@@ -1,4 +1,4 @@
-//! Servers that leave, vanish or fail.
+//! Servers that drain, are removed or fail.
 
 use std::time::Duration;
 
@@ -7,12 +7,12 @@
 use crate::common::{record, Rig, DESK};
 
 #[test]
-fn a_leaving_server_gets_no_new_work() {
+fn draining_server_receives_no_new_requests() {
     let mut rig = Rig::new();
     for number in 0..2 {
-        let mut leaving = record(DESK, number);
-        leaving.stage = ServerStage::Leaving;
-        rig.step(Event::Servers(ServerChange::Present(leaving)));
+        let mut draining = record(DESK, number);
+        draining.stage = ServerStage::Leaving;
+        rig.step(Event::Servers(ServerChange::Present(draining)));
     }
     for _ in 0..20 {
         rig.arrive("/once/", 0);
@@ -21,11 +21,11 @@
 }
 
 #[test]
-fn a_server_that_said_it_leaves_does_not_come_back_in_this_life() {
+fn draining_lasts_until_the_end_of_the_incarnation() {
     let mut rig = Rig::new();
-    let mut leaving = record(DESK, 0);
-    leaving.stage = ServerStage::Leaving;
-    rig.step(Event::Servers(ServerChange::Present(leaving)));
+    let mut draining = record(DESK, 0);
+    draining.stage = ServerStage::Leaving;
+    rig.step(Event::Servers(ServerChange::Present(draining)));
     rig.step(Event::Servers(ServerChange::Present(record(DESK, 0))));
     for _ in 0..20 {
         rig.arrive("/once/", 0);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_server_that_is_gone_gets_nothing() {
+fn removed_server_receives_no_requests() {
     let mut rig = Rig::new();
     rig.step(Event::Servers(ServerChange::Gone("desk-1".to_owned())));
     for _ in 0..20 {
@@ -44,15 +44,15 @@
 }
 
 #[test]
-fn a_server_that_cannot_be_reached_rests_and_then_gets_work_again() {
+fn unreachable_server_is_ejected_and_later_used_again() {
     let mut rig = Rig::new();
     let request = rig.arrive("/again/", 0);
-    let dead = rig.only_send().instance;
+    let unreachable = rig.only_send().instance;
     rig.end(request, AttemptEnd::NotConnected);
-    assert_ne!(rig.only_send().instance, dead);
+    assert_ne!(rig.only_send().instance, unreachable);
     for _ in 0..6 {
         rig.arrive("/again/", 0);
-        assert_ne!(rig.only_send().instance, dead);
+        assert_ne!(rig.only_send().instance, unreachable);
     }
     rig.pass(Duration::from_secs(5));
     let mut chosen = Vec::new();
@@ -60,11 +60,11 @@
         rig.arrive("/again/", 0);
         chosen.push(rig.only_send().instance);
     }
-    assert!(chosen.contains(&dead));
+    assert!(chosen.contains(&unreachable));
 }
 
 #[test]
-fn without_any_server_a_request_is_refused_as_not_run() {
+fn request_without_any_server_is_refused_as_not_run() {
     let mut rig = Rig::new();
     rig.step(Event::Servers(ServerChange::Whole(Vec::new())));
     rig.arrive("/once/", 0);
@@ -73,11 +73,10 @@
     assert_eq!(rig.refusals().len(), 1);
 }
 
-/// Found in a recorded day: after all entries restarted, engines with long
-/// queues were given up for their silence and closed, which sent their work to
-/// the others.
+/// Ejecting engines with long queues on timeouts would move their load to engines that are
+/// as busy.
 #[test]
-fn a_busy_server_that_answers_others_is_not_closed_for_its_silence() {
+fn busy_server_that_responds_to_other_requests_is_not_ejected_on_timeouts() {
     let mut rig = Rig::named("entry-1", 2);
     let served = rig.arrive("/short/", 3_000);
     let busy = rig.only_send().instance;
@@ -93,18 +92,18 @@
     for request in waiting {
         rig.end(request, AttemptEnd::Silent);
     }
-    let closed = |effect: &Effect| matches!(effect, Effect::Closed { .. });
-    assert!(!rig.effects.iter().any(closed));
+    let is_ejection = |effect: &Effect| matches!(effect, Effect::Closed { .. });
+    assert!(!rig.effects.iter().any(is_ejection));
 }
 
 #[test]
-fn a_server_that_says_nothing_to_anybody_is_closed() {
+fn server_that_responds_to_no_request_is_ejected() {
     let mut rig = Rig::named("entry-1", 1);
     let requests: Vec<_> = (0..3).map(|_| rig.arrive("/short/", 3_000)).collect();
     rig.pass(Duration::from_millis(1_600));
     for request in requests {
         rig.end(request, AttemptEnd::Silent);
     }
-    let closed = |effect: &Effect| matches!(effect, Effect::Closed { .. });
-    assert!(rig.effects.iter().any(closed));
+    let is_ejection = |effect: &Effect| matches!(effect, Effect::Closed { .. });
+    assert!(rig.effects.iter().any(is_ejection));
 }
--- a/crates/notchwalk_route/tests/decisions/limits.rs
+++ b/crates/notchwalk_route/tests/decisions/limits.rs
@@ -1,4 +1,4 @@
-//! Servers that name how many requests a second they take from all entries together.
+//! Servers that announce a rate limit for all nodes together.
 
 use std::time::Duration;
 
@@ -11,9 +11,8 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Has a server say something of its limit in the answer to a request that was sent
-/// `age` ago.
-fn say_aged(rig: &mut Rig, service: &str, number: u8, rate: Option<f64>, age: Duration) {
+/// Announces a server's limit in the response to a request that was sent `age` ago.
+fn announce_aged(rig: &mut Rig, service: &str, number: u8, rate: Option<f64>, age: Duration) {
     let server = key(rig, service, number);
     let limit = rate.and_then(RateLimit::per_second);
     let asked = rig.now.before(age);
@@ -21,14 +20,14 @@
     rig.step(Event::ServerSaid { server, word });
 }
 
-fn say(rig: &mut Rig, service: &str, number: u8, rate: f64) {
-    say_aged(rig, service, number, Some(rate), Duration::ZERO);
+fn announce(rig: &mut Rig, service: &str, number: u8, rate: f64) {
+    announce_aged(rig, service, number, Some(rate), Duration::ZERO);
 }
 
-/// Has all servers of a service name a limit.
-fn say_all(rig: &mut Rig, service: &str, count: u8, rate: f64) {
+/// Announces the same limit for all servers of a service.
+fn announce_all(rig: &mut Rig, service: &str, count: u8, rate: f64) {
     for number in 0..count {
-        say(rig, service, number, rate);
+        announce(rig, service, number, rate);
     }
 }
 
@@ -39,10 +38,10 @@
 
 fn allowance(rig: &Rig, service: &str, number: u8) -> f64 {
     let server = rig.router.fleet().get(key(rig, service, number));
-    server.and_then(|s| s.allowance(rig.now)).expect("a limit")
+    server.and_then(|s| s.allowance(rig.now)).expect("no limit")
 }
 
-/// Spends what `servers` servers allow, one request each.
+/// Uses up the limits of `servers` servers with one request each.
 fn spend(rig: &mut Rig, path: &str, tokens: u32, servers: usize) {
     for _ in 0..servers {
         let request = rig.arrive(path, tokens);
@@ -63,13 +62,17 @@
 }
 
 #[test]
-fn first_sends_stay_within_the_limits() {
+fn first_attempts_stay_within_the_limits() {
     let mut rig = Rig::new();
-    say_all(&mut rig, DESK, 3, 1.0);
+    announce_all(&mut rig, DESK, 3, 1.0);
     for _ in 0..20 {
         rig.arrive("/again/", 0);
     }
-    assert_eq!(rig.sends().len(), 0, "a limit begins with nothing allowed");
+    assert_eq!(
+        rig.sends().len(),
+        0,
+        "a new limit must start with an empty bucket"
+    );
     let mut sent = 0;
     for _ in 0..600 {
         rig.pass(Duration::from_millis(15));
@@ -79,11 +82,11 @@
     assert!((24..=27).contains(&sent), "{sent} of 27 in 9 s");
 }
 
-/// Returns when a request is sent on that failed on its first server, where the others
-/// allow none at that time.
-fn sent_again_after(service: &str, path: &str, tokens: u32) -> Duration {
+/// Fails a request on its first server while the limits of the others are used up; returns
+/// the time until it is sent again.
+fn time_until_second_attempt(service: &str, path: &str, tokens: u32) -> Duration {
     let mut rig = Rig::named("entry-1", 3);
-    say_all(&mut rig, service, 3, 1.0);
+    announce_all(&mut rig, service, 3, 1.0);
     rig.pass(5 * SECOND);
     spend(&mut rig, path, tokens, 2);
     let request = rig.arrive(path, tokens);
@@ -104,28 +107,28 @@
     rig.now.since(failed_at)
 }
 
-/// Refused, it would be lost: it may have run.
+/// A refusal would fail the request for good, as it may have run.
 #[test]
-fn a_retry_waits_for_what_the_other_servers_allow() {
-    let after = sent_again_after(DESK, "/again/", 0);
+fn retry_waits_until_the_limits_of_other_servers_allow_it() {
+    let after = time_until_second_attempt(DESK, "/again/", 0);
     assert!(after > Duration::from_millis(700), "{after:?}");
 }
 
-/// Broken off, its caller has half of an answer.
+/// A refusal would leave the caller with half a response.
 #[test]
-fn a_stream_is_resumed_when_the_other_servers_allow_it() {
-    let after = sent_again_after(ENGINES, "/short/", 3_000);
+fn stream_is_resumed_once_the_limits_of_other_servers_allow_it() {
+    let after = time_until_second_attempt(ENGINES, "/short/", 3_000);
     assert!(after > Duration::from_millis(700), "{after:?}");
 }
 
 #[test]
-fn engines_with_low_limits_read_no_parts_of_long_prompts() {
+fn engines_with_low_limits_are_no_prefill_workers() {
     let mut rig = Rig::new();
-    say_all(&mut rig, ENGINES, 12, 1.0);
+    announce_all(&mut rig, ENGINES, 12, 1.0);
     rig.pass(5 * SECOND);
     rig.arrive("/long/", 154_000);
     let to = rig.only_send();
-    assert!(!to.helpers.is_empty(), "it is spread");
+    assert!(!to.helpers.is_empty(), "the prompt is not split");
     let limited: Vec<_> = (0..12).map(|n| record(ENGINES, n).addr).collect();
     assert!(to
         .helpers
@@ -134,9 +137,9 @@
 }
 
 #[test]
-fn parts_and_orders_for_memory_count() {
+fn parts_and_reservation_orders_count_against_the_limit() {
     let mut rig = Rig::new();
-    say_all(&mut rig, ENGINES, 18, 40.0);
+    announce_all(&mut rig, ENGINES, 18, 40.0);
     rig.pass(5 * SECOND);
     let before: Vec<f64> = (0..18).map(|n| allowance(&rig, ENGINES, n)).collect();
     let request = rig.arrive("/long/", 600_000);
@@ -144,32 +147,36 @@
         Effect::Reserve { orders, .. } => Some(orders.clone()),
         _ => None,
     };
-    let orders = rig.effects.iter().find_map(reserve).expect("orders");
+    let orders = rig
+        .effects
+        .iter()
+        .find_map(reserve)
+        .expect("no reservation orders");
     let number = (0..18).find(|&n| record(ENGINES, n).addr == orders[0].addr);
-    let number = number.expect("an engine");
+    let number = number.expect("no engine at that address");
     let at_start = before[usize::from(number)];
-    // The order, and the request or its part.
+    // The reservation order, and the request or its part.
     assert!((allowance(&rig, ENGINES, number) - (at_start - 2.0)).abs() < 0.01);
     let addr = orders[0].addr;
     let unreachable = false;
     let failed = vec![notchwalk_route::FailedReservation { addr, unreachable }];
     rig.step(Event::Reserved { request, failed });
-    // The part was not sent; the memory is given back, also where none is allowed.
+    // The part was not sent. Releasing the memory counts, even beyond the limit.
     assert!((allowance(&rig, ENGINES, number) - (at_start - 2.0)).abs() < 0.01);
 }
 
 #[test]
-fn what_reached_no_server_is_given_back() {
+fn unsent_requests_do_not_count_against_the_limit() {
     for end in [AttemptEnd::NotConnected, AttemptEnd::NotSent] {
         let mut rig = Rig::new();
-        say_all(&mut rig, DESK, 3, 1.0);
+        announce_all(&mut rig, DESK, 3, 1.0);
         rig.pass(5 * SECOND);
         let full = allowance(&rig, DESK, 0);
         let request = rig.arrive("/again/", 0);
         let to = rig.only_send().instance;
         rig.end(request, end);
         let number = (0..3).find(|&n| record(DESK, n).instance == to);
-        let number = number.expect("a desk");
+        let number = number.expect("no such server");
         let left = allowance(&rig, DESK, number);
         let sent_there_again = rig.sends().iter().any(|(_, again)| again.instance == to);
         let expected = if sent_there_again { full - 1.0 } else { full };
@@ -177,48 +184,46 @@
     }
 }
 
-/// Returns what one entry tells others.
-fn told(rig: &Rig) -> Vec<ToldLimit> {
+/// Returns the limit updates that a node publishes.
+fn updates(rig: &Rig) -> Vec<ToldLimit> {
     rig.router
         .fleet()
         .limits_to_tell(Told::FirstHand, 48, rig.now)
 }
 
-fn tell(from: &Rig, to: &mut Rig, name: &str, peer: u32) {
+fn publish(from: &Rig, to: &mut Rig, name: &str, peer: u32) {
     to.step(Event::ToldLimits {
         peer,
         name: name.to_owned(),
         near: true,
-        limits: told(from),
+        limits: updates(from),
     });
 }
 
-/// An entry that gets no answer of a server would overrun it.
+/// A node without a response from the server would exceed its limit.
 #[test]
-fn entries_hear_of_limits_from_peers_and_do_not_tell_them_on() {
+fn limits_from_peers_apply_and_are_not_rebroadcast() {
     let mut first = Rig::named("entry-1", 3);
     let mut second = Rig::named("entry-2", 3);
-    say(&mut first, DESK, 0, 2.0);
-    tell(&first, &mut second, "entry-1", 1);
+    announce(&mut first, DESK, 0, 2.0);
+    publish(&first, &mut second, "entry-1", 1);
     assert_eq!(limit(&second, DESK, 0), Some(2.0));
-    assert!(told(&second).iter().all(|told| told.said.is_none()));
+    assert!(updates(&second).iter().all(|update| update.said.is_none()));
     first.pass(SECOND);
     second.pass(SECOND);
-    say_aged(&mut first, DESK, 0, None, Duration::ZERO);
-    tell(&first, &mut second, "entry-1", 1);
+    announce_aged(&mut first, DESK, 0, None, Duration::ZERO);
+    publish(&first, &mut second, "entry-1", 1);
     assert_eq!(limit(&second, DESK, 0), None);
 }
 
-/// Of two entries only the first had answers of a server, and it starts again: the second,
-/// which it had told, tells it in turn. Else it sent what callers asked until it had an
-/// answer, seven in 4 s where none was to come (the suspended and restarted entry of a
-/// random history; the others had been told and told nobody).
+/// A restarted node that was the only one with responses from a server would exceed its
+/// limit if peers did not return what it had published.
 #[test]
-fn an_entry_that_starts_is_told_what_it_told_itself() {
+fn restarted_node_receives_its_own_limits_from_peers() {
     let mut first = Rig::named("entry-1", 3);
     let mut second = Rig::named("entry-2", 3);
-    say(&mut first, DESK, 0, 0.0);
-    tell(&first, &mut second, "entry-1", 1);
+    announce(&mut first, DESK, 0, 0.0);
+    publish(&first, &mut second, "entry-1", 1);
     let mut first = Rig::just_started("entry-1", 3);
     let limits = second.router.fleet();
     let limits = limits.limits_to_tell(Told::All, 48, second.now);
@@ -234,13 +239,13 @@
 }
 
 #[test]
-fn what_peers_send_is_taken_from_what_is_allowed() {
+fn sends_of_peers_count_against_the_limit() {
     let mut rig = Rig::new();
-    say(&mut rig, DESK, 0, 2.0);
+    announce(&mut rig, DESK, 0, 2.0);
     rig.pass(5 * SECOND);
     let full = allowance(&rig, DESK, 0);
-    let server = told(&rig)[0].server;
-    let mut tell = |sent| {
+    let server = updates(&rig)[0].server;
+    let mut allowance_after = |sent| {
         let limits = vec![ToldLimit {
             server,
             said: None,
@@ -257,23 +262,23 @@
         });
         allowance(&rig, DESK, 0)
     };
-    // What was sent before the first count is over.
-    assert!((tell(70) - full).abs() < 0.01);
-    assert!((tell(73) - (full - 3.0)).abs() < 0.01);
-    // A datagram that is told again, and one that got lost.
-    assert!((tell(73) - (full - 3.0)).abs() < 0.01);
-    assert!((tell(75) - (full - 5.0)).abs() < 0.01);
-    // The peer started again.
-    assert!((tell(0) - (full - 5.0)).abs() < 0.01);
-    assert!((tell(1) - (full - 6.0)).abs() < 0.01);
-}
-
-/// Silence of a peer gives nobody its part.
+    // The first counter only sets the baseline.
+    assert!((allowance_after(70) - full).abs() < 0.01);
+    assert!((allowance_after(73) - (full - 3.0)).abs() < 0.01);
+    // A repeated datagram, and a lost one.
+    assert!((allowance_after(73) - (full - 3.0)).abs() < 0.01);
+    assert!((allowance_after(75) - (full - 5.0)).abs() < 0.01);
+    // The peer has restarted.
+    assert!((allowance_after(0) - (full - 5.0)).abs() < 0.01);
+    assert!((allowance_after(1) - (full - 6.0)).abs() < 0.01);
+}
+
+/// An unreachable peer may still be sending.
 #[test]
-fn entries_that_are_not_heard_keep_their_part() {
+fn unreachable_nodes_keep_their_share() {
     let mut rig = Rig::new();
     rig.step(Event::Sharing(Sharing::new("entry-1", 4, 1)));
-    say_all(&mut rig, DESK, 3, 4.0);
+    announce_all(&mut rig, DESK, 3, 4.0);
     let mut sent = 0;
     for _ in 0..800 {
         rig.pass(Duration::from_millis(15));
@@ -283,66 +288,74 @@
     assert!((32..=36).contains(&sent), "{sent} of 36 in 12 s");
 }
 
-/// Answers cross: one whose request is older says what was.
+/// Responses may arrive out of order.
 #[test]
-fn the_answer_to_the_newer_request_counts() {
+fn response_to_the_newest_request_sets_the_limit() {
     let mut rig = Rig::new();
     let age = |ms| Duration::from_millis(ms);
-    say_aged(&mut rig, DESK, 0, Some(2.0), age(100));
-    say_aged(&mut rig, DESK, 0, None, age(300));
+    announce_aged(&mut rig, DESK, 0, Some(2.0), age(100));
+    announce_aged(&mut rig, DESK, 0, None, age(300));
     assert_eq!(
         limit(&rig, DESK, 0),
         Some(2.0),
-        "an older answer without it"
+        "an older response without a limit"
     );
-    say_aged(&mut rig, DESK, 0, Some(5.0), age(300));
-    assert_eq!(limit(&rig, DESK, 0), Some(2.0), "an older answer with more");
-    say_aged(&mut rig, DESK, 0, Some(1.0), age(300));
-    assert_eq!(limit(&rig, DESK, 0), Some(1.0), "the stricter one counts");
-    say_aged(&mut rig, DESK, 0, Some(5.0), age(50));
+    announce_aged(&mut rig, DESK, 0, Some(5.0), age(300));
+    assert_eq!(
+        limit(&rig, DESK, 0),
+        Some(2.0),
+        "an older response with a higher limit"
+    );
+    announce_aged(&mut rig, DESK, 0, Some(1.0), age(300));
+    assert_eq!(
+        limit(&rig, DESK, 0),
+        Some(1.0),
+        "an older response with a lower limit"
+    );
+    announce_aged(&mut rig, DESK, 0, Some(5.0), age(50));
     assert_eq!(limit(&rig, DESK, 0), Some(5.0));
-    say_aged(&mut rig, DESK, 0, None, age(50));
+    announce_aged(&mut rig, DESK, 0, None, age(50));
     assert_eq!(limit(&rig, DESK, 0), None);
-    say_aged(&mut rig, DESK, 0, Some(3.0), age(80));
+    announce_aged(&mut rig, DESK, 0, Some(3.0), age(80));
     assert_eq!(
         limit(&rig, DESK, 0),
         Some(3.0),
-        "a limit in error ends soon"
+        "a limit applies until a newer response lifts it"
     );
-    say_aged(&mut rig, DESK, 0, None, age(60));
+    announce_aged(&mut rig, DESK, 0, None, age(60));
     assert_eq!(limit(&rig, DESK, 0), None);
 }
 
-/// Of two entries one heard that the limit is over; the other still tells of it.
+/// A peer that has not yet learned of the end of a limit still publishes it.
 #[test]
-fn what_a_peer_knew_before_does_not_bring_a_limit_back() {
+fn outdated_update_of_a_peer_does_not_restore_a_limit() {
     let mut first = Rig::named("entry-1", 3);
     let mut second = Rig::named("entry-2", 3);
-    say(&mut first, DESK, 0, 2.0);
-    say(&mut second, DESK, 0, 2.0);
+    announce(&mut first, DESK, 0, 2.0);
+    announce(&mut second, DESK, 0, 2.0);
     first.pass(SECOND);
     second.pass(SECOND);
-    say_aged(&mut first, DESK, 0, None, Duration::ZERO);
-    tell(&second, &mut first, "entry-2", 2);
+    announce_aged(&mut first, DESK, 0, None, Duration::ZERO);
+    publish(&second, &mut first, "entry-2", 2);
     assert_eq!(limit(&first, DESK, 0), None);
 }
 
 #[test]
-fn a_limit_ends_with_the_servers_life() {
+fn limit_ends_with_the_incarnation() {
     let mut rig = Rig::new();
     present(&mut rig, born(0, 1_000));
-    say(&mut rig, DESK, 0, 2.0);
+    announce(&mut rig, DESK, 0, 2.0);
     present(&mut rig, born(0, 1_000));
     assert_eq!(limit(&rig, DESK, 0), Some(2.0));
     present(&mut rig, born(0, 2_000));
     assert_eq!(limit(&rig, DESK, 0), None);
 }
 
-/// A record lapses while the store is away; its server lives on, and says the same.
+/// A registration expires while the store is unavailable, although its server still runs.
 #[test]
-fn a_limit_outlives_a_record_that_lapses() {
+fn limit_is_restored_after_a_registration_expires() {
     let mut rig = Rig::new();
-    say(&mut rig, DESK, 0, 2.0);
+    announce(&mut rig, DESK, 0, 2.0);
     let gone = ServerChange::Gone(record(DESK, 0).instance);
     rig.step(Event::Servers(gone));
     present(&mut rig, record(DESK, 0));
@@ -352,17 +365,17 @@
     assert_eq!(limit(&rig, DESK, 0), Some(2.0));
 }
 
-/// Only an answer says that a limit of zero is over.
+/// Only a response can lift a limit of zero.
 #[test]
-fn a_server_that_takes_nothing_is_tried_now_and_then() {
+fn server_with_a_limit_of_zero_is_probed_periodically() {
     let mut rig = Rig::named("entry-1", 3);
-    say(&mut rig, DESK, 0, 0.0);
-    let mut tried = 0;
+    announce(&mut rig, DESK, 0, 0.0);
+    let mut probes = 0;
     for _ in 0..1_000 {
         rig.pass(Duration::from_millis(15));
         let calls: Vec<_> = (0..4).map(|_| rig.arrive("/again/", 0)).collect();
         let sends = rig.sends();
-        tried += sends
+        probes += sends
             .iter()
             .filter(|(_, to)| to.instance == "desk-0")
             .count();
@@ -370,22 +383,22 @@
             rig.end(request, AttemptEnd::Delivered { healthy: true });
         }
     }
-    assert!((2..=3).contains(&tried), "{tried} tries in 15 s");
+    assert!((2..=3).contains(&probes), "{probes} probes in 15 s");
 }
 
-/// Of two words of one server the stricter one holds.
+/// The strictest of several notices applies.
 #[test]
-fn a_limit_beside_other_words() {
-    let wants_nothing = ServerWord::WantsNothing(3 * SECOND);
-    for word in [ServerWord::Leaving, wants_nothing] {
+fn limit_does_not_override_draining_or_back_off() {
+    let back_off = ServerWord::WantsNothing(3 * SECOND);
+    for word in [ServerWord::Leaving, back_off] {
         for limit_first in [false, true] {
             let mut rig = Rig::new();
             let server = key(&rig, DESK, 0);
             if limit_first {
-                say(&mut rig, DESK, 0, 50.0);
+                announce(&mut rig, DESK, 0, 50.0);
             }
             rig.step(Event::ServerSaid { server, word });
-            say(&mut rig, DESK, 0, 50.0);
+            announce(&mut rig, DESK, 0, 50.0);
             rig.pass(SECOND);
             let calls = (0..30).map(|_| rig.arrive("/again/", 0)).count();
             let sends = rig.sends();
@@ -398,11 +411,11 @@
     }
 }
 
-/// What crashes its servers is told so, whatever they would allow.
+/// A quarantined request is refused as such, not for the limit.
 #[test]
-fn a_limit_beside_a_quarantine() {
+fn quarantine_takes_precedence_over_a_limit() {
     let mut rig = Rig::new();
-    say_all(&mut rig, DESK, 3, 1.0);
+    announce_all(&mut rig, DESK, 3, 1.0);
     let content = content("crashes");
     let (left, times) = (60 * SECOND, 1);
     rig.step(Event::Restored {
@@ -415,20 +428,20 @@
     assert_eq!(rig.refusals(), [Refusal::Quarantined]);
 }
 
-/// A server that failed is tried by one request; a limit allows that one too.
+/// Probes of a failed server must not exceed its limit.
 #[test]
-fn a_failed_server_with_a_limit_is_tried_within_it() {
+fn failed_server_is_probed_within_its_limit() {
     let mut rig = Rig::new();
-    say(&mut rig, DESK, 0, 0.5);
+    announce(&mut rig, DESK, 0, 0.5);
     rig.pass(10 * SECOND);
     let server = key(&rig, DESK, 0);
-    let mut tries = 0;
+    let mut probes = 0;
     for _ in 0..800 {
         rig.pass(Duration::from_millis(15));
         let calls: Vec<_> = (0..4).map(|_| rig.arrive("/again/", 0)).collect();
         for (request, to) in rig.sends() {
             let failed = to.server == server;
-            tries += usize::from(failed);
+            probes += usize::from(failed);
             let end = match failed {
                 true => AttemptEnd::Broken,
                 false => AttemptEnd::Delivered { healthy: true },
@@ -440,13 +453,13 @@
         }
         rig.sends();
     }
-    assert!(tries <= 7, "{tries} in 12 s at a limit of 0.5");
+    assert!(probes <= 7, "{probes} in 12 s at a limit of 0.5");
 }
 
 #[test]
-fn requests_wait_while_their_turn_is_in_time_and_are_told_else() {
+fn requests_wait_if_they_meet_their_objective_and_are_refused_otherwise() {
     let mut rig = Rig::new();
-    say_all(&mut rig, DESK, 3, 4.0);
+    announce_all(&mut rig, DESK, 3, 4.0);
     rig.pass(5 * SECOND);
     let requests: Vec<_> = (0..12).map(|_| rig.arrive("/again/", 0)).collect();
     assert_eq!(rig.sends().len(), 3, "one for each server");
@@ -456,43 +469,43 @@
     for refusal in refusals.into_iter().flatten() {
         let (reason, after) = refusal;
         assert_eq!(reason, Refusal::Limited);
-        // About a tenth of a second for each of those that wait.
+        // About 100 ms for each waiting request.
         assert!(
             after > Duration::from_millis(200) && after < SECOND,
             "{after:?}"
         );
     }
     rig.pass(Duration::from_millis(300));
-    assert!(!rig.sends().is_empty(), "those that waited");
+    assert!(!rig.sends().is_empty(), "no waiting request was sent");
 }
 
-/// Told to come back and refused again, it would have waited for nothing.
+/// A retry at the advised time must not be refused again.
 #[test]
-fn a_request_that_came_back_waits_longer() {
+fn retried_request_waits_longer() {
     let mut rig = Rig::new();
-    say_all(&mut rig, DESK, 3, 1.0);
+    announce_all(&mut rig, DESK, 3, 1.0);
     rig.pass(5 * SECOND);
     spend(&mut rig, "/again/", 0, 3);
     let first = rig.arrive("/again/", 0);
-    let (reason, after) = refused(&rig, first).expect("its turn is not in time");
+    let (reason, after) = refused(&rig, first).expect("not refused");
     assert_eq!(reason, Refusal::Limited);
     rig.arrive_again("/again/", 0, after);
-    assert_eq!(rig.refusals().len(), 1, "it waits");
+    assert_eq!(rig.refusals().len(), 1, "the retried request does not wait");
     rig.pass(2 * SECOND);
     assert_eq!(rig.sends().len(), 1);
 }
 
 #[test]
-fn a_limited_server_is_used_like_the_others_while_it_allows() {
+fn limited_server_is_used_like_the_others_within_its_limit() {
     let mut rig = Rig::new();
-    say(&mut rig, DESK, 0, 30.0);
-    let mut there = 0;
+    announce(&mut rig, DESK, 0, 30.0);
+    let mut sent = 0;
     for _ in 0..400 {
         rig.pass(Duration::from_millis(15));
         let calls: Vec<_> = (0..3).map(|_| rig.arrive("/again/", 0)).collect();
         let sends = rig.sends();
-        assert_eq!(sends.len(), 3, "nobody waits");
-        there += sends
+        assert_eq!(sends.len(), 3, "a request waits");
+        sent += sends
             .iter()
             .filter(|(_, to)| to.instance == "desk-0")
             .count();
@@ -501,38 +514,37 @@
         }
     }
     // Of 180 in 6 s.
-    assert!((126..=180).contains(&there), "{there}");
+    assert!((126..=180).contains(&sent), "{sent}");
 }
 
-/// Operators hear of it at a bounded rate.
+/// Reports for operators are rate limited.
 #[test]
-fn a_limit_that_is_used_up_is_told_now_and_then() {
+fn used_up_limit_is_reported_periodically() {
     let mut rig = Rig::new();
-    say(&mut rig, DESK, 0, 1.0);
+    announce(&mut rig, DESK, 0, 1.0);
     for _ in 0..800 {
         rig.pass(Duration::from_millis(15));
         let request = rig.arrive("/again/", 0);
         rig.end(request, AttemptEnd::Delivered { healthy: true });
     }
     let server = key(&rig, DESK, 0);
-    let told = rig.effects.iter();
-    let told = told.filter(|effect| **effect == Effect::LimitUsedUp { server });
+    let reports = rig.effects.iter();
+    let reports = reports.filter(|effect| **effect == Effect::LimitUsedUp { server });
     assert!(
-        (1..=3).contains(&told.count()),
-        "one in five seconds, of twelve"
+        (1..=3).contains(&reports.count()),
+        "expected a report every 5 s in 12 s"
     );
 }
 
-/// Among several groups each has its part of what a server allows. What entries of other
-/// groups send is theirs: taken from this group's part as well, sixteen groups together
-/// would use a sixteenth of the limit.
+/// Each group has its own share of a limit. Counting the sends of other groups against it
+/// would leave most of the limit unused.
 #[test]
-fn what_other_groups_send_is_not_taken_from_this_groups_part() {
+fn sends_of_other_groups_do_not_count_against_this_groups_share() {
     let mut rig = Rig::new();
-    say(&mut rig, DESK, 0, 8.0);
+    announce(&mut rig, DESK, 0, 8.0);
     rig.pass(5 * SECOND);
     let full = allowance(&rig, DESK, 0);
-    let server = told(&rig)[0].server;
+    let server = updates(&rig)[0].server;
     for sent in [70, 90] {
         let limits = vec![ToldLimit {
             server,
--- a/crates/notchwalk_route/tests/decisions/server_words.rs
+++ b/crates/notchwalk_route/tests/decisions/server_words.rs
@@ -1,4 +1,4 @@
-//! What servers say of themselves in their answers, and beliefs that end.
+//! Notices from servers in their responses, and when their effect ends.
 
 use std::time::Duration;
 
@@ -6,18 +6,18 @@
 
 use crate::common::{born, key, present, record, Rig, DESK, ENGINES};
 
-fn say(rig: &mut Rig, service: &str, number: u8, word: ServerWord) {
+fn announce(rig: &mut Rig, service: &str, number: u8, word: ServerWord) {
     let server = key(rig, service, number);
     rig.step(Event::ServerSaid { server, word });
 }
 
-fn say_leaving(rig: &mut Rig, service: &str, numbers: impl IntoIterator<Item = u8>) {
+fn announce_draining(rig: &mut Rig, service: &str, numbers: impl IntoIterator<Item = u8>) {
     for number in numbers {
-        say(rig, service, number, ServerWord::Leaving);
+        announce(rig, service, number, ServerWord::Leaving);
     }
 }
 
-/// Tells whether a server is among those that 30 calls at once go to.
+/// Returns whether any of 30 concurrent calls is sent to a server.
 fn is_used(rig: &mut Rig, instance: &str) -> bool {
     let calls: Vec<_> = (0..30).map(|_| rig.arrive("/again/", 0)).collect();
     let used = rig.sends().iter().any(|(_, to)| to.instance == instance);
@@ -27,21 +27,22 @@
     used
 }
 
-fn wants_nothing(rig: &mut Rig, number: u8, seconds: u64) {
+fn announce_back_off(rig: &mut Rig, number: u8, seconds: u64) {
     let word = ServerWord::WantsNothing(Duration::from_secs(seconds));
-    say(rig, DESK, number, word);
+    announce(rig, DESK, number, word);
 }
 
 #[test]
-fn a_server_that_says_it_leaves_gets_no_first_send() {
+fn draining_server_receives_no_first_attempt() {
     let mut rig = Rig::new();
-    say_leaving(&mut rig, DESK, [0]);
+    announce_draining(&mut rig, DESK, [0]);
     assert!(!is_used(&mut rig, "desk-0"));
 }
 
-/// Ends the first send of a request of `path` and returns where it goes then, where one
-/// of the two other servers says that it leaves: the lower one, or the higher one.
-fn second_send(service: &str, path: &str, tokens: u32, lower: bool) -> (String, String) {
+/// Fails the first attempt of a request while one of the two other servers, the lower or
+/// the higher one, is draining. Returns the server of the second attempt and the expected
+/// one.
+fn second_attempt(service: &str, path: &str, tokens: u32, lower: bool) -> (String, String) {
     let mut rig = Rig::named("entry-1", 3);
     let request = rig.arrive(path, tokens);
     let first = rig.only_send().instance;
@@ -53,7 +54,7 @@
     if !lower {
         others.reverse();
     }
-    say_leaving(&mut rig, service, [others[0]]);
+    announce_draining(&mut rig, service, [others[0]]);
     rig.end(request, AttemptEnd::Broken);
     (
         rig.only_send().instance,
@@ -62,71 +63,80 @@
 }
 
 #[test]
-fn a_retry_does_not_go_to_a_server_that_says_it_leaves() {
+fn retry_is_not_sent_to_a_draining_server() {
     for lower in [false, true] {
-        let (went, allowed) = second_send(DESK, "/again/", 0, lower);
-        assert_eq!(went, allowed);
+        let (actual, expected) = second_attempt(DESK, "/again/", 0, lower);
+        assert_eq!(actual, expected);
     }
 }
 
 #[test]
-fn a_stream_is_not_resumed_on_a_server_that_says_it_leaves() {
+fn stream_is_not_resumed_on_a_draining_server() {
     for lower in [false, true] {
-        let (went, allowed) = second_send(ENGINES, "/short/", 3_000, lower);
-        assert_eq!(went, allowed);
+        let (actual, expected) = second_attempt(ENGINES, "/short/", 3_000, lower);
+        assert_eq!(actual, expected);
     }
 }
 
 #[test]
-fn an_engine_that_says_it_leaves_reads_no_part_of_a_long_prompt() {
+fn draining_engine_is_no_prefill_worker_for_a_long_prompt() {
     let mut rig = Rig::new();
-    say_leaving(&mut rig, ENGINES, 0..12);
+    announce_draining(&mut rig, ENGINES, 0..12);
     rig.arrive("/long/", 154_000);
     let to = rig.only_send();
-    assert!(!to.helpers.is_empty(), "it is spread");
+    assert!(!to.helpers.is_empty(), "the prompt is not split");
     let addrs = to.helpers.iter().map(|helper| helper.addr);
-    let gone: Vec<_> = (0..12).map(|n| record(ENGINES, n).addr).collect();
-    assert!(addrs.chain([to.addr]).all(|addr| !gone.contains(&addr)));
+    let draining: Vec<_> = (0..12).map(|n| record(ENGINES, n).addr).collect();
+    assert!(addrs.chain([to.addr]).all(|addr| !draining.contains(&addr)));
 }
 
-/// An engine says that it leaves while memory is being set aside on it: the request is
-/// not sent there, and the memory is given back.
+/// An engine starts draining while memory is being reserved on it: the request is not sent
+/// there, and the memory is released.
 #[test]
-fn a_request_that_reserves_on_a_leaving_engine_moves() {
+fn request_moves_if_an_engine_drains_during_its_reservation() {
     let mut rig = Rig::new();
     let request = rig.arrive("/long/", 600_000);
     let reserve = |effect: &Effect| match effect {
         Effect::Reserve { orders, .. } => Some(orders.clone()),
         _ => None,
     };
-    let orders = rig.effects.iter().find_map(reserve).expect("orders");
+    let orders = rig
+        .effects
+        .iter()
+        .find_map(reserve)
+        .expect("no reservation orders");
     rig.effects.clear();
     let addr = orders[0].addr;
     let number = (0..18).find(|&n| record(ENGINES, n).addr == addr);
-    say_leaving(&mut rig, ENGINES, [number.expect("an engine")]);
+    announce_draining(
+        &mut rig,
+        ENGINES,
+        [number.expect("no engine at that address")],
+    );
     rig.step(Event::Reserved {
         request,
         failed: Vec::new(),
     });
-    assert!(
-        rig.sends().is_empty(),
-        "it is sent to an engine that leaves"
-    );
-    let given_back = rig.effects.iter().filter(
+    assert!(rig.sends().is_empty(), "sent to a draining engine");
+    let released = rig.effects.iter().filter(
         |effect| matches!(effect, Effect::Order(order) if order.tokens.is_none() && order.addr == addr),
     );
-    assert_eq!(given_back.count(), 1);
+    assert_eq!(released.count(), 1);
     rig.effects.clear();
     rig.pass(Duration::from_millis(50));
-    let orders = rig.effects.iter().find_map(reserve).expect("other engines");
+    let orders = rig
+        .effects
+        .iter()
+        .find_map(reserve)
+        .expect("no reservation on other engines");
     assert!(orders.iter().all(|order| order.addr != addr));
 }
 
-/// What stands in the store is older than what the server said itself.
+/// The registration in the store may be older than the server's notice.
 #[test]
-fn a_record_that_still_says_ready_does_not_unsay_that_a_server_leaves() {
+fn registration_as_ready_does_not_end_draining() {
     let mut rig = Rig::new();
-    say_leaving(&mut rig, DESK, [0]);
+    announce_draining(&mut rig, DESK, [0]);
     present(&mut rig, record(DESK, 0));
     assert!(!is_used(&mut rig, "desk-0"));
     let servers = (0..3).map(|number| record(DESK, number)).collect();
@@ -137,22 +147,23 @@
 }
 
 #[test]
-fn the_next_life_of_a_server_that_said_it_leaves_is_used() {
+fn next_incarnation_of_a_draining_server_is_used() {
     let mut rig = Rig::new();
     present(&mut rig, born(0, 1_000));
-    say_leaving(&mut rig, DESK, [0]);
+    announce_draining(&mut rig, DESK, [0]);
     present(&mut rig, born(0, 1_000));
     assert!(!is_used(&mut rig, "desk-0"));
     present(&mut rig, born(0, 2_000));
     assert!(is_used(&mut rig, "desk-0"));
 }
 
-/// A record that lapses while the store is away comes back with the same life.
+/// A registration that expires while the store is unavailable comes back with the same
+/// incarnation.
 #[test]
-fn a_life_that_said_it_leaves_is_not_used_when_its_record_is_gone_and_back() {
+fn draining_incarnation_is_not_used_after_it_registers_again() {
     let mut rig = Rig::new();
     present(&mut rig, born(0, 1_000));
-    say_leaving(&mut rig, DESK, [0]);
+    announce_draining(&mut rig, DESK, [0]);
     rig.step(Event::Servers(ServerChange::Gone("desk-0".to_owned())));
     present(&mut rig, born(0, 1_000));
     assert!(!is_used(&mut rig, "desk-0"));
@@ -161,20 +172,20 @@
     assert!(is_used(&mut rig, "desk-0"));
 }
 
-/// One that doesn't say when it started is another life once its record was gone.
+/// A server without a start time counts as a new incarnation when it registers again.
 #[test]
-fn a_server_without_a_start_is_used_when_its_record_is_gone_and_back() {
+fn draining_server_without_start_time_is_used_after_it_registers_again() {
     let mut rig = Rig::new();
-    say_leaving(&mut rig, DESK, [0]);
+    announce_draining(&mut rig, DESK, [0]);
     rig.step(Event::Servers(ServerChange::Gone("desk-0".to_owned())));
     present(&mut rig, record(DESK, 0));
     assert!(is_used(&mut rig, "desk-0"));
 }
 
 #[test]
-fn a_server_that_wants_nothing_gets_nothing_until_its_time_is_over() {
+fn server_that_asks_to_back_off_receives_nothing_until_the_time_is_over() {
     let mut rig = Rig::new();
-    wants_nothing(&mut rig, 0, 3);
+    announce_back_off(&mut rig, 0, 3);
     assert!(!is_used(&mut rig, "desk-0"));
     rig.pass(Duration::from_millis(2_900));
     assert!(!is_used(&mut rig, "desk-0"));
@@ -183,19 +194,19 @@
 }
 
 #[test]
-fn a_shorter_time_does_not_shorten_the_one_that_a_server_said_before() {
+fn shorter_back_off_does_not_replace_a_longer_one() {
     let mut rig = Rig::new();
-    wants_nothing(&mut rig, 0, 3);
-    wants_nothing(&mut rig, 0, 1);
+    announce_back_off(&mut rig, 0, 3);
+    announce_back_off(&mut rig, 0, 1);
     rig.pass(Duration::from_secs(2));
     assert!(!is_used(&mut rig, "desk-0"));
 }
 
 #[test]
-fn the_next_life_of_a_server_that_wants_nothing_is_used() {
+fn next_incarnation_ends_the_back_off() {
     let mut rig = Rig::new();
     present(&mut rig, born(0, 1_000));
-    wants_nothing(&mut rig, 0, 600);
+    announce_back_off(&mut rig, 0, 600);
     assert!(!is_used(&mut rig, "desk-0"));
     present(&mut rig, born(0, 2_000));
     assert!(is_used(&mut rig, "desk-0"));
@@ -213,17 +224,17 @@
         } => Some((*reason, *retry_after)),
         _ => None,
     });
-    refused.expect("it is refused at once")
+    refused.expect("not refused immediately")
 }
 
-/// Held until their deadline, they would learn nothing more.
+/// Holding the requests until their deadlines would only delay the refusals.
 #[test]
-fn callers_are_told_the_shortest_time_at_once_when_all_servers_want_nothing() {
+fn requests_are_refused_with_the_shortest_retry_after_if_all_servers_back_off() {
     let mut rig = Rig::named("entry-1", 3);
     for number in 0..3 {
-        wants_nothing(&mut rig, number, 5 + u64::from(number));
+        announce_back_off(&mut rig, number, 5 + u64::from(number));
         let word = ServerWord::WantsNothing(Duration::from_secs(7 + u64::from(number)));
-        say(&mut rig, ENGINES, number, word);
+        announce(&mut rig, ENGINES, number, word);
     }
     let at_desk = refused(&mut rig, "/once/", 0);
     assert_eq!(at_desk, (Refusal::NoServer, Some(Duration::from_secs(5))));
@@ -234,9 +245,9 @@
 }
 
 #[test]
-fn callers_are_told_at_once_when_all_servers_leave() {
+fn requests_are_refused_immediately_if_all_servers_are_draining() {
     let mut rig = Rig::named("entry-1", 3);
-    say_leaving(&mut rig, ENGINES, 0..3);
+    announce_draining(&mut rig, ENGINES, 0..3);
     for (path, tokens) in [("/short/", 3_000), ("/long/", 154_000), ("/long/", 600_000)] {
         let (reason, retry_after) = refused(&mut rig, path, tokens);
         assert_eq!(reason, Refusal::NoServer);
@@ -244,11 +255,9 @@
     }
 }
 
-/// One of four servers turned four requests away and got none of the next 3,000,
-/// though it served again after four seconds: its failure rate fell with answers
-/// alone, and it was given no request that could be answered.
+/// A failure rate that only successes can lower keeps a recovered server unused.
 #[test]
-fn a_server_that_failed_is_used_again_when_time_has_passed() {
+fn failed_server_is_used_again_after_some_time() {
     let mut rig = Rig::new();
     let failing = key(&rig, DESK, 0);
     for _ in 0..4 {
@@ -264,41 +273,46 @@
             rig.step(Event::Abandoned { request });
         }
         rig.effects.clear();
-        assert!(!is_used(&mut rig, "desk-0"), "it is distrusted");
+        assert!(
+            !is_used(&mut rig, "desk-0"),
+            "the failing server is still used"
+        );
         rig.pass(Duration::from_secs(4));
     }
-    // Its pause after failures is over by then.
+    // Its ejection is over by then.
     rig.pass(Duration::from_secs(10));
     assert!(is_used(&mut rig, "desk-0"));
 }
 
-/// Failures of long ago are not in a row with a new one: one call that breaks then does
-/// not close the server.
+/// Failures long ago do not count as consecutive with a new one.
 #[test]
-fn one_failure_long_after_others_does_not_close_a_server() {
+fn single_failure_long_after_others_does_not_eject_a_server() {
     let mut rig = Rig::new();
     let failing = key(&rig, DESK, 0);
-    let closed = |rig: &mut Rig| {
+    let fails_and_is_ejected = |rig: &mut Rig| {
         let calls: Vec<_> = (0..30).map(|_| rig.arrive("/again/", 0)).collect();
         let sends = rig.sends();
         let broken = sends.iter().find(|(_, to)| to.server == failing);
-        let (broken, _) = broken.expect("it is used");
+        let (broken, _) = broken.expect("the server is not used");
         rig.end(*broken, AttemptEnd::Broken);
         for request in calls {
             rig.step(Event::Abandoned { request });
         }
         let effects = std::mem::take(&mut rig.effects);
-        let is_closed = |effect: &Effect| matches!(effect, Effect::Closed { .. });
-        effects.iter().any(is_closed)
+        let is_ejection = |effect: &Effect| matches!(effect, Effect::Closed { .. });
+        effects.iter().any(is_ejection)
     };
-    assert!(!closed(&mut rig));
-    assert!(closed(&mut rig), "two in a row close it");
+    assert!(!fails_and_is_ejected(&mut rig));
+    assert!(
+        fails_and_is_ejected(&mut rig),
+        "not ejected after two consecutive failures"
+    );
     rig.pass(Duration::from_secs(60));
-    assert!(!closed(&mut rig));
+    assert!(!fails_and_is_ejected(&mut rig));
 }
 
-/// Fails a server's calls until it is closed.
-fn fail_until_closed(rig: &mut Rig, failing: ServerKey) {
+/// Fails a server's calls until it is ejected.
+fn fail_until_ejected(rig: &mut Rig, failing: ServerKey) {
     for _ in 0..2 {
         let calls: Vec<_> = (0..30).map(|_| rig.arrive("/again/", 0)).collect();
         for (request, to) in rig.sends() {
@@ -313,14 +327,13 @@
     rig.effects.clear();
 }
 
-/// A server that served again after four seconds got none of 3,000 calls in the nine
-/// seconds after it had failed four: at light load three times a tenth of distrust
-/// outweighs any difference in use.
+/// At light load a small failure rate outweighs any difference in load, so it must not
+/// outlast the ejection.
 #[test]
-fn a_server_that_failed_is_used_at_light_load_once_its_pause_is_over() {
+fn failed_server_is_used_at_light_load_after_its_ejection() {
     let mut rig = Rig::new();
     let failing = key(&rig, DESK, 0);
-    fail_until_closed(&mut rig, failing);
+    fail_until_ejected(&mut rig, failing);
     rig.pass(Duration::from_millis(4_100));
     let calls: Vec<_> = (0..4).map(|_| rig.arrive("/again/", 0)).collect();
     let used = rig.sends().iter().any(|(_, to)| to.server == failing);
@@ -328,13 +341,12 @@
     assert_eq!(calls.len(), 4);
 }
 
-/// One that hangs still must not get all that its rest left free for it: a single
-/// request tells whether it is well.
+/// A server that still hangs must not receive as many requests as it has free capacity.
 #[test]
-fn a_server_whose_pause_is_over_gets_one_request_until_it_answers() {
+fn server_after_its_ejection_receives_one_request_until_it_responds() {
     let mut rig = Rig::new();
     let failing = key(&rig, DESK, 0);
-    fail_until_closed(&mut rig, failing);
+    fail_until_ejected(&mut rig, failing);
     rig.pass(Duration::from_millis(4_100));
     let _calls: Vec<_> = (0..30).map(|_| rig.arrive("/again/", 0)).collect();
     let sends = rig.sends();
@@ -347,5 +359,5 @@
     let _calls: Vec<_> = (0..30).map(|_| rig.arrive("/again/", 0)).collect();
     let sends = rig.sends();
     let there = sends.iter().filter(|(_, to)| to.server == failing);
-    assert!(there.count() > 5, "it is well");
+    assert!(there.count() > 5, "not used after a success");
 }
