--- a/crates/notchwalk_route/src/engine_cost.rs
+++ b/crates/notchwalk_route/src/engine_cost.rs
@@ -1,45 +1,44 @@
-//! What work costs on a model engine, worked out from its operator's figures.
+//! Cost model of an engine, from its configured parameters.
 //!
-//! An engine works in passes. While any request generates, a pass plays
-//! [`EngineParameters::steps_per_pass`] token steps and reads the prompts that
-//! wait within the same steps; each event of a stream is one pass. All times
-//! are in milliseconds.
+//! While any request decodes, an engine step consists of
+//! [`EngineParameters::steps_per_pass`] token steps, which also prefill waiting prompts.
+//! Each engine step emits one event per stream. All times are in milliseconds.
 
 use crate::EngineParameters;
 
-/// Prices work by an engine's figures.
+/// Computes the cost of work on an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct EngineCost<'a> {
     parameters: &'a EngineParameters,
 }
 
 impl<'a> EngineCost<'a> {
-    /// Prices work by these figures.
+    /// Creates the cost model of an engine with these parameters.
     pub fn new(parameters: &'a EngineParameters) -> Self {
         Self { parameters }
     }
 
-    /// Returns the time to read `tokens` of a prompt of `whole` tokens: its own
-    /// tokens and its share of the prompt's pairs.
-    pub fn read_ms(&self, tokens: f64, whole: f64) -> f64 {
-        if whole <= 0.0 {
+    /// Returns the time to prefill `tokens` of a prompt of `total` tokens: the cost of these
+    /// tokens and their share of the attention cost.
+    pub fn read_ms(&self, tokens: f64, total: f64) -> f64 {
+        if total <= 0.0 {
             return 0.0;
         }
-        let pairs_in_millions = whole * whole / 2.0 / 1e6;
+        let pairs_in_millions = total * total / 2.0 / 1e6;
         let pairs_ms = pairs_in_millions * self.parameters.pair_ms_per_million;
-        tokens / self.parameters.read_tokens_per_ms + pairs_ms * tokens / whole
+        tokens / self.parameters.read_tokens_per_ms + pairs_ms * tokens / total
     }
 
-    /// Returns the time of a pass without any reading, for `writers` generating
-    /// requests with `context_tokens` of context in all.
-    pub fn pass_ms(&self, writers: usize, context_tokens: f64) -> f64 {
+    /// Returns the duration of an engine step without prefill, for `decoding` requests with
+    /// `context_tokens` of context in total.
+    pub fn pass_ms(&self, decoding: usize, context_tokens: f64) -> f64 {
         let p = self.parameters;
-        let sequences = writers as f64 * p.sequence_ms;
+        let sequences = decoding as f64 * p.sequence_ms;
         let context = context_tokens / 1_000.0 * p.context_ms_per_k;
         p.steps_per_pass * (p.step_ms + sequences + context)
     }
 
-    /// Returns the time that one request adds to each pass it generates in.
+    /// Returns the time that a request adds to each engine step of its decode.
     pub fn writer_ms(&self, context_tokens: f64) -> f64 {
         self.pass_ms(1, context_tokens) - self.pass_ms(0, 0.0)
     }
--- a/crates/notchwalk_route/src/first_try.rs
+++ b/crates/notchwalk_route/src/first_try.rs
@@ -1,63 +1,63 @@
-//! When a caller asked for the first time, as far as a request tells.
+//! Estimates the time since a caller's first attempt.
 //!
-//! A caller that comes back states the time that it still waits, which is less
-//! than what callers of its route state at first. What is missing has passed
-//! since its first try, and its objective runs from there.
+//! A caller that retries announces its remaining timeout, which is shorter than the usual
+//! timeout of its route. The difference is the time since its first attempt, where its
+//! latency objective starts.
 
 use std::{collections::HashMap, time::Duration};
 
-/// Statements remembered for each route: enough to see through a few callers
-/// of their own habit, few enough to follow a change within seconds.
-const REMEMBERED: usize = 64;
-/// The statement taken as the usual one, counted from the longest, as a part of
-/// those remembered. After an outage most callers come back, so that first
-/// tries are few; some state more than all others.
+/// Number of recent timeouts kept per route: enough to tolerate outliers, few enough to
+/// adapt within seconds.
+const MAX_TIMEOUTS: usize = 64;
+/// Rank of the usual timeout from the longest, as a fraction of the recent ones. After an
+/// outage most requests are retries, and a few callers have unusually long timeouts.
 const USUAL_RANK: f64 = 0.1;
 
-/// What callers of each route stated lately.
+/// The recent caller timeouts of each route.
 #[derive(Debug, Default)]
 pub(crate) struct FirstTries {
-    stated: HashMap<String, Stated>,
+    by_route: HashMap<String, RecentTimeouts>,
 }
 
 #[derive(Debug, Default)]
-struct Stated {
-    /// The newest ones, in a ring.
-    patience: Vec<Duration>,
+struct RecentTimeouts {
+    /// A ring buffer.
+    timeouts: Vec<Duration>,
     next: usize,
 }
 
 impl FirstTries {
-    /// Notes what a caller stated and returns the time since its first try.
-    pub fn since_first(&mut self, route: &str, patience: Duration) -> Duration {
-        if !self.stated.contains_key(route) {
-            self.stated.insert(route.to_owned(), Stated::default());
+    /// Records a caller's timeout and returns the estimated time since its first attempt.
+    pub fn since_first(&mut self, route: &str, timeout: Duration) -> Duration {
+        if !self.by_route.contains_key(route) {
+            self.by_route
+                .insert(route.to_owned(), RecentTimeouts::default());
         }
-        let Some(stated) = self.stated.get_mut(route) else {
+        let Some(recent) = self.by_route.get_mut(route) else {
             return Duration::ZERO;
         };
-        stated.note(patience);
-        stated.usual().saturating_sub(patience)
+        recent.push(timeout);
+        recent.usual().saturating_sub(timeout)
     }
 
-    /// Forgets routes that are no longer configured.
+    /// Removes routes that are no longer configured.
     pub fn retain(&mut self, mut is_route: impl FnMut(&str) -> bool) {
-        self.stated.retain(|route, _| is_route(route));
+        self.by_route.retain(|route, _| is_route(route));
     }
 }
 
-impl Stated {
-    fn note(&mut self, patience: Duration) {
-        if self.patience.len() < REMEMBERED {
-            self.patience.push(patience);
+impl RecentTimeouts {
+    fn push(&mut self, timeout: Duration) {
+        if self.timeouts.len() < MAX_TIMEOUTS {
+            self.timeouts.push(timeout);
             return;
         }
-        self.patience[self.next] = patience;
-        self.next = (self.next + 1) % REMEMBERED;
+        self.timeouts[self.next] = timeout;
+        self.next = (self.next + 1) % MAX_TIMEOUTS;
     }
 
     fn usual(&self) -> Duration {
-        let mut sorted = self.patience.clone();
+        let mut sorted = self.timeouts.clone();
         sorted.sort_unstable_by(|a, b| b.cmp(a));
         let rank = (sorted.len() as f64 * USUAL_RANK) as usize;
         sorted.get(rank).copied().unwrap_or_default()
--- a/crates/notchwalk_route/src/reservations.rs
+++ b/crates/notchwalk_route/src/reservations.rs
@@ -1,10 +1,9 @@
-//! Memory set aside on engines for prompts that exceed one engine.
+//! Memory reservations on engines for prompts that exceed one engine.
 //!
-//! A reservation lasts [`HOLD`] and is renewed while its request lives, so
-//! that those of an entry that died lapse by themselves. Reservations are
-//! placed all or none, in the order of the servers' addresses, and given back
-//! at once when the request ended. An order whose answer was lost may be
-//! carried out late, so giving back is repeated for a while.
+//! A reservation expires after [`HOLD`] unless it is renewed, which frees the memory of a
+//! crashed node. A request reserves on all of its engines or on none, in the order of their
+//! addresses, and releases its reservations when it ends. An order without a response may
+//! still be carried out late, so its release is repeated for a while.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -12,70 +11,72 @@
 
 use crate::{RequestKey, ReservationOrder};
 
-/// How long a reservation holds without renewal. A dead entry's memory must be
-/// free four seconds after its request ended.
+/// Lifetime of a reservation without renewal. The memory of a crashed node must be free
+/// within four seconds.
 pub(crate) const HOLD: Duration = Duration::from_millis(3_400);
-/// How often a reservation in use is renewed: one renewal may get lost.
-const RENEW_EVERY: Duration = Duration::from_millis(1_500);
-/// How often giving back is repeated.
-const REPEAT_EVERY: Duration = Duration::from_millis(1_500);
-/// For how long giving back is repeated when an order's answer was lost: such
-/// an order can be carried out up to twelve seconds later.
-const REPEAT_FOR: Duration = Duration::from_secs(13);
+/// Interval between renewals. One renewal may be lost without the reservation expiring.
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(1_500);
+/// Interval between repeated releases.
+const RELEASE_INTERVAL: Duration = Duration::from_millis(1_500);
+/// How long a release is repeated: an order without a response can be carried out up to 12 s
+/// later.
+const RELEASE_FOR: Duration = Duration::from_secs(13);
 
 #[derive(Debug)]
-struct Held {
+struct Reservation {
     request: RequestKey,
     order: ReservationOrder,
     renew_at: Instant,
-    /// When it lapses on the engine, unless it is renewed.
-    lapses_at: Instant,
-    /// Whether an order for it went unanswered: it may be carried out late.
-    unanswered: bool,
+    /// When the engine releases it unless it is renewed.
+    expires_at: Instant,
+    /// Whether an order for it had no response and may be carried out late.
+    is_unanswered: bool,
 }
 
 #[derive(Debug)]
-struct GivenBack {
+struct PendingRelease {
     order: ReservationOrder,
-    again_at: Instant,
+    repeat_at: Instant,
     until: Instant,
 }
 
-/// The reservations of this entry.
+/// The reservations of this node.
 #[derive(Debug, Default)]
 pub(crate) struct Reservations {
-    held: Vec<Held>,
-    given_back: Vec<GivenBack>,
+    active: Vec<Reservation>,
+    releases: Vec<PendingRelease>,
 }
 
 impl Reservations {
-    /// Keeps reservations alive from now on.
+    /// Adds reservations, which are renewed from now on.
     pub fn hold(&mut self, request: RequestKey, orders: &[ReservationOrder], now: Instant) {
         for order in orders {
-            self.held.push(Held {
+            self.active.push(Reservation {
                 request,
                 order: order.clone(),
-                renew_at: now.after(RENEW_EVERY),
-                lapses_at: now.after(HOLD),
-                unanswered: false,
+                renew_at: now.after(RENEWAL_INTERVAL),
+                expires_at: now.after(HOLD),
+                is_unanswered: false,
             });
         }
     }
 
-    /// Notes that an order went unanswered. A giving back is repeated from now
-    /// on; one that sets aside or renews may be carried out after its end.
+    /// Records that an order had no response. A release is repeated from now on. A
+    /// reservation or renewal may still be carried out after the end of its request.
     pub fn note_unanswered(&mut self, order: &ReservationOrder, now: Instant) {
         if order.tokens.is_none() {
-            self.repeat(order.clone(), now);
+            self.repeat_release(order.clone(), now);
             return;
         }
-        let same = |held: &&mut Held| held.order.addr == order.addr && held.order.id == order.id;
-        match self.held.iter_mut().find(same) {
-            Some(held) => held.unanswered = true,
-            // Its request ended meanwhile.
+        let is_same = |reservation: &&mut Reservation| {
+            reservation.order.addr == order.addr && reservation.order.id == order.id
+        };
+        match self.active.iter_mut().find(is_same) {
+            Some(reservation) => reservation.is_unanswered = true,
+            // Its request has ended.
             None => {
                 let tokens = None;
-                self.repeat(
+                self.repeat_release(
                     ReservationOrder {
                         tokens,
                         ..order.clone()
@@ -86,74 +87,77 @@
         }
     }
 
-    fn repeat(&mut self, order: ReservationOrder, now: Instant) {
-        let known = self.given_back.iter();
-        let mut known = known.filter(|given| given.order == order);
-        if known.next().is_some() {
+    fn repeat_release(&mut self, order: ReservationOrder, now: Instant) {
+        let pending = self.releases.iter();
+        let mut pending = pending.filter(|release| release.order == order);
+        if pending.next().is_some() {
             return;
         }
-        self.given_back.push(GivenBack {
+        self.releases.push(PendingRelease {
             order,
-            again_at: now.after(REPEAT_EVERY),
-            until: now.after(REPEAT_FOR),
+            repeat_at: now.after(RELEASE_INTERVAL),
+            until: now.after(RELEASE_FOR),
         });
     }
 
-    /// Ends the reservations of a request; returns the orders that do.
+    /// Ends the reservations of a request; returns the orders that release them.
     pub fn give_back(&mut self, request: RequestKey, now: Instant) -> Vec<ReservationOrder> {
-        let (ended, held) = std::mem::take(&mut self.held)
+        let (ended, active) = std::mem::take(&mut self.active)
             .into_iter()
-            .partition(|held| held.request == request);
-        self.held = held;
+            .partition(|reservation| reservation.request == request);
+        self.active = active;
         let mut orders = Vec::new();
-        for Held {
-            order, unanswered, ..
+        for Reservation {
+            order,
+            is_unanswered,
+            ..
         } in ended
         {
             let order = ReservationOrder {
                 tokens: None,
                 ..order
             };
-            if unanswered {
-                self.repeat(order.clone(), now);
+            if is_unanswered {
+                self.repeat_release(order.clone(), now);
             }
             orders.push(order);
         }
         orders
     }
 
-    /// Forgets what was set aside on an engine that started again: a renewal would
-    /// set memory aside there for a request that is not on it.
+    /// Removes the reservations on a restarted engine: a renewal would reserve memory there
+    /// for a request that no longer uses it.
     pub fn forget_at(&mut self, addr: SocketAddr) {
-        self.held.retain(|held| held.order.addr != addr);
+        self.active
+            .retain(|reservation| reservation.order.addr != addr);
     }
 
-    /// Returns the orders that are due: renewals and repeated givings back.
+    /// Returns the orders that are due: renewals and repeated releases.
     pub fn due(&mut self, now: Instant) -> Vec<ReservationOrder> {
         let mut due = Vec::new();
-        for held in &mut self.held {
-            // After a suspension or a freeze the engine has freed the memory and cut
-            // the request; a renewal would set it aside anew, for nobody.
-            if now < held.renew_at || now >= held.lapses_at {
+        for reservation in &mut self.active {
+            // If this node was suspended past the expiry, the engine has released the memory
+            // and aborted the request. A renewal would reserve it again for no request.
+            if now < reservation.renew_at || now >= reservation.expires_at {
                 continue;
             }
-            held.renew_at = now.after(RENEW_EVERY);
-            held.lapses_at = now.after(HOLD);
-            due.push(held.order.clone());
+            reservation.renew_at = now.after(RENEWAL_INTERVAL);
+            reservation.expires_at = now.after(HOLD);
+            due.push(reservation.order.clone());
         }
-        for given in &mut self.given_back {
-            if now < given.again_at {
+        for release in &mut self.releases {
+            if now < release.repeat_at {
                 continue;
             }
-            given.again_at = now.after(REPEAT_EVERY);
-            due.push(given.order.clone());
+            release.repeat_at = now.after(RELEASE_INTERVAL);
+            due.push(release.order.clone());
         }
-        self.given_back.retain(|given| now < given.until);
+        self.releases.retain(|release| now < release.until);
         due
     }
 
-    /// Returns all reservations in use.
+    /// Returns the number of active reservations.
     pub fn count(&self) -> usize {
-        self.held.len()
+        self.active.len()
     }
 }
--- a/crates/notchwalk_route/src/retry_budget.rs
+++ b/crates/notchwalk_route/src/retry_budget.rs
@@ -1,115 +1,115 @@
-//! How many repeated sends this entry may make, so that all entries together
-//! stay within the share of requests that may be repeated.
+//! A budget for retries that keeps all nodes together within a configured ratio of retries
+//! to requests.
 
 use std::{collections::VecDeque, time::Duration};
 
 use notchwalk_core::Instant;
 
-/// Bounds repeated sends over a sliding window.
+/// Limits retries over a sliding window.
 #[derive(Debug)]
 pub struct RetryBudget {
-    /// Repeated sends allowed for each first send.
+    /// Retries allowed per first attempt.
     ratio: f64,
-    /// Repeated sends allowed besides, over all entries.
+    /// Additional retries allowed per window over all nodes.
     slack: f64,
-    /// The window.
+    /// Length of the sliding window.
     window: Duration,
-    /// Since when this entry serves.
-    since: Option<Instant>,
-    /// First sends, and whether each is a repeat, in order of time.
-    sends: VecDeque<(Instant, bool)>,
-    firsts: u32,
-    repeats: u32,
+    /// When this node started serving.
+    started_at: Option<Instant>,
+    /// Time of each attempt and whether it is a retry, oldest first.
+    attempts: VecDeque<(Instant, bool)>,
+    first_attempts: u32,
+    retries: u32,
 }
 
-/// Part of the allowed repeats that is used, so that entries that disagree on
-/// how many they are stay within the bound together.
-const USED_SHARE: f64 = 0.7;
+/// Fraction of the allowed retries that is used, so that nodes that disagree on their
+/// number stay within the limit together.
+const USED_FRACTION: f64 = 0.7;
 
-/// Part of its slack that an entry has when it starts, so that the first requests
-/// that meet a broken server are served.
-const SLACK_AT_START: f64 = 0.2;
+/// Fraction of its slack that a node has at its start, so that the first requests that
+/// meet a failed server can be retried.
+const INITIAL_SLACK_FRACTION: f64 = 0.2;
 
 impl RetryBudget {
-    /// Builds a budget of `ratio` repeats a request and `slack` more over all
-    /// entries, in each `window`.
+    /// Creates a budget of `ratio` retries per request, and `slack` more over all nodes, per
+    /// `window`.
     pub fn new(ratio: f64, slack: f64, window: Duration) -> Self {
         Self {
             ratio,
             slack,
             window,
-            since: None,
-            sends: VecDeque::new(),
-            firsts: 0,
-            repeats: 0,
+            started_at: None,
+            attempts: VecDeque::new(),
+            first_attempts: 0,
+            retries: 0,
         }
     }
 
-    fn forget(&mut self, now: Instant) {
-        let since = now.before(self.window);
-        while let Some(&(at, repeat)) = self.sends.front() {
-            if at >= since {
+    fn remove_expired(&mut self, now: Instant) {
+        let window_start = now.before(self.window);
+        while let Some(&(at, is_retry)) = self.attempts.front() {
+            if at >= window_start {
                 break;
             }
-            self.sends.pop_front();
-            match repeat {
-                true => self.repeats -= 1,
-                false => self.firsts -= 1,
+            self.attempts.pop_front();
+            match is_retry {
+                true => self.retries -= 1,
+                false => self.first_attempts -= 1,
             }
         }
     }
 
-    /// Notes that the entry serves from now on; further calls change nothing.
+    /// Marks the start of serving; further calls have no effect.
     pub fn begin(&mut self, now: Instant) {
-        self.since.get_or_insert(now);
+        self.started_at.get_or_insert(now);
     }
 
-    /// Notes the first send of a request.
+    /// Records the first attempt of a request.
     pub fn note_first(&mut self, now: Instant) {
         self.begin(now);
-        self.forget(now);
-        self.sends.push_back((now, false));
-        self.firsts += 1;
+        self.remove_expired(now);
+        self.attempts.push_back((now, false));
+        self.first_attempts += 1;
     }
 
-    /// Returns this entry's part of the slack, which `entries` share; none while
-    /// their number isn't known.
+    /// Returns this node's share of the slack, which is divided by `nodes`; zero while their
+    /// number is unknown.
     ///
-    /// It grows over the first window: what was repeated before a restart is
-    /// forgotten, and entries that restart together, or often, would take the
-    /// slack of a window several times. With [`SLACK_AT_START`], three lives in a
-    /// window stay within it.
-    fn slack(&self, now: Instant, entries: Option<u32>) -> f64 {
-        let (Some(since), Some(entries)) = (self.since, entries) else {
+    /// It grows over the first window: retries before a restart are not counted, so nodes
+    /// that restart could otherwise use the slack of a window several times.
+    fn slack(&self, now: Instant, nodes: Option<u32>) -> f64 {
+        let (Some(started_at), Some(nodes)) = (self.started_at, nodes) else {
             return 0.0;
         };
-        let age = now.since(since).as_secs_f64() / self.window.as_secs_f64();
-        let part = SLACK_AT_START + (1.0 - SLACK_AT_START) * age.min(1.0);
-        self.slack * part / f64::from(entries.max(1))
+        let age = now.since(started_at).as_secs_f64() / self.window.as_secs_f64();
+        let fraction = INITIAL_SLACK_FRACTION + (1.0 - INITIAL_SLACK_FRACTION) * age.min(1.0);
+        self.slack * fraction / f64::from(nodes.max(1))
     }
 
-    /// Tells whether one more repeated send is allowed now. `entries` share the
-    /// slack.
-    pub fn has_left(&self, now: Instant, entries: Option<u32>) -> bool {
-        let since = now.before(self.window);
-        let lapsed = self.sends.iter().take_while(|&&(at, _)| at < since);
-        let lapsed_repeats = lapsed.clone().filter(|&&(_, repeat)| repeat).count() as u32;
-        let lapsed_firsts = lapsed.count() as u32 - lapsed_repeats;
-        let firsts = f64::from(self.firsts - lapsed_firsts);
-        let repeats = f64::from(self.repeats - lapsed_repeats);
-        let slack = self.slack(now, entries);
-        repeats + 1.0 <= USED_SHARE * (self.ratio * firsts + slack)
+    /// Returns whether another retry is allowed now. The slack is divided by `nodes`.
+    pub fn has_left(&self, now: Instant, nodes: Option<u32>) -> bool {
+        let window_start = now.before(self.window);
+        let expired = self
+            .attempts
+            .iter()
+            .take_while(|&&(at, _)| at < window_start);
+        let expired_retries = expired.clone().filter(|&&(_, is_retry)| is_retry).count() as u32;
+        let expired_firsts = expired.count() as u32 - expired_retries;
+        let first_attempts = f64::from(self.first_attempts - expired_firsts);
+        let retries = f64::from(self.retries - expired_retries);
+        let slack = self.slack(now, nodes);
+        retries + 1.0 <= USED_FRACTION * (self.ratio * first_attempts + slack)
     }
 
-    /// Takes one repeated send, if the budget allows it.
-    pub fn take(&mut self, now: Instant, entries: Option<u32>) -> bool {
+    /// Takes one retry from the budget; returns whether it allows one.
+    pub fn take(&mut self, now: Instant, nodes: Option<u32>) -> bool {
         self.begin(now);
-        self.forget(now);
-        if !self.has_left(now, entries) {
+        self.remove_expired(now);
+        if !self.has_left(now, nodes) {
             return false;
         }
-        self.sends.push_back((now, true));
-        self.repeats += 1;
+        self.attempts.push_back((now, true));
+        self.retries += 1;
         true
     }
 }
--- a/crates/notchwalk_route/src/routes.rs
+++ b/crates/notchwalk_route/src/routes.rs
@@ -4,29 +4,28 @@
 
 use crate::{Route, SiteConfig};
 
-/// What a lookup found.
+/// The result of a route lookup.
 #[derive(Clone, Debug)]
 pub enum RouteLookup {
-    /// No route begins the path.
+    /// No route matches the host and path.
     NoRoute,
-    /// The route needs a key and the request has none that is known.
+    /// The route requires a key and the request has no valid one.
     NoKey,
-    /// The request may go on.
+    /// The request matches a route and has a valid key, where one is required.
     Found {
-        /// Its route.
+        /// The route.
         route: Arc<Route>,
-        /// The workspace of its key and that workspace's rank, if it has a key
-        /// that is known.
+        /// The workspace of its key and that workspace's priority, if the key is valid.
         workspace: Option<(Arc<str>, u8)>,
     },
 }
 
-/// The routes and keys of one configuration, indexed.
+/// The routes and keys of a configuration, indexed.
 #[derive(Debug, Default)]
 pub struct RouteTable {
     by_host: HashMap<String, Vec<Arc<Route>>>,
     by_key: HashMap<String, (Arc<str>, u8)>,
-    needs_keys: bool,
+    requires_keys: bool,
 }
 
 impl RouteTable {
@@ -53,12 +52,11 @@
         Self {
             by_host,
             by_key,
-            needs_keys: site.workspaces.is_some(),
+            requires_keys: site.workspaces.is_some(),
         }
     }
 
-    /// Looks up a request: the route with the longest prefix of its path, then
-    /// its key.
+    /// Looks up the route with the longest matching path prefix, then the key.
     pub fn lookup(&self, host: &str, path: &str, key: Option<&str>) -> RouteLookup {
         let routes = self.by_host.get(&host_name(host));
         let mut routes = routes.into_iter().flatten();
@@ -66,7 +64,7 @@
             return RouteLookup::NoRoute;
         };
         let workspace = key.and_then(|key| self.by_key.get(key)).cloned();
-        if workspace.is_none() && self.needs_keys && !route.open {
+        if workspace.is_none() && self.requires_keys && !route.open {
             return RouteLookup::NoKey;
         }
         RouteLookup::Found {
@@ -76,7 +74,7 @@
     }
 }
 
-/// Returns the name in a request's host: without its port, in lower case.
+/// Returns the host name of a request in lower case, without the port.
 pub fn host_name(host: &str) -> String {
     let name = host.split_once(':').map_or(host, |(name, _port)| name);
     name.to_ascii_lowercase()
--- a/crates/notchwalk_route/src/shares.rs
+++ b/crates/notchwalk_route/src/shares.rs
@@ -1,20 +1,18 @@
-//! Which workspaces use more than their share of the engines.
+//! Fair shares of the engines between workspaces.
 //!
-//! What counts is what a workspace has on the engines now, over all entries, so
-//! that idleness banks nothing. A share matters only while engines can't serve
-//! everybody in time: until then a workspace may use what others leave.
+//! Only the current load of a workspace over all nodes counts: unused shares do not
+//! accumulate. Shares apply only while the engines cannot serve all requests in time. Until
+//! then a workspace may use all free capacity.
 
 use std::collections::HashMap;
 
-/// How many times an equal share a workspace may have before it yields; equal
-/// among those that have work on any server now, calls included. With less, large
-/// workspaces are refused in every wave.
-const TOLERANCE: f64 = 2.0;
-/// Part of all that is used below which a workspace never yields: a large one is
-/// no flood.
-const LEAST_FLOOD: f64 = 1.0 / 3.0;
+/// Multiple of an equal share that a workspace may use. The share is equal among all
+/// workspaces with work on any server.
+const MAX_SHARE_MULTIPLE: f64 = 2.0;
+/// Fraction of the total load that a workspace may always use.
+const ALWAYS_ALLOWED_FRACTION: f64 = 1.0 / 3.0;
 
-/// A workspace's short id, which all entries derive alike from its name.
+/// A workspace's short id, derived from its name and the same on all nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct WorkspaceTag(u32);
 
@@ -24,19 +22,19 @@
         Self(tag_of(name))
     }
 
-    /// Takes an id as a peer told it.
+    /// Creates an id from its number in a peer's update.
     pub fn from_number(number: u32) -> Self {
         Self(number)
     }
 
-    /// Returns the id as peers are told it.
+    /// Returns the number of the id, as published to peers.
     pub fn number(self) -> u32 {
         self.0
     }
 }
 
-/// Derives a short id from a name (FNV-1a, 32 bits): it only has to agree
-/// between entries and to differ between the names of one deployment.
+/// Derives a short id from a name (FNV-1a, 32 bits). It must be the same on all nodes and
+/// differ between the names of one deployment.
 pub(crate) fn tag_of(name: &str) -> u32 {
     const OFFSET: u32 = 0x811c_9dc5;
     const PRIME: u32 = 0x0100_0193;
@@ -45,30 +43,30 @@
     })
 }
 
-/// What each workspace has on the engines, in engines.
+/// The load of each workspace, in engines.
 #[derive(Debug, Default)]
 pub(crate) struct Shares {
     total: f64,
-    of: HashMap<WorkspaceTag, f64>,
+    by_workspace: HashMap<WorkspaceTag, f64>,
 }
 
 impl Shares {
-    /// Adds what a request keeps busy.
+    /// Adds the load of a request.
     pub fn add(&mut self, workspace: WorkspaceTag, engines: f64) {
         self.total += engines;
-        *self.of.entry(workspace).or_default() += engines;
+        *self.by_workspace.entry(workspace).or_default() += engines;
     }
 
-    /// Tells whether a workspace has more than its share. Requests of routes that
-    /// ask for no key belong to none.
+    /// Returns whether a workspace exceeds its share. Requests without a key belong to no
+    /// workspace.
     pub fn is_over(&self, workspace: WorkspaceTag) -> bool {
         if workspace == WorkspaceTag::default() {
             return false;
         }
-        let Some(&own) = self.of.get(&workspace) else {
+        let Some(&own) = self.by_workspace.get(&workspace) else {
             return false;
         };
-        let equal = self.total / self.of.len() as f64;
-        own > (TOLERANCE * equal).max(LEAST_FLOOD * self.total)
+        let equal_share = self.total / self.by_workspace.len() as f64;
+        own > (MAX_SHARE_MULTIPLE * equal_share).max(ALWAYS_ALLOWED_FRACTION * self.total)
     }
 }
--- a/crates/notchwalk_route/src/site.rs
+++ b/crates/notchwalk_route/src/site.rs
@@ -1,59 +1,60 @@
-//! What an operator configures for routed requests.
+//! The configuration of routed requests.
 
 use std::time::Duration;
 
-/// A whole configuration. Versions only rise.
+/// A complete configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SiteConfig {
-    /// The version.
+    /// The version, which only increases.
     pub version: u64,
     /// All routes.
     pub routes: Vec<Route>,
     /// All services.
     pub services: Vec<Service>,
-    /// Bounds on what callers may send.
+    /// Limits on requests and connections of callers.
     pub limits: ClientLimits,
     /// Workspaces and their keys; `None` if callers need no key.
     pub workspaces: Option<Vec<Workspace>>,
 }
 
-/// What may be done with a request that was sent and did not succeed.
+/// Whether a failed request may be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeatability {
     /// It may run any number of times.
     Idempotent,
-    /// It may run once at most.
+    /// It may run at most once.
     Once,
-    /// A stream that may be picked up after the last event that was delivered.
+    /// It is a stream that may be resumed after the last delivered event.
     Resumable,
 }
 
-/// Where requests of one host and path prefix go.
+/// A route for requests to a host and path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// The name, for logs.
     pub name: String,
-    /// The host it belongs to.
+    /// The host name.
     pub host: String,
-    /// The path prefix, with a slash at both ends.
+    /// The path prefix, starting and ending with a slash.
     pub prefix: String,
-    /// Whether the answer is a stream of events.
+    /// Whether the response is a stream of events.
     pub streaming: bool,
-    /// What may be repeated.
+    /// Whether a failed request may be sent again.
     pub repeatability: Repeatability,
-    /// How long a request may be held.
+    /// Maximum time for a request.
     pub timeout: Duration,
-    /// The latency objective: to the whole answer, or to the first event.
+    /// Latency objective: to the first event of a stream, otherwise to the complete
+    /// response.
     pub objective: Duration,
-    /// The longest pause between events that is still in time.
+    /// Inter-token latency objective: the maximum time between two events.
     pub pause_objective: Option<Duration>,
-    /// Rank, 0 first.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Servers that one request may be sent to.
+    /// Maximum number of servers that a request may be sent to.
     pub max_attempts: u32,
-    /// Whether no key is needed.
+    /// Whether callers need no key.
     pub open: bool,
-    /// The services, with weights.
+    /// The services and their weights.
     pub backends: Vec<Backend>,
 }
 
@@ -71,47 +72,49 @@
 pub struct Service {
     /// The name.
     pub name: String,
-    /// Connections one server accepts from all callers together.
+    /// Maximum number of connections that a server accepts from all clients together.
     pub max_connections: u32,
-    /// The costs of its model engines; `None` for a plain service.
+    /// The cost parameters of its model engines; `None` for a plain service.
     pub engine: Option<EngineParameters>,
 }
 
-/// Figures of a model engine, as its operator states them.
+/// Cost parameters of a model engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineParameters {
-    /// Requests that run at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Memory, in tokens of context.
+    /// Memory capacity, in context tokens.
     pub memory_tokens: u64,
-    /// Token steps in a pass while any request generates.
+    /// Token steps per engine step while any request decodes.
     pub steps_per_pass: f64,
-    /// Milliseconds of a step.
+    /// Base duration of a token step, in milliseconds.
     pub step_ms: f64,
-    /// Milliseconds added to a step for each generating request.
+    /// Time added to a token step per decoding request, in milliseconds.
     pub sequence_ms: f64,
-    /// Milliseconds added to a step for each 1,000 tokens of context.
+    /// Time added to a token step per 1,000 context tokens, in milliseconds.
     pub context_ms_per_k: f64,
-    /// Prompt tokens read in a millisecond.
+    /// Prefill throughput, in prompt tokens per millisecond.
     pub read_tokens_per_ms: f64,
-    /// Milliseconds for a million pairs of a prompt token and an earlier one.
+    /// Attention cost of prefill, in milliseconds per million pairs of a prompt token and an
+    /// earlier one.
     pub pair_ms_per_million: f64,
-    /// Prompt tokens read in one step at most.
+    /// Maximum number of prompt tokens that are prefilled in one token step.
     pub chunk_tokens: u32,
-    /// Milliseconds added to a step when a prompt is spread over engines.
+    /// Time added to a token step if a prompt is split over several engines, in
+    /// milliseconds.
     pub hop_ms: f64,
 }
 
-/// Bounds on what a caller may send.
+/// Limits on requests and connections of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientLimits {
-    /// Largest head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub head_bytes: usize,
-    /// Largest body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// How long a head may take.
+    /// Maximum time to receive a request head.
     pub head_timeout: Duration,
-    /// How long a connection may lie idle.
+    /// Maximum time that a connection may stay idle.
     pub idle_timeout: Duration,
 }
 
@@ -126,13 +129,13 @@
     }
 }
 
-/// A workspace and the keys that act for it.
+/// A workspace and its keys.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Workspace {
-    /// The name, as backend servers get it.
+    /// The name, as sent to backend servers.
     pub name: String,
     /// Its keys.
     pub keys: Vec<String>,
-    /// Rank, 0 first; goes before that of the route.
+    /// Priority; 0 is the highest. It takes precedence over the priority of the route.
     pub priority: u8,
 }
