--- a/crates/notchwalk_route/src/effect.rs
+++ b/crates/notchwalk_route/src/effect.rs
@@ -1,4 +1,4 @@
-//! Everything a router can ask its driver to do.
+//! The outputs of a router, which its driver carries out.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -7,168 +7,167 @@
 
 use crate::{RequestKey, ServerKey, ServerWord};
 
-/// Another engine that reads a part of a prompt.
+/// A prefill worker: another engine that prefills a part of a prompt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Helper {
     /// Its address.
     pub addr: SocketAddr,
-    /// The memory set aside there, if any.
+    /// The id of the memory reservation there, if any.
     pub reservation: Option<String>,
 }
 
-/// Why a request goes where it goes, for logs.
+/// The reason for a placement, for logs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Grounds {
-    /// The least expected loss among all servers.
+    /// The server has the lowest expected penalty.
     LeastLoss,
-    /// Engines have room, nobody else becomes late.
+    /// The engines have free capacity, so no other request misses its objective.
     Room,
-    /// It can't wait any longer and stands for more than others lose by it.
+    /// It cannot wait any longer, and its value exceeds the penalty for other requests.
     Urgent,
-    /// It will be late, within the time that its caller waits.
+    /// It misses its objective but meets its caller's timeout.
     Late,
 }
 
-/// A request's way to a server.
+/// The assignment of a request to a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Assignment {
     /// The server.
     pub server: ServerKey,
     /// Its address.
     pub addr: SocketAddr,
-    /// The instance that must answer there.
+    /// The instance id that is expected at the address.
     pub instance: String,
-    /// Engines that read parts of the prompt.
+    /// Engines that prefill parts of the prompt.
     pub helpers: Vec<Helper>,
-    /// The rank on the server, 0 first.
+    /// The priority on the server; 0 is the highest.
     pub priority: u8,
-    /// When the caller or the route stops waiting.
+    /// The deadline from the timeouts of the caller and the route.
     pub deadline: Instant,
-    /// Why it goes there.
+    /// The reason for the placement.
     pub grounds: Grounds,
     /// How often the request was sent before.
     pub resent: u32,
-    /// When the first event was predicted to come, from now.
+    /// Predicted time to the first event.
     pub predicted_first: Duration,
-    /// Time from the caller's first try to this one's arrival.
+    /// Time from the caller's first attempt to the arrival of this one.
     pub since_first: Duration,
-    /// How long nothing at all may come before the server is given up; `None`
-    /// waits to the deadline.
+    /// Timeout for the first output of the server; `None` waits until the deadline.
     pub first_silence: Option<Duration>,
-    /// The same between two events.
+    /// Timeout between two events; `None` waits until the deadline.
     pub pause_silence: Option<Duration>,
 }
 
-/// Why a request is answered by the entry itself.
+/// Why this node refuses a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Refusal {
-    /// No configuration is in force yet.
+    /// No configuration has been received yet.
     NotReady,
-    /// The entry stops.
+    /// This node is shutting down.
     Draining,
-    /// No server of the service may be given work.
+    /// No server of the service is available.
     NoServer,
-    /// Its objective and its deadline can't be met.
+    /// It cannot meet its objective or its deadline.
     Overloaded,
-    /// Its servers name limits, and what they allow is gone before its turn.
+    /// The rate limits of its servers do not allow it in time.
     Limited,
-    /// The servers did not run it and no further try is allowed.
+    /// The servers did not run it and no further attempt is allowed.
     NotRun,
-    /// It may have run; the outcome is unknown.
+    /// It may have run; its outcome is unknown.
     Unknown,
-    /// Its time is over.
+    /// It exceeded its deadline.
     TimedOut,
-    /// Servers ended under requests of its content; whether by its fault is not
-    /// known yet.
+    /// Servers crashed during requests with its content; the cause is not yet known.
     Suspected,
-    /// Requests of its content crash their servers: it is sent to none for a while.
+    /// Requests with its content crash their servers: it is sent to none for some time.
     Quarantined,
 }
 
 impl Refusal {
-    /// Tells whether the refusal proves that the request has not run.
+    /// Returns whether the refusal guarantees that the request has not run.
     pub fn has_not_run(self) -> bool {
         !matches!(self, Self::Unknown | Self::TimedOut | Self::Quarantined)
     }
 }
 
-/// Sets memory aside on an engine, or gives it back.
+/// An order to reserve memory on an engine, or to release it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReservationOrder {
     /// The engine's address.
     pub addr: SocketAddr,
     /// The reservation's id.
     pub id: String,
-    /// Tokens to set aside; `None` gives the memory back.
+    /// Number of tokens to reserve; `None` releases the memory.
     pub tokens: Option<u32>,
-    /// How long it holds without renewal.
+    /// Lifetime of the reservation without renewal.
     pub hold: Duration,
 }
 
-/// One thing to do.
+/// An output of a router.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Send a request to a server.
     Send {
         /// The request.
         request: RequestKey,
-        /// Where and how.
+        /// The assignment.
         to: Assignment,
     },
-    /// Answer a request; the router forgets it.
+    /// Refuse a request; the router drops its state.
     Refuse {
         /// The request.
         request: RequestKey,
-        /// Why.
+        /// The reason.
         reason: Refusal,
-        /// When the caller may come back; for a quarantined request, when that
-        /// ends.
+        /// Time after which the caller may retry; for a quarantined request, the remaining
+        /// time of the quarantine.
         retry_after: Option<Duration>,
     },
-    /// Deliver the server's own error that was kept; the router forgets the
-    /// request.
+    /// Deliver the retained error of the server; the router drops the request's state.
     DeliverFailure {
         /// The request.
         request: RequestKey,
     },
-    /// Place or end a reservation; `request` hears of the outcome of placing.
+    /// Reserve memory for a request; the outcome is reported as [`Event::Reserved`].
+    ///
+    /// [`Event::Reserved`]: crate::Event::Reserved
     Reserve {
         /// The request.
         request: RequestKey,
-        /// The orders, all or none.
+        /// The orders, which succeed or fail together.
         orders: Vec<ReservationOrder>,
     },
-    /// Renew a reservation or give its memory back.
+    /// Renew or release a reservation.
     Order(ReservationOrder),
-    /// Find out whether anybody listens at a server's address.
+    /// Check whether a process listens at a server's address.
     Check {
-        /// The short id of the server's life.
+        /// The short id of the server's incarnation.
         server: u32,
         /// Its address.
         addr: SocketAddr,
     },
-    /// Something became known of requests under which servers ended.
+    /// Report a finding on requests during which servers crashed.
     Found(Finding),
-    /// Something that a server said of itself is new here.
+    /// Report a new notice from a server.
     Heard {
         /// The server.
         server: ServerKey,
-        /// What it said.
+        /// The notice.
         word: ServerWord,
-        /// Whether it said so to a peer, which told it.
+        /// Whether a peer published it; otherwise this node received it.
         by_peer: bool,
     },
-    /// A server's limit leaves requests for its service to other servers, or lets them
-    /// wait.
+    /// Report that a server's limit is used up: requests for its service wait or go to other
+    /// servers.
     LimitUsedUp {
         /// The server.
         server: ServerKey,
     },
-    /// A server gets no work for a while.
+    /// Report that a server was ejected.
     Closed {
         /// The server.
         server: ServerKey,
-        /// For how long.
+        /// Duration of the ejection.
         pause: Duration,
     },
 }
--- a/crates/notchwalk_route/src/event.rs
+++ b/crates/notchwalk_route/src/event.rs
@@ -1,4 +1,4 @@
-//! Everything a router can be told.
+//! The inputs of a router.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -9,69 +9,65 @@
     ServerWord, Sharing, SiteConfig, ToldLimit,
 };
 
-/// How sending a request to a server ended.
+/// How an attempt to send a request to a server ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The whole answer was delivered. `healthy` is false for an answer that
-    /// the server gave as its own error.
+    /// The complete response was delivered.
     Delivered {
-        /// Whether the answer speaks for the server.
+        /// Whether the response is a success; false for an error of the server itself.
         healthy: bool,
     },
-    /// No connection could be made, so that nothing was sent.
+    /// The connection failed, so the request was not sent.
     NotConnected,
-    /// Nothing was sent: before it could be, the server said that it leaves or wants
-    /// nothing.
+    /// The request was not sent because the server started draining or backing off.
     NotSent,
-    /// The server said that it did not run the request.
+    /// The server reported that it did not run the request.
     NotRun {
-        /// The server at fault, where it is another one.
+        /// The server at fault, if it is another one.
         at_fault: Option<SocketAddr>,
-        /// Whether the server's address belongs to another instance by now.
+        /// Whether the address now belongs to another instance.
         moved: bool,
     },
-    /// The server answered with an error of its own, which is kept and could
-    /// be delivered; the request counts as run.
+    /// The server responded with an error of its own, which is retained and can be
+    /// delivered. The request counts as run.
     Failed,
-    /// The server said nothing for too long; the request may have run.
+    /// The server sent nothing within the timeout. The request may have run.
     Silent,
-    /// The connection broke; the request may have run, and the server may have
-    /// ended.
+    /// The connection was lost. The request may have run, and the server may have stopped.
     Broken,
-    /// The server answered and the answer could not be used; the request may have
-    /// run.
+    /// The server's response was invalid. The request may have run.
     Unusable,
 }
 
-/// An engine on which memory could not be set aside.
+/// A failed reservation on an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FailedReservation {
-    /// Its address.
+    /// The engine's address.
     pub addr: SocketAddr,
-    /// Whether it could not be reached; otherwise it had no memory free, or its
-    /// answer got lost.
+    /// Whether the engine was unreachable. Otherwise it had too little free memory, or its
+    /// response was lost.
     pub unreachable: bool,
 }
 
-/// One thing that happened.
+/// An input of a router.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A configuration came into force.
+    /// A new configuration applies.
     Configured(SiteConfig),
-    /// The register of servers changed.
+    /// The server registry changed.
     Servers(ServerChange),
-    /// A server said something of itself in the head of an answer.
+    /// A server announced a notice in a response header.
     ServerSaid {
         /// The server.
         server: ServerKey,
-        /// What it said.
+        /// The notice.
         word: ServerWord,
     },
-    /// A request arrived whole.
+    /// A complete request arrived.
     Arrived {
         /// The request.
         request: RequestKey,
-        /// What is known of it.
+        /// Its properties.
         facts: RequestFacts,
     },
     /// The first event of a stream was delivered.
@@ -79,98 +75,98 @@
         /// The request.
         request: RequestKey,
     },
-    /// Sending a request to a server ended.
+    /// An attempt to send a request to a server ended.
     AttemptEnded {
         /// The request.
         request: RequestKey,
-        /// How.
+        /// How the attempt ended.
         end: AttemptEnd,
     },
-    /// The caller left, or the request's time is over: nobody waits any more.
+    /// The caller disconnected, or the request timed out.
     Abandoned {
         /// The request.
         request: RequestKey,
     },
-    /// A peer told what it has at some servers; replaces what it told of them.
+    /// A peer published its work on some servers, which replaces its earlier work there.
     PeerWork {
-        /// The peer's number on this entry.
+        /// The peer's number on this node.
         peer: u32,
-        /// The servers it tells about.
+        /// The short ids of the servers that the update covers.
         servers: Vec<u32>,
-        /// What it has there.
+        /// The peer's work on these servers.
         work: Vec<PeerWork>,
     },
-    /// A peer fell silent or started anew: what it told is void.
+    /// A peer became unreachable or restarted: its earlier updates no longer apply.
     PeerGone {
-        /// The peer's number on this entry.
+        /// The peer's number on this node.
         peer: u32,
     },
-    /// A peer told of servers that said to it that they leave.
+    /// A peer published servers that announced to it that they are draining.
     ToldLeaving {
-        /// The short ids of the servers' lives.
+        /// The short ids of the servers' incarnations.
         servers: Vec<u32>,
     },
-    /// A peer told of requests under which servers ended.
+    /// A peer published updates on requests during which servers crashed.
     News {
-        /// The peer's number on this entry.
+        /// The peer's number on this node.
         peer: u32,
-        /// What it told.
+        /// The updates.
         news: Vec<News>,
     },
-    /// Nobody listens at a server's address any more.
+    /// No process listens at a server's address any more.
     NotListening {
-        /// The short id of the server's life.
+        /// The short id of the server's incarnation.
         server: u32,
     },
     /// A quarantine was read from the store.
     Restored {
-        /// The content.
+        /// The fingerprint of the quarantined content.
         content: Fingerprint,
-        /// How long it still holds.
+        /// The remaining time of the quarantine.
         left: Duration,
-        /// How often it was quarantined.
+        /// How often the content has been quarantined.
         times: u32,
     },
-    /// An operator ends a quarantine.
+    /// An operator ended a quarantine.
     Release {
-        /// The content.
+        /// The fingerprint of the quarantined content.
         content: Fingerprint,
     },
-    /// The group of entries that this one belongs to, among many.
+    /// This node's group.
     Group(Group),
-    /// How many entries share what is allowed to all, this one included.
+    /// The number of nodes that share budgets.
     Entries {
-        /// The count.
+        /// The number of nodes, this one included.
         count: u32,
     },
-    /// Who shares what servers allow to all entries.
+    /// The nodes that share the limits of servers.
     Sharing(Sharing),
-    /// A peer told of servers that name limits.
+    /// A peer published updates on limited servers.
     ToldLimits {
-        /// The peer's number on this entry.
+        /// The peer's number on this node.
         peer: u32,
-        /// Its name.
+        /// The peer's name.
         name: String,
-        /// Whether it is of this entry's group: only then its sends are told in time.
+        /// Whether it is in this node's group. The send counters of other peers are ignored,
+        /// as they arrive too late.
         near: bool,
-        /// What it told.
+        /// The updates.
         limits: Vec<ToldLimit>,
     },
-    /// All orders to set memory aside for a request were answered, or failed.
+    /// All reservation orders of a request were answered or failed.
     Reserved {
         /// The request.
         request: RequestKey,
-        /// The engines on which it failed; all of the memory is set aside if
-        /// there is none.
+        /// The engines on which the reservation failed; empty if all memory is reserved.
         failed: Vec<FailedReservation>,
     },
-    /// An order for memory went unanswered: it may be carried out late.
+    /// A reservation order had no response: it may be carried out late.
     Unanswered(ReservationOrder),
     /// Time passed.
     Tick,
-    /// The entry was told to stop; new requests are refused after `after`.
+    /// This node is shutting down.
     Draining {
-        /// How long it still takes requests.
+        /// Time after which new requests are refused.
         after: Duration,
     },
 }
--- a/crates/notchwalk_route/src/lib.rs
+++ b/crates/notchwalk_route/src/lib.rs
@@ -1,25 +1,25 @@
-//! Decisions about routed requests: requests whose bodies are opaque and that
-//! are forwarded to a backend server of the service their route names.
+//! Routing decisions: which backend server a request is sent to, and when. Request bodies
+//! are opaque, and a route names the services that a request may be sent to.
 //!
-//! [`Router::step`] takes one [`Event`] and appends [`Effect`]s. It has no
-//! clock, no I/O and no thread, and draws its random numbers from a seed, so
-//! that a recorded stream of events replays to the same effects.
+//! [`Router::step`] takes one [`Event`] and appends [`Effect`]s. It has no clock, I/O or
+//! threads, and its random numbers come from a seed, so a recorded stream of events replays
+//! to the same effects.
 //!
-//! | file | what it decides |
+//! | module | responsibility |
 //! |---|---|
-//! | `site` | what an operator configures: routes, services, workspaces, limits |
-//! | `routes` | which route a request takes, and whose key it carries |
-//! | `first_try` | since when a caller has been asking |
-//! | `fleet` | which backend servers exist and which may be used |
-//! | `server_notice` | what servers say of themselves in their answers |
-//! | `groups` | which servers an entry uses among many entries |
-//! | `board` | what runs on each server, by this entry and by its peers |
-//! | `engine_cost` | what work costs on a model engine |
-//! | `shares` | which workspaces use more than their share of the engines |
-//! | `wait_queue` | which waiting request is sent next |
-//! | `placement/` | which server, and which helpers, a request goes to |
-//! | `reservations` | memory set aside on engines for the longest prompts |
-//! | `retry_budget` | how many repeated sends an entry may make |
+//! | `site` | configuration: routes, services, workspaces and limits |
+//! | `routes` | lookup of the route and the workspace of a request |
+//! | `first_try` | time since a caller's first attempt |
+//! | `fleet` | backend servers and their availability |
+//! | `server_notice` | notices from servers in response headers |
+//! | `groups` | the subset of servers that a node uses in a large deployment |
+//! | `board` | load of each server from this node and its peers |
+//! | `engine_cost` | cost model of an engine |
+//! | `shares` | fair shares of the engines between workspaces |
+//! | `wait_queue` | order of waiting requests |
+//! | `placement/` | choice of a server and of prefill workers |
+//! | `reservations` | memory reservations on engines for the longest prompts |
+//! | `retry_budget` | budget for retries |
 //! | `router/` | the reducer |
 
 mod board;
--- a/crates/notchwalk_route/src/prelude.rs
+++ b/crates/notchwalk_route/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The names that users of this crate nearly always need.
+//! Commonly used types of this crate.
 
 pub use crate::{
     AttemptEnd, Effect, Event, RequestFacts, RequestKey, Router, RouterConfig, ServerChange,
--- a/crates/notchwalk_route/src/request.rs
+++ b/crates/notchwalk_route/src/request.rs
@@ -1,4 +1,4 @@
-//! A request as the router sees it.
+//! The router's state of a request.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,73 +9,72 @@
 use crate::{Assignment, Repeatability, Route, ServerKey, WorkspaceTag};
 
 new_key_type! {
-    /// A request's place in the router.
+    /// Identifies a request in the router.
     pub struct RequestKey;
 }
 
-/// Silence after which callers give a stream up at the earliest. This and the
-/// two multiples are how the callers of the deployments known behave; the
-/// longest of the three holds.
-const LEAST_PATIENCE: Duration = Duration::from_secs(2);
+/// Minimum time without output after which callers abort a stream. The longest of this and
+/// the two multiples below applies.
+const MIN_STREAM_TIMEOUT: Duration = Duration::from_secs(2);
 /// The same as a multiple of the latency objective.
-const PATIENCE_IN_OBJECTIVES: u32 = 4;
-/// The same as a multiple of the pause objective.
-const PATIENCE_IN_PAUSES: u32 = 8;
+const STREAM_TIMEOUT_PER_OBJECTIVE: u32 = 4;
+/// The same as a multiple of the inter-token latency objective.
+const STREAM_TIMEOUT_PER_INTER_TOKEN: u32 = 8;
 
-/// What is known of a request when it arrives.
+/// The properties of a request on its arrival.
 #[derive(Clone, Debug)]
 pub struct RequestFacts {
     /// Its route.
     pub route: Arc<Route>,
-    /// Identifies its content, alike for all its tries.
+    /// Fingerprint of its content, the same for all of its attempts.
     pub content: Fingerprint,
-    /// Its workspace; the default for a route that asks for no key.
+    /// Its workspace; the default if it has no key.
     pub workspace: WorkspaceTag,
-    /// The rank of its workspace, 0 first.
+    /// Priority of its workspace; 0 is the highest.
     pub workspace_priority: u8,
     /// When its first byte arrived.
     pub arrived: Instant,
-    /// How long its caller waits, as it states.
+    /// The timeout that its caller announced.
     pub patience: Duration,
-    /// When its caller, or its route, stops waiting.
+    /// The deadline from the timeouts of its caller and its route.
     pub deadline: Instant,
-    /// Tokens of the prompt; 0 for a plain service.
+    /// Number of prompt tokens; 0 for a plain service.
     pub prompt_tokens: u32,
-    /// Tokens of the answer, as far as the caller can tell.
+    /// Expected number of response tokens.
     pub answer_tokens: u32,
 }
 
-/// What the router keeps of a request until its answer ended.
+/// The state of a request until its response has ended.
 #[derive(Debug)]
 pub(crate) struct Request {
     pub facts: RequestFacts,
-    /// When its caller asked for the first time.
+    /// Estimated time of its caller's first attempt.
     pub first_tried: Instant,
-    /// The service it was sent to; a route may split its requests.
+    /// Its service, chosen from those of the route.
     pub service: String,
-    /// Servers it was sent to so far.
+    /// Servers that it was sent to.
     pub tried: Vec<ServerKey>,
-    /// Servers that may have begun to work on it.
+    /// Number of servers that may have started it.
     pub ran_on: u32,
-    /// Sends so far, refused ones included.
+    /// Number of sends, refused ones included.
     pub sends: u32,
-    /// Sends that failed because another engine than its own was at fault.
+    /// Number of sends that failed because of a prefill worker.
     pub helpers_failed: u32,
-    /// Where it is now.
+    /// The server that it is on.
     pub at: Option<ServerKey>,
-    /// Servers that read parts of its prompt.
+    /// Servers that prefill parts of its prompt.
     pub helpers: Vec<ServerKey>,
-    /// The way it goes once memory is set aside for it.
+    /// The assignment to send once its memory is reserved.
     pub reserving: Option<Assignment>,
-    /// Whether its prompt lies in reservations.
+    /// Whether it holds memory reservations.
     pub holds: bool,
-    /// When the first event was predicted to come.
+    /// Predicted time of the first event.
     pub predicted_first: Instant,
-    /// When it was sent last.
+    /// Time of the last send.
     pub sent_at: Instant,
-    /// Since when it waits to be sent.
+    /// Start of the current wait to be sent.
     pub waits_since: Instant,
-    /// Whether an event of its stream was delivered.
+    /// Whether an event of its stream has been delivered.
     pub started: bool,
 }
 
@@ -100,49 +99,48 @@
         }
     }
 
-    /// Tells whether the request may run although it may have run before.
+    /// Returns whether the request may run more than once.
     pub fn may_repeat(&self) -> bool {
         self.facts.route.repeatability != Repeatability::Once
     }
 
-    /// Returns when its objective is missed. It runs from the first try.
+    /// Returns when its latency objective ends, counted from the first attempt.
     pub fn objective_at(&self) -> Instant {
         self.first_tried.after(self.facts.route.objective)
     }
 
-    /// Returns when its caller gives up if no event of the answer has come by
-    /// then.
+    /// Returns when its caller aborts if no event has been delivered by then.
     pub fn patience_end(&self) -> Instant {
         let route = &self.facts.route;
         if !route.streaming || self.started {
             return self.facts.deadline;
         }
-        let patience = self.stream_patience();
-        self.facts.deadline.min(self.facts.arrived.after(patience))
+        let timeout = self.stream_timeout();
+        self.facts.deadline.min(self.facts.arrived.after(timeout))
     }
 
-    /// Returns how long its caller bears a stream on which nothing comes.
-    fn stream_patience(&self) -> Duration {
+    /// Returns the time without output after which its caller aborts a stream.
+    fn stream_timeout(&self) -> Duration {
         let route = &self.facts.route;
-        let pause = route.pause_objective.unwrap_or_default();
-        LEAST_PATIENCE
-            .max(route.objective * PATIENCE_IN_OBJECTIVES)
-            .max(pause * PATIENCE_IN_PAUSES)
+        let inter_token = route.pause_objective.unwrap_or_default();
+        MIN_STREAM_TIMEOUT
+            .max(route.objective * STREAM_TIMEOUT_PER_OBJECTIVE)
+            .max(inter_token * STREAM_TIMEOUT_PER_INTER_TOKEN)
     }
 
-    /// Returns when its caller gives up, of a stream under way the pause since its last
+    /// Returns when its caller aborts. The timeout of a started stream runs from its last
     /// event.
     pub fn gives_up_at(&self) -> Instant {
         match self.started {
             true => self
                 .facts
                 .deadline
-                .min(self.waits_since.after(self.stream_patience())),
+                .min(self.waits_since.after(self.stream_timeout())),
             false => self.patience_end(),
         }
     }
 
-    /// Returns the time left to its deadline.
+    /// Returns the time until its deadline.
     pub fn left(&self, now: Instant) -> Duration {
         self.facts.deadline.since(now)
     }
--- a/crates/notchwalk_route/tests/decisions/engine_cost.rs
+++ b/crates/notchwalk_route/tests/decisions/engine_cost.rs
@@ -1,4 +1,4 @@
-//! The cost model against figures worked out by hand.
+//! The engine cost model against hand-computed values.
 
 use notchwalk_route::EngineCost;
 
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn reading_costs_tokens_and_pairs() {
+fn prefill_cost_includes_tokens_and_attention_pairs() {
     let parameters = parameters();
     let cost = EngineCost::new(&parameters);
     assert!(near(cost.read_ms(154_000.0, 154_000.0), 870.0 + 2_182.0));
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn parts_share_the_pairs_of_the_whole_prompt() {
+fn parts_share_the_attention_cost_of_the_prompt() {
     let parameters = parameters();
     let cost = EngineCost::new(&parameters);
     let whole = cost.read_ms(200_000.0, 200_000.0);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_pass_costs_steps_sequences_and_context() {
+fn step_cost_includes_token_steps_sequences_and_context() {
     let parameters = parameters();
     let cost = EngineCost::new(&parameters);
     assert!(near(
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn nothing_costs_nothing() {
+fn empty_prompt_has_no_cost() {
     let parameters = parameters();
     let cost = EngineCost::new(&parameters);
     assert_eq!(cost.read_ms(0.0, 0.0), 0.0);
--- a/crates/notchwalk_route/tests/decisions/routes.rs
+++ b/crates/notchwalk_route/tests/decisions/routes.rs
@@ -1,4 +1,4 @@
-//! Routes and keys.
+//! Lookup of routes and keys.
 
 use notchwalk_route::RouteLookup;
 
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn the_longest_prefix_wins() {
+fn longest_prefix_wins() {
     let rig = Rig::new();
     let found = |path| found(&rig, "a.example", path, Some("key"));
     assert_eq!(found("/short/x").as_deref(), Some("short"));
@@ -22,14 +22,14 @@
 }
 
 #[test]
-fn hosts_are_compared_without_port_and_case() {
+fn hosts_match_without_port_and_case() {
     let rig = Rig::new();
     assert!(found(&rig, "A.Example:8080", "/short/", Some("key")).is_some());
     assert!(found(&rig, "b.example", "/short/", Some("key")).is_none());
 }
 
 #[test]
-fn a_key_is_needed_unless_the_route_is_open() {
+fn key_is_required_unless_the_route_is_open() {
     let mut rig = Rig::new();
     let lookup = |rig: &Rig, key| rig.router.routes().lookup("a.example", "/once/", key);
     assert!(matches!(lookup(&rig, None), RouteLookup::NoKey));
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn an_older_configuration_does_not_come_back() {
+fn older_configuration_is_ignored() {
     let mut rig = Rig::new();
     let mut newer = site();
     newer.version = 5;
--- a/crates/notchwalk_route/tests/decisions/shares.rs
+++ b/crates/notchwalk_route/tests/decisions/shares.rs
@@ -1,8 +1,7 @@
-//! Workspaces that ask for more than the engines can serve.
+//! Workspaces that send more requests than the engines can serve.
 //!
-//! Four engines serve some 30 short requests a second. What callers of small
-//! workspaces saw beside a flood ten times as large: 4 of 136 requests in time, as
-//! each request counted alike, whoever sent it. Of all that were sent, 68 were in time.
+//! Without fair shares, requests of small workspaces miss their objectives while a large
+//! one overloads the engines. Four engines serve about 30 short requests per second.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -12,56 +11,55 @@
 use crate::common::Rig;
 
 const TICK: Duration = Duration::from_millis(15);
-/// The objective of short requests in the rig.
+/// Latency objective of short requests.
 const OBJECTIVE: Duration = Duration::from_millis(300);
-/// Ticks that are played: eight seconds.
+/// Number of simulated ticks: 8 s.
 const TICKS: usize = 532;
 
-/// How often a workspace asks: so many requests every so many ticks.
+/// The demand of a workspace: `requests` requests every `interval` ticks.
 #[derive(Clone, Copy)]
 struct Demand {
     workspace: &'static str,
     requests: usize,
-    every: usize,
+    interval: usize,
 }
 
-/// What a workspace asked for and got.
+/// Request counts of a workspace.
 #[derive(Clone, Copy, Debug, Default)]
-struct Served {
-    asked: usize,
+struct Counts {
+    arrived: usize,
     sent: usize,
     in_time: usize,
 }
 
-/// How long an answer takes once it was sent, two seconds in the mean: engines
-/// with sixteen requests serve six to seven a second each.
-fn served_in(number: usize) -> Duration {
+/// Returns the response time of a request after its send, 2 s on average.
+fn response_time(number: usize) -> Duration {
     Duration::from_millis(500 + (number as u64 * 737) % 3_000)
 }
 
-/// Plays eight seconds of these demands.
-fn play(demands: &[Demand]) -> HashMap<&'static str, Served> {
+/// Simulates 8 s of these demands.
+fn simulate(demands: &[Demand]) -> HashMap<&'static str, Counts> {
     let mut rig = Rig::named("entry-1", 4);
-    let mut whose: HashMap<RequestKey, &str> = HashMap::new();
-    let mut served: HashMap<&str, Served> = HashMap::new();
+    let mut workspace_of: HashMap<RequestKey, &str> = HashMap::new();
+    let mut counts: HashMap<&str, Counts> = HashMap::new();
     let mut running: Vec<(Instant, RequestKey)> = Vec::new();
     let mut sends = 0;
     for tick in 0..TICKS {
-        for demand in demands.iter().filter(|demand| tick % demand.every == 0) {
+        for demand in demands.iter().filter(|demand| tick % demand.interval == 0) {
             rig.workspace = WorkspaceTag::of(demand.workspace);
             for _ in 0..demand.requests {
-                whose.insert(rig.arrive("/short/", 5_000), demand.workspace);
-                served.entry(demand.workspace).or_default().asked += 1;
+                workspace_of.insert(rig.arrive("/short/", 5_000), demand.workspace);
+                counts.entry(demand.workspace).or_default().arrived += 1;
             }
         }
         rig.pass(TICK);
         for (key, to) in rig.sends() {
-            let served = served.entry(whose[&key]).or_default();
-            served.sent += 1;
-            served.in_time += usize::from(to.predicted_first <= OBJECTIVE);
+            let counts = counts.entry(workspace_of[&key]).or_default();
+            counts.sent += 1;
+            counts.in_time += usize::from(to.predicted_first <= OBJECTIVE);
             rig.step(Event::Started { request: key });
             sends += 1;
-            running.push((rig.now.after(served_in(sends)), key));
+            running.push((rig.now.after(response_time(sends)), key));
         }
         let now = rig.now;
         let ended = running.iter().filter(|(at, _)| *at <= now);
@@ -72,40 +70,46 @@
         }
         rig.effects.retain(|e| !matches!(e, Effect::Order(_)));
     }
-    served
+    counts
 }
 
 fn small(workspace: &'static str) -> Demand {
     Demand {
         workspace,
         requests: 1,
-        every: 16,
+        interval: 16,
     }
 }
 
 #[test]
-fn a_flood_of_one_workspace_leaves_the_others_their_share() {
+fn overload_by_one_workspace_leaves_the_others_their_share() {
     let others = ["a", "b", "c", "d"];
     let mut demands = others.map(small).to_vec();
-    let alone = play(&demands);
+    let alone = simulate(&demands);
     demands.push(Demand {
         workspace: "flood",
         requests: 4,
-        every: 1,
+        interval: 1,
     });
-    let beside = play(&demands);
-    let in_time = |served: &HashMap<&str, Served>| -> usize {
-        others.iter().map(|name| served[name].in_time).sum()
+    let contended = simulate(&demands);
+    let in_time = |counts: &HashMap<&str, Counts>| -> usize {
+        others.iter().map(|name| counts[name].in_time).sum()
     };
     assert_eq!(in_time(&alone), 136);
-    assert!(in_time(&beside) * 4 >= in_time(&alone) * 3, "{beside:?}");
-    let of_all = beside["flood"].in_time + in_time(&beside);
-    assert!(of_all >= 240, "{of_all} of some 270 that engines can serve");
+    assert!(
+        in_time(&contended) * 4 >= in_time(&alone) * 3,
+        "{contended:?}"
+    );
+    let total = contended["flood"].in_time + in_time(&contended);
+    assert!(
+        total >= 240,
+        "{total} of about 270 that the engines can serve"
+    );
 }
 
-/// Shares hold nobody back while there is room for all.
+/// Shares must not limit a workspace while there is free capacity.
 #[test]
-fn a_workspace_alone_may_use_all_engines() {
+fn single_workspace_may_use_all_engines() {
     let mut rig = Rig::named("entry-1", 4);
     rig.workspace = WorkspaceTag::of("flood");
     for _ in 0..50 {
