--- a/crates/notchwalk_route/src/board.rs
+++ b/crates/notchwalk_route/src/board.rs
@@ -135,7 +135,7 @@
 }
 
 /// Maximum inter-token latency objective of short requests, in milliseconds.
-const SHORT_PAUSE_MS: f64 = 400.0;
+const SHORT_INTER_TOKEN_MS: f64 = 400.0;
 /// Remaining prefill time that counts as one fully used engine, in milliseconds: about the
 /// duration of a short response.
 const FULL_PREFILL_MS: f64 = 1_000.0;
@@ -249,13 +249,13 @@
                 let tightest = load.tightest_coming_pause_ms.min(work.pause_ms);
                 load.tightest_coming_pause_ms = tightest;
             }
-            if decodes && work.pause_ms <= SHORT_PAUSE_MS {
+            if decodes && work.pause_ms <= SHORT_INTER_TOKEN_MS {
                 load.short += 1;
             }
             match work.phase {
                 WorkPhase::Reading => {
                     load.readers += 1;
-                    load.own_long_reads += usize::from(work.pause_ms > SHORT_PAUSE_MS);
+                    load.own_long_reads += usize::from(work.pause_ms > SHORT_INTER_TOKEN_MS);
                 }
                 WorkPhase::Writing => {
                     load.writers += 1;
--- a/crates/notchwalk_route/src/fleet/server.rs
+++ b/crates/notchwalk_route/src/fleet/server.rs
@@ -28,7 +28,7 @@
 /// a server that hangs then delays one request at a time.
 const PROBE_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Time without failures after which the count of consecutive failures is reset.
+/// Time without observations after which the count of consecutive failures is reset.
 const FAILURE_RESET: Duration = Duration::from_secs(20);
 
 /// The stage that a server announces.
--- a/crates/notchwalk_route/src/fleet/shared_bucket.rs
+++ b/crates/notchwalk_route/src/fleet/shared_bucket.rs
@@ -24,7 +24,7 @@
 const MAX_TURN_WAIT: Duration = Duration::from_millis(300);
 /// Maximum number of nodes that use a server at a low rate: with more, turns would be too
 /// short, and several nodes would send before they receive each other's updates.
-const MIN_MAX_USERS: usize = 12;
+const BASE_MAX_USERS: usize = 12;
 /// The same per request per second. At a high rate an overdrawn bucket refills quickly.
 const MAX_USERS_PER_RPS: f64 = 4.0;
 /// How long a peer's demand counts after its last update.
@@ -92,7 +92,7 @@
     }
 
     fn max_users(&self) -> usize {
-        MIN_MAX_USERS.max((self.rate * MAX_USERS_PER_RPS) as usize)
+        BASE_MAX_USERS.max((self.rate * MAX_USERS_PER_RPS) as usize)
     }
 
     /// Returns the peers with demand for the server.
