--- a/crates/notchwalk_quarantine/examples/query_of_death.rs
+++ b/crates/notchwalk_quarantine/examples/query_of_death.rs
@@ -1,5 +1,5 @@
-//! A request that crashes the servers that run it comes again and again; one that ran
-//! beside it is left alone. `cargo run -p notchwalk_quarantine --example query_of_death`
+//! A request that repeatedly crashes its servers is quarantined; one that ran beside it is
+//! not. `cargo run -p notchwalk_quarantine --example query_of_death`
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
     let mut quarantine = Quarantine::default();
     let mut now = Instant::from_millis(3_600_000);
     for server in 1..=3 {
-        // Both ran on the server when its connections broke; a refused connection shows
+        // Both ran on the server when its connections broke. A refused connection confirms
         // that it ended.
         quarantine.note_broken(crashing, &[server], 1, false, now);
         if server == 1 {
@@ -35,5 +35,5 @@
             quarantine.verdict(crashing, now)
         );
     }
-    println!("what ran beside it: {:?}", quarantine.verdict(beside, now));
+    println!("request beside it: {:?}", quarantine.verdict(beside, now));
 }
--- a/crates/notchwalk_quarantine/src/error.rs
+++ b/crates/notchwalk_quarantine/src/error.rs
@@ -1,8 +1,8 @@
-//! The crate's error.
+//! Errors of the crate.
 
 use derive_more::{Display, Error};
 
-/// A text that is no fingerprint.
+/// The text of a fingerprint is malformed.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
-#[display("a fingerprint has 32 hexadecimal digits")]
+#[display("invalid fingerprint: expected 32 hexadecimal digits")]
 pub struct FingerprintError;
--- a/crates/notchwalk_quarantine/src/fingerprint.rs
+++ b/crates/notchwalk_quarantine/src/fingerprint.rs
@@ -1,8 +1,8 @@
-//! What makes two tries the same request, whoever sends them and wherever they
-//! arrive: the caller's workspace, the method, where it goes, and the body.
+//! Fingerprints of requests: two attempts with the same workspace, method, destination and
+//! body count as the same request, whichever node receives them.
 //!
-//! What a caller may change from try to try (its id, how long it waits, the last
-//! event that it has) is left out.
+//! Headers that a caller may change between attempts (the id, the timeout, the last event
+//! received) are not part of the fingerprint.
 
 use std::{fmt, str::FromStr};
 
@@ -10,10 +10,11 @@
 
 use crate::FingerprintError;
 
-/// Bytes of a fingerprint. Nobody finds a second request with the fingerprint of
-/// another workspace's one by trying.
+/// Length of a fingerprint, long enough that no caller can construct a request with the
+/// fingerprint of another workspace's request.
 const BYTES: usize = 16;
-/// Identifies a request's content, alike on all entries (BLAKE3, cut short).
+
+/// Identifies a request's content across nodes (a truncated BLAKE3 hash).
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -48,26 +49,26 @@
     }
 }
 
-/// What the head of a request says about its content.
+/// The parts of a request's head that identify its content.
 #[derive(Clone, Copy, Debug)]
 pub struct Content<'a> {
-    /// The workspace of the caller's key; `None` on a route that asks for none.
+    /// The workspace of the caller's key; `None` on a route that requires no key.
     pub workspace: Option<&'a str>,
-    /// The method.
+    /// The HTTP method.
     pub method: &'a str,
-    /// The host's name in lower case and without a port.
+    /// The host name in lower case, without a port.
     pub host: &'a str,
-    /// The path with its query.
+    /// The path and query.
     pub target: &'a str,
 }
 
-/// Takes a request's fingerprint while its body arrives piece by piece.
+/// Computes a request's fingerprint while its body is streamed.
 #[derive(Debug)]
 pub struct Fingerprinting(blake3::Hasher);
 
 impl Fingerprinting {
-    /// Begins with the head. The length of each part goes before it, so that no
-    /// two heads run together alike.
+    /// Starts with the head. Each part is prefixed with its length, so that different
+    /// heads never produce the same input.
     pub fn new(content: &Content<'_>) -> Self {
         let mut hasher = blake3::Hasher::new();
         hasher.update(&[u8::from(content.workspace.is_some())]);
@@ -84,12 +85,12 @@
         Self(hasher)
     }
 
-    /// Takes the next piece of the body.
-    pub fn update(&mut self, piece: &[u8]) {
-        self.0.update(piece);
+    /// Adds the next chunk of the body.
+    pub fn update(&mut self, chunk: &[u8]) {
+        self.0.update(chunk);
     }
 
-    /// Returns the fingerprint.
+    /// Returns the fingerprint of the head and the body so far.
     pub fn finish(&self) -> Fingerprint {
         let mut bytes = [0; BYTES];
         self.0.finalize_xof().fill(&mut bytes);
--- a/crates/notchwalk_quarantine/src/lib.rs
+++ b/crates/notchwalk_quarantine/src/lib.rs
@@ -1,50 +1,50 @@
-//! Finds requests that crash the servers that run them ("queries of death") and
-//! keeps them from further servers.
+//! Detects requests that crash the servers that run them ("queries of death") and keeps
+//! them away from further servers.
 //!
-//! A limit on the retries of one try bounds nothing here: such a request comes
-//! again, as a new try, at any entry. So what counts is kept by content, over
-//! all tries, and entries tell each other.
+//! A retry limit does not bound the damage, since callers send such a request again, to any
+//! node. Evidence is therefore collected by request content, over all attempts, and nodes
+//! exchange it.
 //!
-//! The difficulty is the other error, to turn away a request that is not at
-//! fault. Others run on a server when it ends; links are cut, connections reset,
-//! racks lost. What tells them apart:
+//! Requests that merely ran on a server when it failed must not be rejected. Servers also
+//! fail, connections are reset and racks lose power for other reasons. The rules:
 //!
-//! - a run that ends in success clears its content, wherever it ran;
-//! - a server that answers a request sent before the supposed crash has not
-//!   crashed;
-//! - a crash counts for a quarantine only once something else shows that the
-//!   server ended: its record is gone or of a new life, or it can't be reached;
-//! - servers lost at the same moment count as one, and half for who ran on some of them
-//!   only;
-//! - a crash that a quarantined request explains counts for nobody else;
-//! - servers lost meanwhile without the content ask for up to two moments more.
+//! - a successful run clears its content, on any node;
+//! - a server that answers a request sent before the suspected crash did not crash;
+//! - a crash counts towards a quarantine only once independent evidence shows that the
+//!   server ended: its registration is removed or belongs to a new incarnation, or it is
+//!   unreachable;
+//! - servers lost at the same time count as one incident, and as half an incident for
+//!   contents that did not run on all of them;
+//! - a crash attributed to a quarantined content does not count against other contents;
+//! - servers that are lost in the meantime without running the content raise the required
+//!   evidence by up to two incidents.
 //!
-//! Limitations: two requests that were at all three of each other's crashes are both
-//! quarantined; one that crashes only some servers is cleared by each good end; a body
-//! that is passed on unread has no fingerprint.
+//! Limitations: two contents that took part in all three of each other's crashes are both
+//! quarantined; a content that crashes only some servers is cleared by each successful run;
+//! a body that is forwarded without being read has no fingerprint.
 //!
 //! | file | what it holds |
 //! |---|---|
-//! | `fingerprint` | which tries are the same request |
-//! | `suspect` | what is known of one content |
-//! | `quarantine/` | all suspects of an entry, and the rules above |
-//! | `verdict` | what follows for a request, and what became known |
-//! | `news` | what entries tell each other of them |
-//! | `recent` | contents that lately ran to a good end |
+//! | `fingerprint` | the identity of a request's content |
+//! | `suspect` | the evidence against one content |
+//! | `quarantine/` | all suspects of a node, and the rules above |
+//! | `verdict` | verdicts on requests, and findings |
+//! | `update` | updates exchanged between nodes |
+//! | `recent` | contents that completed successfully a short time ago |
 
 mod error;
 mod fingerprint;
-mod news;
 mod quarantine;
 mod recent;
 mod suspect;
+mod update;
 mod verdict;
 
 pub mod prelude;
 
 pub use error::FingerprintError;
 pub use fingerprint::{Content, Fingerprint, Fingerprinting};
-pub use news::News;
 pub use quarantine::Quarantine;
 pub use suspect::Crash;
+pub use update::News;
 pub use verdict::{EndReason, Finding, Quarantined, SuspectView, Verdict};
--- a/crates/notchwalk_quarantine/src/prelude.rs
+++ b/crates/notchwalk_quarantine/src/prelude.rs
@@ -1,3 +1,3 @@
-//! What most users of this crate need.
+//! The commonly used types of this crate.
 
 pub use crate::{Content, Fingerprint, Fingerprinting, News, Quarantine, Verdict};
--- a/crates/notchwalk_quarantine/src/quarantine/background.rs
+++ b/crates/notchwalk_quarantine/src/quarantine/background.rs
@@ -1,62 +1,60 @@
-//! What else was lost while servers ended under a content: servers that fall without it
-//! speak for it.
+//! Raises the required evidence while servers are lost that did not run a content.
 //!
-//! Losses by themselves come in series: a rack whose power fails in parts, a release
-//! that goes wrong. A request that comes back some times and is on one of the lost
-//! servers each time looks like one at fault. So each server that was lost meanwhile,
-//! and that no content at fault explains, asks for half a moment more of proof.
+//! Independent losses come in series: a rack whose power fails in parts, or a faulty
+//! rollout. A request that is retried may run on one of the lost servers each time and look
+//! like their cause. Each other server that was lost in the meantime, and that is not
+//! attributed to another suspect, therefore raises the threshold by half an incident.
 
 use std::{collections::HashSet, time::Duration};
 
-use super::{judging::halves_allowed, Quarantine};
+use super::{judging::base_threshold, Quarantine};
 use crate::suspect::Suspect;
 
-/// The most that a doubt asks for, in halves of a moment. A content at fault costs two
-/// servers more among losses by themselves, five in all; the users' bound on sends
-/// after the third crash is three.
-const MOST_FURTHER_HALVES: u32 = 4;
-/// Servers lost without a content for each one lost under it, from which on chance may
-/// explain the latter. Fewer are the work of a second content at fault: two that came in
-/// crowds, each speaking for the other, cost 16 servers in place of 9.
-const OTHERS_FOR_ONE: usize = 2;
-/// How long before the first crash under a content other losses speak for it: records
-/// of servers that ran nothing lapse 3.5 s after their end.
-const SPEAK_BEFORE: Duration = Duration::from_secs(4);
+/// Limit on the extra score: two isolated incidents. A crashing content costs at most two
+/// servers more while unrelated servers are lost.
+const MAX_EXTRA_SCORE: u32 = 4;
+/// Ratio of unrelated losses to confirmed crashes of a content from which on chance may
+/// explain the crashes. Below it, the unrelated losses may be due to a second crashing
+/// content, and two such contents must not shield each other.
+const UNRELATED_PER_CRASH: usize = 2;
+/// How long before the first crash of a content unrelated losses count: the registration of
+/// an idle server expires 3.5 s after its end.
+const LOOKBACK: Duration = Duration::from_secs(4);
 
 impl Quarantine {
-    /// Returns the halves of a moment that prove a content's fault.
-    pub(super) fn halves_needed(&self, suspect: &Suspect) -> u32 {
-        halves_allowed(suspect) + self.further_halves(suspect)
+    /// Returns the score from which on a content is quarantined.
+    pub(super) fn threshold(&self, suspect: &Suspect) -> u32 {
+        base_threshold(suspect) + self.extra_score(suspect)
     }
 
-    fn further_halves(&self, suspect: &Suspect) -> u32 {
+    fn extra_score(&self, suspect: &Suspect) -> u32 {
         let Some(first) = suspect.crashes().first() else {
             return 0;
         };
-        // An entry that started since doesn't know what was lost before.
-        if self.knows_since.is_none_or(|since| first.at < since) {
-            return MOST_FURTHER_HALVES;
+        // Losses before this node started are unknown to it.
+        if self.observing_since.is_none_or(|since| first.at < since) {
+            return MAX_EXTRA_SCORE;
         }
-        let from = first.at.before(SPEAK_BEFORE);
-        let ended = self.ends.iter().filter(|(_, &at)| at >= from);
-        let explained = self.explained_servers();
-        let is_on = |server: u32| suspect.crashes().iter().any(|c| c.server == server);
-        let others = ended.filter(|(&server, _)| !is_on(server) && !explained.contains(&server));
+        let from = first.at.before(LOOKBACK);
+        let ended = self.ended_servers.iter().filter(|(_, &at)| at >= from);
+        let attributed = self.attributed_servers();
+        let ran_on = |server: u32| suspect.crashes().iter().any(|c| c.server == server);
+        let others = ended.filter(|(&server, _)| !ran_on(server) && !attributed.contains(&server));
         let others = others.count();
-        // What else went with the newest loss is known seconds later.
+        // Losses that accompany the latest crash are known only seconds later.
         let own = suspect.crashes().iter().filter(|c| c.confirmed).count();
-        if others < OTHERS_FOR_ONE * own.saturating_sub(1) {
+        if others < UNRELATED_PER_CRASH * own.saturating_sub(1) {
             return 0;
         }
-        u32::try_from(others).map_or(MOST_FURTHER_HALVES, |n| n.min(MOST_FURTHER_HALVES))
+        u32::try_from(others).map_or(MAX_EXTRA_SCORE, |n| n.min(MAX_EXTRA_SCORE))
     }
 
-    /// Returns the servers that ended under contents that were there at two moments or
-    /// more: they may be the work of these.
-    fn explained_servers(&self) -> HashSet<u32> {
+    /// Returns the servers lost by contents that are quarantined or had at least two
+    /// incidents, and that may be the cause.
+    fn attributed_servers(&self) -> HashSet<u32> {
         let suspects = self.suspects.values();
         let at_fault =
-            suspects.filter(|suspect| suspect.term.is_some() || suspect.moments().count() > 1);
+            suspects.filter(|suspect| suspect.period.is_some() || suspect.incidents().count() > 1);
         let crashes = at_fault.flat_map(|suspect| suspect.crashes());
         crashes.map(|crash| crash.server).collect()
     }
--- a/crates/notchwalk_quarantine/src/quarantine/mod.rs
+++ b/crates/notchwalk_quarantine/src/quarantine/mod.rs
@@ -1,96 +1,98 @@
-//! All suspects of one entry: what it sees of them, and what follows for their requests.
+//! All suspects of one node, and the verdicts on their requests.
 //!
 //! | file | what it holds |
 //! |---|---|
-//! | `evidence` | crashes: what confirms, explains and clears them |
-//! | `background` | what else was lost meanwhile, which speaks for a content |
-//! | `judging` | who is quarantined, for how long, and what is forgotten |
-//! | `telling` | what peers are told, and what they tell |
+//! | `background` | losses of unrelated servers, which raise the required evidence |
+//! | `evidence` | crashes: how they are confirmed, attributed and cleared |
+//! | `judging` | which contents are quarantined, for how long, and what expires |
+//! | `peers` | updates received from peers and rebroadcast to them |
 
 mod background;
 mod evidence;
 mod judging;
-mod telling;
+mod peers;
 
 use std::collections::HashMap;
 
 use notchwalk_core::Instant;
 
 use crate::{
-    news::{age_ms, News},
     recent::RecentSuccesses,
     suspect::{Crash, Runner, Suspect},
+    update::{age_ms, News},
     EndReason, Finding, Fingerprint, SuspectView, Verdict,
 };
-use judging::{halves_allowed, risk, RESTS_BETWEEN_FURTHER_RUNS};
+use judging::{base_threshold, risk, HOLD_AFTER_EXTRA_RUN};
 
-/// The suspects of one entry.
+/// The suspects of one node.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     suspects: HashMap<Fingerprint, Suspect>,
     recent: RecentSuccesses,
-    /// When servers were seen to have ended.
-    ends: HashMap<u32, Instant>,
-    news: Vec<News>,
+    /// Servers that ended, and when that was observed.
+    ended_servers: HashMap<u32, Instant>,
+    /// Updates to be published.
+    updates: Vec<News>,
     findings: Vec<Finding>,
-    /// When time was last looked at.
-    looked_at: Instant,
-    /// Since when this entry knows which servers end; `None` before it knows any.
-    knows_since: Option<Instant>,
+    last_tick: Instant,
+    /// Since when this node observes the ends of servers.
+    observing_since: Option<Instant>,
 }
 
 impl Quarantine {
-    /// Returns what follows for a request of this content.
+    /// Returns the verdict on requests of this content.
     pub fn verdict(&self, content: Fingerprint, now: Instant) -> Verdict {
         let Some(suspect) = self.suspects.get(&content) else {
             return Verdict::Free;
         };
-        if let Some(term) = suspect.term.filter(|term| now < term.until) {
-            return Verdict::Quarantined { until: term.until };
+        if let Some(period) = suspect.period.filter(|period| now < period.until) {
+            return Verdict::Quarantined {
+                until: period.until,
+            };
         }
-        let moments = suspect.moments();
-        if moments.count() == 0 {
+        let incidents = suspect.incidents();
+        if incidents.count() == 0 {
             return Verdict::Free;
         }
-        let halves = moments.halves();
-        let rests = now.since(suspect.last_crash()) < RESTS_BETWEEN_FURTHER_RUNS;
-        if halves >= self.halves_needed(suspect) || (halves >= halves_allowed(suspect) && rests) {
+        let score = incidents.score();
+        let is_resting = now.since(suspect.last_crash()) < HOLD_AFTER_EXTRA_RUN;
+        if score >= self.threshold(suspect) || (score >= base_threshold(suspect) && is_resting) {
             return Verdict::Held;
         }
         if suspect.is_running(now) && !self.recent.contains(content, now) {
             return Verdict::Busy;
         }
-        // One loss that struck others too says next to nothing.
-        if moments.alone == 0 && moments.shared < 2 {
+        // A single correlated incident is too weak as evidence.
+        if incidents.isolated == 0 && incidents.correlated < 2 {
             return Verdict::Free;
         }
         Verdict::Suspected {
-            risk: risk(suspect, moments),
+            risk: risk(suspect, incidents),
         }
     }
 
-    /// Notes that a request was sent to a server.
+    /// Records that a request was sent to a server.
     pub fn note_sent(&mut self, content: Fingerprint, now: Instant) {
         let Some(suspect) = self.suspects.get_mut(&content) else {
             return;
         };
-        suspect.begin_run(Runner::Own, now);
-        self.news.push(News::Running { content });
+        suspect.begin_run(Runner::Local, now);
+        self.updates.push(News::Running { content });
     }
 
-    /// Notes that a request left its server in a way that says nothing of it.
+    /// Records that a run ended without evidence for or against its content.
     pub fn note_idle(&mut self, content: Fingerprint) {
         let Some(suspect) = self.suspects.get_mut(&content) else {
             return;
         };
-        suspect.end_run(Runner::Own);
-        self.news.push(News::Idle { content });
+        suspect.end_run(Runner::Local);
+        self.updates.push(News::Idle { content });
     }
 
-    /// Notes that the connection to a server broke under a request. `servers` are
-    /// the one that it was sent to and those that read parts of it: any of them
-    /// may have ended. `others` is how many requests the first had besides;
-    /// `silent` that it said nothing, rather than that the connection ended.
+    /// Records that the connection to a server broke while it was running a request.
+    /// `servers` are the one that the request was sent to and its prefill workers: any of
+    /// them may have ended. `others` is the number of other requests on the first of them.
+    /// `silent` means that it stopped responding while the connection stayed open.
     pub fn note_broken(
         &mut self,
         content: Fingerprint,
@@ -107,12 +109,12 @@
                 others,
                 confirmed: false,
                 own: true,
-                shared: false,
-                checks: 0,
+                correlated: false,
+                probes: 0,
                 silent,
             };
             self.add(content, crash, now);
-            self.news.push(News::Crashed {
+            self.updates.push(News::Crashed {
                 content,
                 server,
                 age_ms: 0,
@@ -122,71 +124,69 @@
         }
     }
 
-    /// Notes that a request ran to a good end: its content crashes no servers.
+    /// Records a successful run, which clears the content.
     pub fn note_succeeded(&mut self, content: Fingerprint, now: Instant) {
         self.recent.note(content, now);
         if !self.suspects.contains_key(&content) {
             return;
         }
         self.clear(content, now, EndReason::Succeeded);
-        self.news.push(News::Succeeded { content, age_ms: 0 });
+        self.updates.push(News::Succeeded { content, age_ms: 0 });
     }
 
-    /// Notes that a server's end was seen. `told` says that peers may not see it
-    /// by themselves.
-    pub fn note_server_ended(&mut self, server: u32, told: bool, now: Instant) {
-        let matters = self.confirm(server, now);
-        if matters && told {
-            self.news.push(News::ServerEnded { server, age_ms: 0 });
+    /// Records that a server was observed to have ended. `publish` is set if peers may not
+    /// observe it themselves.
+    pub fn note_server_ended(&mut self, server: u32, publish: bool, now: Instant) {
+        let is_relevant = self.confirm(server, now);
+        if is_relevant && publish {
+            self.updates.push(News::ServerEnded { server, age_ms: 0 });
         }
     }
 
-    /// Notes that a server answered now what it was sent at `since`, on the same
-    /// connection: it has not crashed meanwhile.
+    /// Records that a server answered now, on the same connection, a request sent at
+    /// `since`: it did not crash in between.
     pub fn note_server_lived(&mut self, server: u32, since: Instant, now: Instant) {
-        if !self.void(server, since, now) {
+        if !self.refute(server, since, now) {
             return;
         }
-        self.news.push(News::ServerLived {
+        self.updates.push(News::ServerAlive {
             server,
             since_ms: age_ms(since, now),
             age_ms: 0,
         });
     }
 
-    /// Ends a quarantine at an operator's word; returns whether there was one.
+    /// Clears a content on behalf of an operator. Returns whether it was suspected.
     pub fn release(&mut self, content: Fingerprint, now: Instant) -> bool {
         let is_known = self.suspects.contains_key(&content);
         if is_known {
             self.clear(content, now, EndReason::Released);
-            self.news.push(News::Released { content, age_ms: 0 });
+            self.updates.push(News::Released { content, age_ms: 0 });
         }
         is_known
     }
 
-    /// Takes the servers of which it has to be checked now whether they still listen.
-    /// Without it a crash stays without confirmation while the store is away and
-    /// nothing else is sent to the server; then it was dropped, and a fourth server
-    /// crashed.
+    /// Takes the servers whose port is due for a probe. Probes confirm a crash while the
+    /// store is unavailable and no other request is sent to the server.
     pub fn take_checks(&mut self, now: Instant) -> Vec<u32> {
         let suspects = self.suspects.values_mut();
-        let mut due: Vec<u32> = suspects.flat_map(|s| s.take_checks(now)).collect();
+        let mut due: Vec<u32> = suspects.flat_map(|s| s.take_probes(now)).collect();
         due.sort_unstable();
         due.dedup();
         due
     }
 
-    /// Takes what peers are to be told at once.
+    /// Takes the updates to be published at once.
     pub fn take_news(&mut self) -> Vec<News> {
-        std::mem::take(&mut self.news)
+        std::mem::take(&mut self.updates)
     }
 
-    /// Tells whether there is anything to tell at once.
+    /// Tells whether there are updates to be published at once.
     pub fn has_news(&self) -> bool {
-        !self.news.is_empty()
+        !self.updates.is_empty()
     }
 
-    /// Takes what became known.
+    /// Takes the new findings.
     pub fn take_findings(&mut self) -> Vec<Finding> {
         std::mem::take(&mut self.findings)
     }
@@ -197,18 +197,18 @@
             content,
             crashes: suspect.crashes(),
             verdict: self.verdict(content, now),
-            times: suspect.times,
+            times: suspect.quarantine_count,
         });
         views.collect()
     }
 
-    /// Returns how many contents are quarantined.
+    /// Returns the number of quarantined contents.
     pub fn quarantined(&self, now: Instant) -> usize {
         let suspects = self.suspects.values();
         suspects.filter(|s| s.is_quarantined(now)).count()
     }
 
-    /// Tells whether a content has crashes to its name.
+    /// Tells whether a content is tracked as a suspect.
     pub fn is_suspect(&self, content: Fingerprint) -> bool {
         self.suspects.contains_key(&content)
     }
--- a/crates/notchwalk_quarantine/src/quarantine/telling.rs
+++ b/crates/notchwalk_quarantine/src/quarantine/peers.rs
@@ -1,32 +1,32 @@
-//! What peers are told of suspects, and what they tell.
+//! Updates received from peers, and updates rebroadcast to them.
 
 use std::time::Duration;
 
 use notchwalk_core::Instant;
 
-use super::{judging::LONGEST_QUARANTINE, Quarantine};
+use super::{judging::MAX_QUARANTINE, Quarantine};
 use crate::{
-    news::{age_ms, time_of, told_ms, News},
-    suspect::{Crash, Runner, Term},
+    suspect::{Crash, Period, Runner},
+    update::{age_ms, saturating_ms, time_of, News},
     EndReason, Fingerprint,
 };
 
-/// Facts told again at once, so that a datagram carries them.
-const MAX_RETOLD: usize = 24;
-/// How long a crash that was seen here is told again with each heartbeat: a lost
-/// datagram costs one heartbeat.
-const RETOLD_FOR: Duration = Duration::from_millis(1_200);
+/// Limit on the updates in one rebroadcast, so that they fit into a datagram.
+const MAX_REBROADCAST: usize = 24;
+/// How long each heartbeat repeats a crash that this node observed, since datagrams may be
+/// lost.
+const REBROADCAST_PERIOD: Duration = Duration::from_millis(1_200);
 
 impl Quarantine {
-    /// Takes what a peer told.
-    pub fn hear(&mut self, peer: u32, news: &[News], now: Instant) {
-        for &item in news {
-            self.hear_one(peer, item, now);
+    /// Applies the updates of a peer.
+    pub fn hear(&mut self, peer: u32, updates: &[News], now: Instant) {
+        for &update in updates {
+            self.apply_update(peer, update, now);
         }
     }
 
-    fn hear_one(&mut self, peer: u32, item: News, now: Instant) {
-        match item {
+    fn apply_update(&mut self, peer: u32, update: News, now: Instant) {
+        match update {
             News::Crashed {
                 content,
                 server,
@@ -41,8 +41,8 @@
                     others,
                     confirmed: false,
                     own: false,
-                    shared: false,
-                    checks: 0,
+                    correlated: false,
+                    probes: 0,
                     silent,
                 };
                 self.add(content, crash, now);
@@ -50,12 +50,12 @@
             News::ServerEnded { server, age_ms } => {
                 self.confirm(server, time_of(age_ms, now));
             }
-            News::ServerLived {
+            News::ServerAlive {
                 server,
                 since_ms,
                 age_ms,
             } => {
-                self.void(server, time_of(since_ms, now), time_of(age_ms, now));
+                self.refute(server, time_of(since_ms, now), time_of(age_ms, now));
             }
             News::Succeeded { content, age_ms } | News::Released { content, age_ms } => {
                 self.clear(content, time_of(age_ms, now), EndReason::Told);
@@ -77,61 +77,61 @@
                 times,
             } => {
                 let left = Duration::from_millis(left_ms.into());
-                let term = Term {
+                let period = Period {
                     since: time_of(age_ms, now),
-                    until: now.after(left.min(LONGEST_QUARANTINE)),
+                    until: now.after(left.min(MAX_QUARANTINE)),
                 };
-                self.put_in_quarantine(content, term, times, false, now);
+                self.put_in_quarantine(content, period, times, false, now);
             }
         }
     }
 
-    /// Forgets what a peer that is gone has running.
+    /// Ends the runs of a peer that is no longer a member.
     pub fn forget_peer(&mut self, peer: u32) {
         for suspect in self.suspects.values_mut() {
             suspect.end_run(Runner::Peer(peer));
         }
     }
 
-    /// Takes a quarantine as the store kept it.
+    /// Restores a quarantine from the store.
     pub fn restore(&mut self, content: Fingerprint, left: Duration, times: u32, now: Instant) {
-        let term = Term {
+        let period = Period {
             since: now,
-            until: now.after(left.min(LONGEST_QUARANTINE)),
+            until: now.after(left.min(MAX_QUARANTINE)),
         };
-        self.put_in_quarantine(content, term, times, false, now);
+        self.put_in_quarantine(content, period, times, false, now);
     }
 
-    /// Returns what is told again: quarantines, and crashes that were just seen
-    /// here. `whole` adds older crashes of suspects that may soon be quarantined,
-    /// for entries that just started.
+    /// Returns the updates to rebroadcast: crashes that this node observed a short time ago.
+    /// With `whole`, also the quarantines, and older crashes of suspects with several
+    /// incidents, for nodes that just started.
     pub fn retold(&self, whole: bool, now: Instant) -> Vec<News> {
-        let mut retold = Vec::new();
+        let mut updates = Vec::new();
         for (&content, suspect) in &self.suspects {
             if !whole {
                 break;
             }
-            let Some(term) = suspect.term.filter(|term| now < term.until) else {
+            let Some(period) = suspect.period.filter(|period| now < period.until) else {
                 continue;
             };
-            retold.push(News::Quarantined {
+            updates.push(News::Quarantined {
                 content,
-                age_ms: age_ms(term.since, now),
-                left_ms: told_ms(term.until.since(now)),
-                times: suspect.times,
+                age_ms: age_ms(period.since, now),
+                left_ms: saturating_ms(period.until.since(now)),
+                times: suspect.quarantine_count,
             });
         }
         for (&content, suspect) in &self.suspects {
             if suspect.is_quarantined(now) {
                 continue;
             }
-            let many = whole && suspect.moments().count() > 1;
+            let repeated = whole && suspect.incidents().count() > 1;
             for crash in suspect.crashes() {
-                let fresh = crash.own && now.since(crash.at) < RETOLD_FOR;
-                if !fresh && !many {
+                let recent = crash.own && now.since(crash.at) < REBROADCAST_PERIOD;
+                if !recent && !repeated {
                     continue;
                 }
-                retold.push(News::Crashed {
+                updates.push(News::Crashed {
                     content,
                     server: crash.server,
                     age_ms: age_ms(crash.at, now),
@@ -140,7 +140,7 @@
                 });
             }
         }
-        retold.truncate(MAX_RETOLD);
-        retold
+        updates.truncate(MAX_REBROADCAST);
+        updates
     }
 }
--- a/crates/notchwalk_quarantine/src/recent.rs
+++ b/crates/notchwalk_quarantine/src/recent.rs
@@ -1,5 +1,5 @@
-//! Contents that lately ran to a good end: popular ones are known as harmless
-//! before anything is held against them.
+//! Contents that completed successfully a short time ago. Popular contents are thus known
+//! to be harmless before a server crashes while running them.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -10,26 +10,26 @@
 
 use crate::Fingerprint;
 
-/// Contents kept: 15 s of what one entry serves at the size aimed at, 66 requests
-/// a second; 50 KB.
-const KEPT: usize = 1_024;
-/// How long a good end speaks for a content.
-const SPEAKS_FOR: Duration = Duration::from_secs(15);
+/// Limit on the retained contents: 15 s of one node's traffic at 66 requests per second,
+/// in about 50 KB.
+const CAPACITY: usize = 1_024;
+/// How long a success counts in favour of a content.
+const RETENTION: Duration = Duration::from_secs(15);
 
-/// The newest good ends, a bounded number.
+/// A bounded set of the latest successes.
 #[derive(Debug, Default)]
 pub(crate) struct RecentSuccesses {
     at: HashMap<Fingerprint, Instant>,
-    /// Oldest first; a content that ended well again stands in it again.
+    /// Oldest first. A content has one item for each of its successes.
     order: VecDeque<(Fingerprint, Instant)>,
 }
 
 impl RecentSuccesses {
-    /// Notes a good end.
+    /// Records a success.
     pub fn note(&mut self, content: Fingerprint, now: Instant) {
         self.at.insert(content, now);
         self.order.push_back((content, now));
-        if self.order.len() <= KEPT {
+        if self.order.len() <= CAPACITY {
             return;
         }
         let Some((oldest, at)) = self.order.pop_front() else {
@@ -40,9 +40,9 @@
         }
     }
 
-    /// Tells whether a content ran to a good end lately.
+    /// Tells whether a content succeeded within the retention period.
     pub fn contains(&self, content: Fingerprint, now: Instant) -> bool {
         let at = self.at.get(&content);
-        at.is_some_and(|&at| now.since(at) < SPEAKS_FOR)
+        at.is_some_and(|&at| now.since(at) < RETENTION)
     }
 }
--- a/crates/notchwalk_quarantine/src/suspect.rs
+++ b/crates/notchwalk_quarantine/src/suspect.rs
@@ -1,59 +1,57 @@
-//! What is known of one content under which servers seem to have crashed.
+//! Crash evidence against one request content.
 
 use std::time::Duration;
 
 use notchwalk_core::Instant;
 
-/// Crashes within this time count as one: a rack that is lost, or an entry's
-/// connections that are reset, strike at one moment, and entries notice it within
-/// 15 ms of each other.
-const SAME_MOMENT: Duration = Duration::from_millis(50);
-/// Servers lost within this time may have one cause: entries notice a loss within
-/// 15 ms of each other. Longer, and two requests that crash servers would often be
-/// taken for a common cause.
-const LOST_TOGETHER: Duration = Duration::from_millis(25);
-/// Reports of one crash, told again or by several entries, differ by less.
-const SAME_REPORT: Duration = Duration::from_millis(60);
-/// Crashes kept of one content: those of a prompt that 17 engines read, any of
-/// which may be the one that ended, and some more.
+/// Crashes within this time belong to one incident: the loss of a rack or a reset of
+/// many connections is observed at slightly different times.
+const INCIDENT_WINDOW: Duration = Duration::from_millis(50);
+/// Servers lost within this time may have a common cause. A longer window would merge
+/// independent crashes caused by two different requests.
+const CORRELATION_WINDOW: Duration = Duration::from_millis(25);
+/// Repeated or duplicate reports of one crash differ by less than this time.
+const DUPLICATE_REPORT_WINDOW: Duration = Duration::from_millis(60);
+/// Limit on the crashes retained for one content. A prompt may be spread over 17 engines,
+/// each of which may be the one that ended.
 const MAX_CRASHES: usize = 24;
-/// How long after a crash it is checked whether the server still listens: at once,
-/// since it may soon be back, and again, since its port may close late.
-const CHECKED_AFTER: [Duration; 3] = [
+/// Delays after a crash at which the server's port is probed. A restarted server may
+/// listen again soon, and the port of a dying one may close late.
+const PROBE_DELAYS: [Duration; 3] = [
     Duration::ZERO,
     Duration::from_millis(100),
     Duration::from_millis(400),
 ];
-/// How long a run of a peer is believed in at most: word of its end can get lost.
-const RUN_LASTS: Duration = Duration::from_secs(3);
+/// Time after which a run reported by a peer expires: the update that ends it may be lost.
+const PEER_RUN_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A server that seems to have ended under a request.
+/// A suspected crash of a server that was running a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Crash {
-    /// The short id of that life of the server.
+    /// The short id of the server's incarnation.
     pub server: u32,
-    /// When its connection broke.
+    /// When the connection broke.
     pub at: Instant,
-    /// Requests that ran there besides.
+    /// Number of other requests running on the server.
     pub others: u16,
-    /// Whether something else shows that the server ended.
+    /// Whether independent evidence shows that the server ended.
     pub confirmed: bool,
-    /// Whether this entry saw it itself.
+    /// Whether this node observed the crash itself.
     pub own: bool,
-    /// Whether other servers were lost at the same moment on which the content did
-    /// not run: then something else struck them all.
-    pub shared: bool,
-    /// How often it was checked whether the server still listens.
-    pub checks: u8,
-    /// Whether the server only fell silent: that says nothing unless its end is
-    /// confirmed, since servers that are busy do so far more often.
+    /// Whether servers that did not run the content were lost at the same time, which
+    /// indicates a common cause.
+    pub correlated: bool,
+    /// Number of probes of the server's port so far.
+    pub probes: u8,
+    /// Whether the server stopped responding while its connection stayed open. Busy
+    /// servers do so too, so such a crash counts only once it is confirmed.
     pub silent: bool,
 }
 
-/// Who has a run in flight: this entry, or a peer by its number here.
+/// The node that has a run in flight: this one, or a peer by its local number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Runner {
-    Own,
+    Local,
     Peer(u32),
 }
 
@@ -63,62 +61,62 @@
     since: Instant,
 }
 
-/// A quarantine in force.
+/// The period of a quarantine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Term {
+pub(crate) struct Period {
     pub since: Instant,
     pub until: Instant,
 }
 
-/// One content.
+/// The evidence against one content.
 #[derive(Debug, Default)]
 pub(crate) struct Suspect {
     /// Ordered by time.
     crashes: Vec<Crash>,
-    /// Crashes up to this time count no more.
+    /// Crashes up to this time are ignored.
     pub cleared_at: Instant,
-    pub term: Option<Term>,
-    /// How often it was quarantined.
-    pub times: u32,
-    /// Until when that counts.
-    pub times_until: Instant,
+    pub period: Option<Period>,
+    /// Number of quarantines so far.
+    pub quarantine_count: u32,
+    /// When `quarantine_count` expires.
+    pub count_expires_at: Instant,
     runs: Vec<Run>,
 }
 
-/// Tells whether two crashes may have one cause.
-fn is_same_moment(a: Instant, b: Instant) -> bool {
-    a.since(b).max(b.since(a)) < LOST_TOGETHER
+/// Tells whether two crashes may have a common cause.
+fn may_be_correlated(a: Instant, b: Instant) -> bool {
+    a.since(b).max(b.since(a)) < CORRELATION_WINDOW
 }
 
-/// Moments at which servers were lost under a content.
+/// Counts the incidents in which a content lost servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Moments {
-    /// Those at which no other server was lost.
-    pub alone: u32,
-    /// Those at which others were lost too.
-    pub shared: u32,
-    /// Those of the first at which a server's end is confirmed.
-    pub alone_confirmed: u32,
-    /// The same of the second.
-    pub shared_confirmed: u32,
+pub(crate) struct Incidents {
+    /// Incidents in which no unrelated server was lost.
+    pub isolated: u32,
+    /// Incidents in which unrelated servers were lost too.
+    pub correlated: u32,
+    /// Isolated incidents with a confirmed crash.
+    pub isolated_confirmed: u32,
+    /// Correlated incidents with a confirmed crash.
+    pub correlated_confirmed: u32,
 }
 
-impl Moments {
-    /// Returns how much speaks against the content, in halves of a moment. One at which
-    /// others were lost too counts half: a request and its returns are not caught by that
-    /// many losses, but two that crash servers often enough do so at one moment.
-    pub fn halves(self) -> u32 {
-        2 * self.alone + self.shared
+impl Incidents {
+    /// Returns the score against the content: 2 for each isolated incident and 1 for each
+    /// correlated one. A correlated incident is weak evidence, but two contents that crash
+    /// servers often do so at the same time.
+    pub fn score(self) -> u32 {
+        2 * self.isolated + self.correlated
     }
 
-    /// Returns the same of what is confirmed.
-    pub fn confirmed_halves(self) -> u32 {
-        2 * self.alone_confirmed + self.shared_confirmed
+    /// Returns the score of the confirmed incidents.
+    pub fn confirmed_score(self) -> u32 {
+        2 * self.isolated_confirmed + self.correlated_confirmed
     }
 
-    /// Returns all moments.
+    /// Returns the number of incidents.
     pub fn count(self) -> u32 {
-        self.alone + self.shared
+        self.isolated + self.correlated
     }
 }
 
@@ -127,17 +125,17 @@
         &self.crashes
     }
 
-    /// Adds a crash; returns whether it was not known.
+    /// Adds a crash. Returns whether it was new.
     pub fn add(&mut self, crash: Crash) -> bool {
         if crash.at <= self.cleared_at {
             return false;
         }
         let mut known = self.crashes.iter_mut();
         if let Some(known) = known.find(|known| known.server == crash.server) {
-            // A life ends once; connections that break later were to a dead server.
-            // One that was thought to have ended, as it read a part for another
-            // engine, and then crashed, did so now.
-            let is_later = !known.confirmed && crash.at.since(known.at) >= SAME_REPORT;
+            // An incarnation ends once: later broken connections were to a server that had
+            // already ended. An unconfirmed crash may have been a false alarm, for example
+            // of a prefill worker; then the later one is the crash.
+            let is_later = !known.confirmed && crash.at.since(known.at) >= DUPLICATE_REPORT_WINDOW;
             if is_later {
                 known.at = crash.at;
             }
@@ -149,19 +147,18 @@
         self.crashes.push(crash);
         self.crashes.sort_by_key(|crash| crash.at);
         if self.crashes.len() > MAX_CRASHES {
-            self.drop_one();
+            self.evict_one();
         }
         true
     }
 
-    /// Drops the oldest crash without confirmation, or else the oldest.
-    fn drop_one(&mut self) {
+    /// Evicts the oldest unconfirmed crash, or the oldest if all are confirmed.
+    fn evict_one(&mut self) {
         let unconfirmed = self.crashes.iter().position(|crash| !crash.confirmed);
         self.crashes.remove(unconfirmed.unwrap_or(0));
     }
 
-    /// Marks the crash of a server as confirmed that lies before `seen`; returns when
-    /// it was.
+    /// Confirms the crash of a server if it is not later than `seen`. Returns its time.
     pub fn confirm(&mut self, server: u32, seen: Instant) -> Option<Instant> {
         let mut crashes = self.crashes.iter_mut();
         let crash = crashes.find(|crash| crash.server == server && crash.at <= seen)?;
@@ -169,65 +166,68 @@
         Some(crash.at)
     }
 
-    /// Sets whether other servers were lost at the moment of a crash.
-    pub fn set_shared(&mut self, at: Instant, shared: bool) {
+    /// Sets whether unrelated servers were lost together with the crashes around `at`.
+    pub fn set_correlated(&mut self, at: Instant, correlated: bool) {
         for crash in &mut self.crashes {
-            if is_same_moment(crash.at, at) {
-                crash.shared = shared;
+            if may_be_correlated(crash.at, at) {
+                crash.correlated = correlated;
             }
         }
     }
 
-    /// Returns the crashes at one moment.
+    /// Returns the crashes around `at`.
     pub fn crashes_at(&self, at: Instant) -> impl Iterator<Item = &Crash> {
         let crashes = self.crashes.iter();
-        crashes.filter(move |crash| is_same_moment(crash.at, at))
+        crashes.filter(move |crash| may_be_correlated(crash.at, at))
     }
 
-    /// Returns servers to be checked now, whether they still listen.
-    pub fn take_checks(&mut self, now: Instant) -> Vec<u32> {
+    /// Returns the servers whose port is due for a probe, and counts the probe.
+    pub fn take_probes(&mut self, now: Instant) -> Vec<u32> {
         let mut due = Vec::new();
         for crash in &mut self.crashes {
-            let next = CHECKED_AFTER.get(usize::from(crash.checks));
+            let next = PROBE_DELAYS.get(usize::from(crash.probes));
             let is_due = next.is_some_and(|&after| now.since(crash.at) >= after);
             if crash.own && !crash.confirmed && is_due {
-                crash.checks += 1;
+                crash.probes += 1;
                 due.push(crash.server);
             }
         }
         due
     }
 
-    /// Keeps the crashes that `keep` says; returns whether any was dropped.
+    /// Retains the crashes for which `keep` returns true. Returns whether any was removed.
     pub fn retain(&mut self, keep: impl Fn(&Crash) -> bool) -> bool {
         let before = self.crashes.len();
         self.crashes.retain(keep);
         self.crashes.len() < before
     }
 
-    /// Forgets what lies before a run that ended well, or an operator's release.
+    /// Clears the evidence up to a successful run or an operator's release.
     pub fn clear(&mut self, at: Instant) {
         self.cleared_at = self.cleared_at.max(at);
         self.crashes.retain(|crash| crash.at > at);
-        if self.term.is_some_and(|term| term.since <= at) {
-            self.term = None;
-            self.times = 0;
+        if self.period.is_some_and(|period| period.since <= at) {
+            self.period = None;
+            self.quarantine_count = 0;
         }
     }
 
-    pub fn moments(&self) -> Moments {
-        let mut moments = Moments::default();
+    pub fn incidents(&self) -> Incidents {
+        let mut incidents = Incidents::default();
         let mut began: Option<Instant> = None;
         let mut is_confirmed = false;
         for crash in &self.crashes {
             if crash.silent && !crash.confirmed {
                 continue;
             }
-            let (all, confirmed) = match crash.shared {
-                true => (&mut moments.shared, &mut moments.shared_confirmed),
-                false => (&mut moments.alone, &mut moments.alone_confirmed),
+            let (all, confirmed) = match crash.correlated {
+                true => (
+                    &mut incidents.correlated,
+                    &mut incidents.correlated_confirmed,
+                ),
+                false => (&mut incidents.isolated, &mut incidents.isolated_confirmed),
             };
-            let same = began.is_some_and(|began| crash.at.since(began) < SAME_MOMENT);
+            let same = began.is_some_and(|began| crash.at.since(began) < INCIDENT_WINDOW);
             if !same {
                 began = Some(crash.at);
                 is_confirmed = false;
@@ -238,7 +238,7 @@
                 *confirmed += 1;
             }
         }
-        moments
+        incidents
     }
 
     pub fn last_crash(&self) -> Instant {
@@ -254,13 +254,14 @@
         self.runs.retain(|run| run.runner != runner);
     }
 
-    /// Tells whether a request of this content is running somewhere.
+    /// Tells whether any node is running a request of this content.
     pub fn is_running(&self, now: Instant) -> bool {
-        let lasts = |run: &Run| run.runner == Runner::Own || now.since(run.since) < RUN_LASTS;
-        self.runs.iter().any(lasts)
+        let is_current =
+            |run: &Run| run.runner == Runner::Local || now.since(run.since) < PEER_RUN_TIMEOUT;
+        self.runs.iter().any(is_current)
     }
 
     pub fn is_quarantined(&self, now: Instant) -> bool {
-        self.term.is_some_and(|term| now < term.until)
+        self.period.is_some_and(|period| now < period.until)
     }
 }
--- a/crates/notchwalk_quarantine/src/verdict.rs
+++ b/crates/notchwalk_quarantine/src/verdict.rs
@@ -1,4 +1,4 @@
-//! What follows for a request, and what became known of contents.
+//! Verdicts on requests, and findings about contents.
 
 use std::time::Duration;
 
@@ -6,21 +6,21 @@
 
 use crate::{Crash, Fingerprint};
 
-/// What follows for a request of a content.
+/// Decides whether requests of a content may run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
-    /// Nothing is known against it.
+    /// There is no evidence against it.
     Free,
-    /// It may run, where it does least harm.
+    /// It may run, preferably where a crash affects the fewest requests.
     Suspected {
-        /// How likely it crashes its server, 0 to 1.
+        /// The estimated probability that it crashes its server, 0 to 1.
         risk: f64,
     },
-    /// It may run once another run of the same content has ended.
+    /// It may run once the current run of the same content has ended.
     Busy,
-    /// It may not run until it is known whether servers ended under it.
+    /// It may not run until its latest crashes are confirmed or ruled out.
     Held,
-    /// It may not run before this time.
+    /// It may not run while it is quarantined.
     Quarantined {
         /// When the quarantine ends.
         until: Instant,
@@ -30,37 +30,37 @@
 /// A content that was just quarantined.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Quarantined {
-    /// The content.
+    /// The quarantined content.
     pub content: Fingerprint,
-    /// The crashes that speak against it, as far as they are known here.
+    /// The crashes known to this node for which it is quarantined.
     pub crashes: Vec<Crash>,
-    /// How long it lasts.
+    /// The duration of the quarantine.
     pub lasts: Duration,
-    /// How often it was quarantined, this time included.
+    /// Number of quarantines so far, including this one.
     pub times: u32,
-    /// Whether this entry declared it; otherwise a peer did.
+    /// Whether this node declared it; otherwise it was received from a peer or restored.
     pub own: bool,
 }
 
-/// What became known, for logs, figures and the store.
+/// A new finding, to be logged, counted in metrics and persisted in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Finding {
-    /// A server seems to have crashed under a request of this entry.
+    /// A server appears to have crashed while running a request of this node.
     Crashed {
         /// The request's content.
         content: Fingerprint,
         /// The crash.
         crash: Crash,
-        /// Separate moments so far.
+        /// Number of separate incidents so far.
         moments: u32,
     },
-    /// A content is sent to no server for a while.
+    /// A content was quarantined.
     Quarantined(Quarantined),
-    /// Nothing is held any more against a content that was quarantined.
+    /// A quarantine ended.
     Ended {
         /// The content.
         content: Fingerprint,
-        /// Why.
+        /// Why it ended.
         reason: EndReason,
     },
 }
@@ -68,25 +68,25 @@
 /// Why a quarantine ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndReason {
-    /// Its time was over.
+    /// It expired.
     Lapsed,
-    /// A run ended well, here.
+    /// A run on this node succeeded.
     Succeeded,
-    /// An operator said so, here.
+    /// An operator released it on this node.
     Released,
-    /// A peer told of one of the two.
+    /// A peer reported a successful run or a release.
     Told,
 }
 
-/// A suspect, for operators.
+/// The state of a suspect, for operators.
 #[derive(Clone, Debug)]
 pub struct SuspectView<'a> {
-    /// Its content.
+    /// The content.
     pub content: Fingerprint,
-    /// The crashes that speak against it.
+    /// The crashes attributed to it.
     pub crashes: &'a [Crash],
-    /// What follows for it.
+    /// The current verdict.
     pub verdict: Verdict,
-    /// How often it was quarantined.
+    /// Number of quarantines so far.
     pub times: u32,
 }
--- a/crates/notchwalk_quarantine/tests/convergence.rs
+++ b/crates/notchwalk_quarantine/tests/convergence.rs
@@ -1,5 +1,4 @@
-//! Entries that hear each other's news late, twice, out of order or in part agree in
-//! the end.
+//! Nodes converge although updates are delayed, duplicated, reordered or lost.
 
 use std::time::Duration;
 
@@ -10,126 +9,127 @@
     test_runner::{Config, RngAlgorithm, TestRng, TestRunner},
 };
 
-const ENTRIES: usize = 3;
+const NODES: usize = 3;
 const CONTENTS: u128 = 4;
 
-/// One thing that happens.
+/// An operation on the cluster.
 #[derive(Clone, Debug)]
-enum Act {
-    /// A server's connection breaks under a content, and its end may be seen.
+enum Op {
+    /// The connection to a server breaks while it runs a content, and its end may be
+    /// observed.
     Crash {
-        entry: usize,
+        node: usize,
         content: u128,
         confirmed: bool,
     },
-    /// A content runs to a good end.
+    /// A run of a content succeeds.
     Succeed {
-        entry: usize,
+        node: usize,
         content: u128,
     },
-    /// An entry's latest news reach another, or get lost.
-    Tell {
+    /// Delivers a node's pending updates to another, or loses them.
+    Deliver {
         from: usize,
         to: usize,
         lost: bool,
-        twice: bool,
+        duplicated: bool,
     },
-    Pass(u64),
+    Advance(u64),
 }
 
-fn act() -> impl Strategy<Value = Act> {
+fn op() -> impl Strategy<Value = Op> {
     prop_oneof![
-        3 => (0..ENTRIES, 0..CONTENTS, any::<bool>()).prop_map(|(entry, content, confirmed)| {
-            Act::Crash { entry, content, confirmed }
+        3 => (0..NODES, 0..CONTENTS, any::<bool>()).prop_map(|(node, content, confirmed)| {
+            Op::Crash { node, content, confirmed }
         }),
-        1 => (0..ENTRIES, 1..CONTENTS).prop_map(|(entry, content)| Act::Succeed { entry, content }),
-        4 => (0..ENTRIES, 0..ENTRIES, any::<bool>(), any::<bool>()).prop_map(|(from, to, lost, twice)| {
-            Act::Tell { from, to, lost, twice }
+        1 => (0..NODES, 1..CONTENTS).prop_map(|(node, content)| Op::Succeed { node, content }),
+        4 => (0..NODES, 0..NODES, any::<bool>(), any::<bool>()).prop_map(|(from, to, lost, duplicated)| {
+            Op::Deliver { from, to, lost, duplicated }
         }),
-        2 => (1_u64..900).prop_map(Act::Pass),
+        2 => (1_u64..900).prop_map(Op::Advance),
     ]
 }
 
-struct World {
-    entries: Vec<Quarantine>,
+struct Cluster {
+    nodes: Vec<Quarantine>,
     now: Instant,
-    /// Each crash is of another server.
+    /// Servers that have crashed; each crash is of another one.
     servers: u32,
 }
 
-impl World {
+impl Cluster {
     fn new() -> Self {
         Self {
-            entries: (0..ENTRIES).map(|_| Quarantine::default()).collect(),
+            nodes: (0..NODES).map(|_| Quarantine::default()).collect(),
             now: Instant::from_millis(3_600_000),
             servers: 0,
         }
     }
 
-    fn act(&mut self, act: Act) {
-        match act {
-            Act::Crash {
-                entry,
+    fn apply(&mut self, op: Op) {
+        match op {
+            Op::Crash {
+                node,
                 content,
                 confirmed,
             } => {
                 let content = Fingerprint::from(content);
-                let verdict = self.entries[entry].verdict(content, self.now);
+                let verdict = self.nodes[node].verdict(content, self.now);
                 if matches!(verdict, Verdict::Quarantined { .. } | Verdict::Held) {
                     return;
                 }
                 self.servers += 1;
                 let server = self.servers;
-                self.entries[entry].note_sent(content, self.now);
-                self.entries[entry].note_broken(content, &[server], 3, false, self.now);
-                for quarantine in self.entries.iter_mut().filter(|_| confirmed) {
+                self.nodes[node].note_sent(content, self.now);
+                self.nodes[node].note_broken(content, &[server], 3, false, self.now);
+                for quarantine in self.nodes.iter_mut().filter(|_| confirmed) {
                     quarantine.note_server_ended(server, false, self.now);
                 }
             }
-            Act::Succeed { entry, content } => {
+            Op::Succeed { node, content } => {
                 let content = Fingerprint::from(content);
-                self.entries[entry].note_succeeded(content, self.now);
+                self.nodes[node].note_succeeded(content, self.now);
             }
-            Act::Tell {
+            Op::Deliver {
                 from,
                 to,
                 lost,
-                twice,
+                duplicated,
             } => {
-                let news = self.entries[from].take_news();
+                let updates = self.nodes[from].take_news();
                 if lost || from == to {
                     return;
                 }
-                let reversed: Vec<News> = news.iter().rev().copied().collect();
-                self.entries[to].hear(from as u32, &reversed, self.now);
-                if twice {
-                    self.entries[to].hear(from as u32, &news, self.now);
+                let reversed: Vec<News> = updates.iter().rev().copied().collect();
+                self.nodes[to].hear(from as u32, &reversed, self.now);
+                if duplicated {
+                    self.nodes[to].hear(from as u32, &updates, self.now);
                 }
             }
-            Act::Pass(ms) => self.pass(ms),
+            Op::Advance(ms) => self.advance(ms),
         }
     }
 
-    fn pass(&mut self, ms: u64) {
+    fn advance(&mut self, ms: u64) {
         self.now = self.now.after(Duration::from_millis(ms));
-        for quarantine in &mut self.entries {
+        for quarantine in &mut self.nodes {
             quarantine.pass_time(self.now);
         }
     }
 
-    /// Lets heartbeats tell everything, some times.
+    /// Exchanges complete rebroadcasts several times.
     fn settle(&mut self) {
         for _ in 0..40 {
-            self.pass(250);
-            let told: Vec<Vec<News>> = self
-                .entries
+            self.advance(250);
+            let rebroadcasts: Vec<Vec<News>> = self
+                .nodes
                 .iter()
                 .map(|quarantine| quarantine.retold(true, self.now))
                 .collect();
-            for (from, news) in told.iter().enumerate() {
-                for (to, quarantine) in self.entries.iter_mut().enumerate() {
+            for (from, updates) in rebroadcasts.iter().enumerate() {
+                for (to, quarantine) in self.nodes.iter_mut().enumerate() {
                     if from != to {
-                        quarantine.hear(from as u32, news, self.now);
+                        quarantine.hear(from as u32, updates, self.now);
                     }
                 }
             }
@@ -138,16 +138,16 @@
 
     fn quarantined(&self, content: u128) -> Vec<bool> {
         let content = Fingerprint::from(content);
-        let verdicts = self.entries.iter().map(|q| q.verdict(content, self.now));
+        let verdicts = self.nodes.iter().map(|q| q.verdict(content, self.now));
         verdicts
             .map(|verdict| matches!(verdict, Verdict::Quarantined { .. }))
             .collect()
     }
 }
 
-/// The content 0 never ends well; the others do now and then.
+/// Guards against nodes that disagree for good. Content 0 never succeeds; the others may.
 #[test]
-fn entries_agree_on_what_is_quarantined() {
+fn nodes_agree_on_quarantines() {
     let config = Config {
         cases: 600,
         failure_persistence: None,
@@ -155,17 +155,17 @@
     };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[5; 32]);
     let mut runner = TestRunner::new_with_rng(config, rng);
-    let acts = prop::collection::vec(act(), 1..80);
-    let result = runner.run(&acts, |acts| {
-        let mut world = World::new();
-        for act in acts {
-            world.act(act);
+    let ops = prop::collection::vec(op(), 1..80);
+    let result = runner.run(&ops, |ops| {
+        let mut cluster = Cluster::new();
+        for op in ops {
+            cluster.apply(op);
         }
-        world.settle();
-        let bad = world.quarantined(0);
+        cluster.settle();
+        let bad = cluster.quarantined(0);
         prop_assert!(
             bad.iter().all(|&q| q == bad[0]),
-            "they disagree about the content that crashes servers: {bad:?}"
+            "nodes disagree about the crashing content: {bad:?}"
         );
         Ok(())
     });
--- a/crates/notchwalk_quarantine/tests/fingerprints.rs
+++ b/crates/notchwalk_quarantine/tests/fingerprints.rs
@@ -1,4 +1,4 @@
-//! Which tries count as the same request.
+//! Which requests have the same fingerprint.
 
 use notchwalk_quarantine::{Content, Fingerprint, Fingerprinting};
 
@@ -9,16 +9,16 @@
     target: "/short/1?page=2",
 };
 
-fn fingerprint(content: &Content<'_>, pieces: &[&str]) -> Fingerprint {
+fn fingerprint(content: &Content<'_>, chunks: &[&str]) -> Fingerprint {
     let mut fingerprinting = Fingerprinting::new(content);
-    for piece in pieces {
-        fingerprinting.update(piece.as_bytes());
+    for chunk in chunks {
+        fingerprinting.update(chunk.as_bytes());
     }
     fingerprinting.finish()
 }
 
 #[test]
-fn the_same_request_has_the_same_fingerprint_however_its_body_arrives() {
+fn fingerprint_does_not_depend_on_body_chunks() {
     let whole = fingerprint(&HEAD, &["a body"]);
     assert_eq!(whole, fingerprint(&HEAD, &["a ", "", "body"]));
 }
@@ -46,7 +46,7 @@
             target: "/short/1?page=3",
             ..HEAD
         },
-        // The same text, divided elsewhere.
+        // The same text, split at another position.
         Content {
             host: "a.example/short",
             target: "/1?page=2",
@@ -63,10 +63,10 @@
     assert_eq!(all.len(), count);
 }
 
-/// No caller may have requests of another workspace turned away, also not on a
-/// route that asks for no key.
+/// Guards against a caller that gets requests of another workspace quarantined, also on a
+/// route that requires no key.
 #[test]
-fn a_workspace_without_a_name_is_not_the_same_as_none() {
+fn empty_workspace_name_differs_from_no_workspace() {
     let none = Content {
         workspace: None,
         ..HEAD
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_fingerprint_is_read_back_from_its_text() {
+fn fingerprint_is_parsed_from_its_text() {
     let whole = fingerprint(&HEAD, &["a body"]);
     assert_eq!(whole.to_string().parse(), Ok(whole));
     for wrong in [
