--- a/crates/notchwalk_core/src/finding.rs
+++ b/crates/notchwalk_core/src/finding.rs
@@ -1,21 +1,20 @@
-//! Findings: faults of an input, collected with their place and reported
-//! together.
+//! Validation findings. All faults of an input are collected and reported together.
 
 use std::fmt;
 
 use derive_more::Error;
 use serde::{Deserialize, Serialize};
 
-/// One fault of an input and where it stands.
+/// A fault of an input and its location.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Finding {
-    /// The file or part.
+    /// The file or the part of a bundle.
     pub file: String,
-    /// The section, empty for the whole file.
+    /// The section; empty if the fault concerns the whole file.
     pub section: String,
-    /// The key, empty for the whole section.
+    /// The key; empty if the fault concerns the whole section.
     pub key: String,
-    /// The reason, in a sentence a reader can act on.
+    /// What is wrong, in a sentence that lets the reader correct it.
     pub reason: String,
 }
 
@@ -32,7 +31,7 @@
     }
 }
 
-/// All faults of an input; an error only if there is at least one.
+/// The faults of an input. It is an error only if it is not empty.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Error, Serialize, Deserialize)]
 pub struct Findings(#[error(not(source))] pub Vec<Finding>);
 
@@ -47,11 +46,11 @@
         });
     }
 
-    /// Returns `value` if nothing was found.
+    /// Returns `value` if there are no findings.
     ///
     /// # Errors
     ///
-    /// Returns all findings if there are any.
+    /// Returns the findings if there are any.
     pub fn or_ok<T>(self, value: T) -> Result<T, Self> {
         if self.0.is_empty() {
             return Ok(value);
--- a/crates/notchwalk_core/src/id.rs
+++ b/crates/notchwalk_core/src/id.rs
@@ -1,30 +1,30 @@
-//! Identifiers that travel between processes.
+//! Identifiers that are shared between processes.
 
 use std::{fmt, str::FromStr};
 
 use serde::{Deserialize, Serialize};
 
-/// Identifies an entry VM; settings give it.
+/// Identifies an entry VM. Set in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct VmId(pub u32);
 
-/// Counts the starts of a daemon on a VM. A higher number fences off all work
-/// of lower ones.
+/// The number of starts of a daemon on a VM, used as a fencing token: a higher number
+/// invalidates the operations of lower ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct BootNumber(pub u64);
 
-/// Identifies a backend server, as the VM list numbers it.
+/// Identifies a backend server by its number in the VM list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ServerId(pub u32);
 
-/// Counts the tries of one request, from 1.
+/// The number of an attempt of a request, from 1.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Attempt(pub u16);
 
-/// Identifies a request across the fleet: the VM and boot that admitted it and
-/// a sequence number of that boot. The owner can thus be judged from the id.
+/// Identifies a request across the fleet by the VM and boot that admitted it and a sequence
+/// number. The owner of a request is thus known from its id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId {
     /// The entry VM that admitted the request.
@@ -35,8 +35,8 @@
     pub seq: u64,
 }
 
-/// What a malformed request id is answered with.
-pub const ID_TEXT_ERROR: &str = "a request id reads VM-BOOT-SEQ, three decimal numbers";
+/// The error message for a malformed request id.
+pub const ID_TEXT_ERROR: &str = "invalid request id: expected VM-BOOT-SEQ, three decimal numbers";
 
 impl fmt::Display for RequestId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -75,8 +75,8 @@
     }
 }
 
-/// Returns the first eight bytes as a little-endian number; a digest's bytes
-/// make a hash of it.
+/// Returns the first eight bytes as a little-endian number, such as a 64-bit hash from a
+/// longer digest.
 pub fn leading_u64(bytes: &[u8]) -> u64 {
     let first = bytes.iter().take(8).rev();
     first.fold(0, |number, byte| (number << 8) | u64::from(*byte))
--- a/crates/notchwalk_core/src/lib.rs
+++ b/crates/notchwalk_core/src/lib.rs
@@ -1,5 +1,5 @@
-//! Ids, time, token counts, findings and numbered log events shared by every
-//! notchwalk crate. Nothing here does I/O.
+//! Ids, time, token counts, validation findings and numbered log events, shared by all
+//! notchwalk crates. This crate does no I/O.
 
 mod finding;
 mod id;
@@ -13,5 +13,5 @@
 pub use log_event::{LogEvent, LogEventKind, ALL_LOG_EVENTS};
 pub use time::{Clock, Instant, TimeSource};
 
-/// Number of model tokens.
+/// A number of model tokens.
 pub type Tokens = u64;
--- a/crates/notchwalk_core/src/log_event.rs
+++ b/crates/notchwalk_core/src/log_event.rs
@@ -1,109 +1,108 @@
-//! Numbered log events. `docs/EVENTS.md` catalogues them; a test holds the two
-//! together.
+//! Numbered log events. `docs/EVENTS.md` lists them; a test compares the two.
 
 use log::Level;
 
-/// Declares the events once: name, number, level and the catalogue's text.
+/// Declares the events with their name, number, level and text.
 macro_rules! log_events {
     ($($name:ident = $number:literal, $level:ident, $text:literal;)*) => {
-        /// What happened, by name.
+        /// The kinds of log events.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
         pub enum LogEventKind {
             $(#[doc = $text] $name,)*
         }
 
         impl LogEventKind {
-            /// Returns the event's number in the catalogue.
+            /// Returns the event's number.
             pub const fn number(self) -> u16 {
                 match self { $(Self::$name => $number,)* }
             }
 
-            /// Returns the level it is logged at.
+            /// Returns the level at which the event is logged.
             pub const fn level(self) -> Level {
                 match self { $(Self::$name => Level::$level,)* }
             }
 
-            /// Returns the catalogue's one-line text.
+            /// Returns the event's one-line text.
             pub const fn text(self) -> &'static str {
                 match self { $(Self::$name => $text,)* }
             }
         }
 
-        /// Every event, in the catalogue's order.
+        /// All events, in the order of their declaration.
         pub const ALL_LOG_EVENTS: &[LogEventKind] = &[$(LogEventKind::$name,)*];
     };
 }
 
 log_events! {
-    DaemonStarted = 1001, Info, "the daemon listens on its addresses";
-    DaemonReady = 1002, Info, "a bundle is in force; the daemon is ready";
-    DrainStarted = 1003, Info, "the daemon was told to stop and drains";
-    DaemonStopped = 1004, Info, "the last request ended; the daemon ends";
-    RequestPanicked = 1005, Error, "a task panicked; its request failed and the daemon goes on";
-    SettingsReloaded = 1006, Info, "the settings file was read again";
-    MachineResumed = 1008, Info, "the machine was suspended and runs again";
+    DaemonStarted = 1001, Info, "the daemon is listening on its addresses";
+    DaemonReady = 1002, Info, "a bundle is active; the daemon is ready";
+    DrainStarted = 1003, Info, "a shutdown was requested; the daemon is draining";
+    DaemonStopped = 1004, Info, "all requests have ended; the daemon is exiting";
+    RequestPanicked = 1005, Error, "a task panicked; its request failed, and the daemon continues";
+    SettingsReloaded = 1006, Info, "the settings file was reloaded";
+    MachineResumed = 1008, Info, "the machine resumed from suspension";
     LogLinesDropped = 1007, Warn, "log lines were dropped";
-    BundleInForce = 2001, Info, "a bundle version came into force";
-    BundleRefused = 2002, Warn, "an offered bundle was refused: older, unsigned or faulty";
+    BundleInForce = 2001, Info, "a bundle version was activated";
+    BundleRefused = 2002, Warn, "a bundle was rejected: outdated, unsigned or invalid";
     PlatformDown = 2003, Warn, "a call to the platform failed";
-    PlatformUp = 2004, Info, "the platform answers again";
-    ConfigInForce = 2101, Info, "the operator's configuration came into force";
-    ConfigRefused = 2102, Warn, "a configuration was refused: older or faulty";
-    StoreLost = 2103, Warn, "the platform's store no longer answers";
-    StoreRegained = 2104, Info, "the platform's store answers again";
-    HistoryGone = 2105, Info, "the store's history is gone; the table is read whole";
-    ServerRecordFaulty = 2106, Warn, "a backend server's record can't be read";
-    PresenceWritten = 2107, Info, "this entry is on record";
-    QuestionGivenUp = 2108, Info, "a question for changes was given up: a peer knows of newer ones and no answer came";
-    StoreRestored = 2109, Warn, "the store came back from an older copy";
-    WrittenAgain = 2110, Info, "what an older copy of the store lacked was written again";
-    PeerAlive = 3001, Info, "a peer daemon answers";
-    PeerSuspect = 3002, Info, "a peer's heartbeat is late; others are asked";
-    PeerDead = 3003, Warn, "a peer daemon is taken for dead";
-    PeerRejected = 3004, Warn, "a connection failed to prove itself with a peer key";
-    PeerGarbage = 3005, Warn, "a peer sent a frame that can't be read; the connection was closed";
-    ServerLeaving = 4001, Info, "a backend server leaves; it gets no new work";
-    CircuitOpened = 4002, Warn, "a backend server failed repeatedly; it gets no work for a while";
-    CircuitClosed = 4003, Info, "a backend server serves again";
+    PlatformUp = 2004, Info, "the platform is available again";
+    ConfigInForce = 2101, Info, "the operator's configuration was activated";
+    ConfigRefused = 2102, Warn, "a configuration was rejected: outdated or invalid";
+    StoreLost = 2103, Warn, "the platform's store is unavailable";
+    StoreRegained = 2104, Info, "the platform's store is available again";
+    HistoryGone = 2105, Info, "the store's change history has expired; the whole table is read";
+    ServerRecordFaulty = 2106, Warn, "a backend server's record is invalid";
+    PresenceWritten = 2107, Info, "this node is registered";
+    QuestionGivenUp = 2108, Info, "a poll for changes was abandoned: a peer reported newer ones, and no response arrived";
+    StoreRestored = 2109, Warn, "the store was restored from an older snapshot";
+    WrittenAgain = 2110, Info, "records missing from the restored store were written again";
+    PeerAlive = 3001, Info, "a peer daemon is reachable";
+    PeerSuspect = 3002, Info, "a peer's heartbeat is late; other peers are queried";
+    PeerDead = 3003, Warn, "a peer daemon was declared dead";
+    PeerRejected = 3004, Warn, "a connection failed peer authentication";
+    PeerGarbage = 3005, Warn, "a peer sent an invalid frame; the connection was closed";
+    ServerLeaving = 4001, Info, "a backend server is draining; it receives no new requests";
+    CircuitOpened = 4002, Warn, "a backend server failed repeatedly; it receives no requests for a while";
+    CircuitClosed = 4003, Info, "a backend server has recovered; it receives requests again";
     MemorySwept = 4004, Info, "memory of ended requests was freed on an engine";
-    ServerRegistered = 4101, Info, "a backend server is on record";
-    ServerGone = 4102, Info, "a backend server is gone from the record";
-    ServerSaysLeaving = 4103, Info, "a backend server says in an answer that it leaves";
-    ServerWantsNothing = 4104, Info, "a backend server turned a request away and wants none for a while";
-    ServerWordFaulty = 4105, Warn, "what a backend server says of itself can't be taken as said";
-    ServerLimited = 4106, Info, "a backend server names how many requests a second it takes from all entries";
-    ServerLimitEnded = 4107, Info, "a backend server names no limit any more";
-    ServerLimitUsedUp = 4108, Info, "a backend server's limit is used up; requests go elsewhere, wait or are told when to come back";
-    AttemptRetried = 5001, Info, "an attempt broke; the request goes on with another";
+    ServerRegistered = 4101, Info, "a backend server is registered";
+    ServerGone = 4102, Info, "a backend server is no longer registered";
+    ServerSaysLeaving = 4103, Info, "a backend server announced in a response that it is draining";
+    ServerWantsNothing = 4104, Info, "a backend server rejected a request and is backing off";
+    ServerWordFaulty = 4105, Warn, "a backend server sent an invalid notice; a fallback value is used";
+    ServerLimited = 4106, Info, "a backend server announced a limit on requests per second from all nodes";
+    ServerLimitEnded = 4107, Info, "a backend server no longer announces a limit";
+    ServerLimitUsedUp = 4108, Info, "a backend server's limit is exhausted; requests are rerouted, queued or rejected with a retry time";
+    AttemptRetried = 5001, Info, "an attempt failed; the request continues with another one";
     RequestTimedOut = 5002, Info, "a request reached its deadline";
     RequestRefused = 5003, Debug, "a request was refused before it ran";
-    ClaimUnknown = 5004, Warn, "a claim's fate could not be learned in time";
-    FrameDropped = 5005, Info, "a late or crossed frame was dropped";
-    RequestSent = 5101, Info, "a request went to a backend server";
-    AttemptFailed = 5102, Info, "sending to a backend server did not succeed";
+    ClaimUnknown = 5004, Warn, "the outcome of a claim could not be determined in time";
+    FrameDropped = 5005, Info, "a late or mismatched frame was dropped";
+    RequestSent = 5101, Info, "a request was sent to a backend server";
+    AttemptFailed = 5102, Info, "an attempt on a backend server failed";
     RequestEnded = 5103, Info, "a request ended";
-    RequestRejected = 5104, Info, "a request was not accepted";
-    CrashSuspected = 5201, Info, "a backend server seems to have ended under a request";
-    RequestQuarantined = 5202, Warn, "requests of one content end the servers that run them; they are sent to none for a while";
+    RequestRejected = 5104, Info, "a request was rejected";
+    CrashSuspected = 5201, Info, "a backend server may have crashed while running a request";
+    RequestQuarantined = 5202, Warn, "requests of one content crash the servers that run them; the content is quarantined";
     QuarantineEnded = 5203, Info, "a quarantine ended";
-    OrderSent = 6001, Info, "an order went to an engine";
+    OrderSent = 6001, Info, "an order was sent to an engine";
     OrderRefused = 6002, Warn, "an engine refused an order";
     LeaseHeld = 6003, Info, "this daemon holds the order lease";
-    LeaseLost = 6004, Warn, "the order lease lapsed or was taken";
-    ReservationFailed = 6101, Info, "memory could not be set aside on an engine";
+    LeaseLost = 6004, Warn, "the order lease expired or was taken over";
+    ReservationFailed = 6101, Info, "memory could not be reserved on an engine";
 }
 
-/// One event to log: its kind and the facts that belong to it.
+/// A log event with its facts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogEvent {
-    /// What happened.
+    /// The kind of the event.
     pub kind: LogEventKind,
     /// The facts, as `key=value` pairs.
     pub facts: String,
 }
 
 impl LogEvent {
-    /// Builds an event.
+    /// Creates an event.
     pub fn new(kind: LogEventKind, facts: impl Into<String>) -> Self {
         Self {
             kind,
@@ -111,7 +110,7 @@
         }
     }
 
-    /// Writes the event to the process's log.
+    /// Logs the event.
     pub fn emit(&self) {
         let number = self.kind.number();
         log::log!(target: "notchwalk", self.kind.level(), "NW{number} {} {}", self.kind.text(), self.facts);
--- a/crates/notchwalk_core/src/prelude.rs
+++ b/crates/notchwalk_core/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The names that nearly every crate of the workspace needs.
+//! The types that nearly all crates of the workspace use.
 
 pub use crate::{
     Attempt, BootNumber, Finding, Findings, Instant, LogEvent, LogEventKind, RequestId, ServerId,
--- a/crates/notchwalk_core/src/time.rs
+++ b/crates/notchwalk_core/src/time.rs
@@ -1,12 +1,12 @@
-//! Monotonic time as plain data, so that the reducer needs no clock.
+//! Monotonic time as plain data, so that code that makes decisions needs no clock.
 
 use std::{fmt, sync::Arc, time::Duration};
 
 use rustix::time::{clock_gettime, ClockId};
 use serde::{Deserialize, Serialize};
 
-/// A point in monotonic time, in microseconds since an origin that the owner
-/// of the clock chooses. Only differences carry meaning.
+/// A point in monotonic time, in microseconds since an arbitrary origin. Only differences
+/// between instants of one clock are meaningful.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -15,15 +15,15 @@
 impl Instant {
     /// The origin of the clock.
     pub const ZERO: Self = Self(0);
-    /// A point later than any that is reached.
+    /// An instant in the far future, which is never reached.
     pub const FAR: Self = Self(u64::MAX / 4);
 
-    /// Builds a point from microseconds since the origin.
+    /// Creates an instant from microseconds since the origin.
     pub const fn from_micros(us: u64) -> Self {
         Self(us)
     }
 
-    /// Builds a point from milliseconds since the origin.
+    /// Creates an instant from milliseconds since the origin.
     pub const fn from_millis(ms: u64) -> Self {
         Self(ms * 1_000)
     }
@@ -33,36 +33,35 @@
         self.0
     }
 
-    /// Returns the time passed since `earlier`, zero if it lies ahead.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is later.
     pub const fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// Returns the point `d` later, capped at the end of the clock.
+    /// Returns the instant `d` later, saturating at the end of the clock.
     pub const fn after(self, d: Duration) -> Self {
         Self(self.0.saturating_add(d.as_micros() as u64))
     }
 
-    /// Returns the point `d` earlier, or the origin.
+    /// Returns the instant `d` earlier, saturating at the origin.
     pub const fn before(self, d: Duration) -> Self {
         Self(self.0.saturating_sub(d.as_micros() as u64))
     }
 }
 
-/// Where a [`Clock`] has its time from.
+/// The time source of a [`Clock`].
 pub trait TimeSource: Send + Sync {
-    /// Returns the time since some origin, that in which the machine was suspended
-    /// included.
+    /// Returns the time since an arbitrary origin, including time in suspension.
     fn elapsed(&self) -> Duration;
 
-    /// Returns the time since some origin in which the machine ran: what timers of
-    /// the runtime count.
+    /// Returns the time since an arbitrary origin, excluding time in suspension. The
+    /// runtime's timers use this clock.
     fn running(&self) -> Duration;
 }
 
-/// The machine's own clocks.
+/// The clocks of the operating system.
 #[derive(Clone, Copy, Debug)]
-struct MachineTime;
+struct OsClock;
 
 fn read_clock(id: ClockId) -> Duration {
     let time = clock_gettime(id);
@@ -71,7 +70,7 @@
     Duration::new(seconds, u32::try_from(time.tv_nsec).unwrap_or(0))
 }
 
-impl TimeSource for MachineTime {
+impl TimeSource for OsClock {
     fn elapsed(&self) -> Duration {
         read_clock(ClockId::Boottime)
     }
@@ -81,9 +80,9 @@
     }
 }
 
-/// Reads a machine's clock as [`Instant`]s. Time in which the machine was suspended
-/// counts: deadlines, leases and the age of what is known run on meanwhile.
-/// docs/DESIGN.md has a table of what counts it and what does not.
+/// A clock that returns [`Instant`]s. It includes time in suspension, since deadlines,
+/// leases and the age of data advance meanwhile. docs/DESIGN.md lists what includes it and
+/// what does not.
 #[derive(Clone)]
 pub struct Clock {
     source: Arc<dyn TimeSource>,
@@ -91,13 +90,13 @@
 }
 
 impl Clock {
-    /// Starts a clock; its origin lies one hour back, so that "long ago" can
-    /// be expressed.
+    /// Creates a clock that reads the system's clocks. It starts at one hour, so that
+    /// earlier instants can be represented.
     pub fn new() -> Self {
-        Self::with_source(Arc::new(MachineTime))
+        Self::with_source(Arc::new(OsClock))
     }
 
-    /// Starts a clock that reads `source`.
+    /// Creates a clock that reads `source`.
     pub fn with_source(source: Arc<dyn TimeSource>) -> Self {
         Self {
             origin: source.elapsed(),
@@ -105,14 +104,14 @@
         }
     }
 
-    /// Returns the present time.
+    /// Returns the current time.
     pub fn now(&self) -> Instant {
         const START_US: u64 = 3_600_000_000;
         let elapsed = self.source.elapsed().saturating_sub(self.origin);
         Instant(START_US + elapsed.as_micros() as u64)
     }
 
-    /// Returns how long the machine has been suspended in all.
+    /// Returns the total time that the machine has been suspended.
     pub fn suspended(&self) -> Duration {
         let running = self.source.running();
         self.source.elapsed().saturating_sub(running)
--- a/crates/notchwalk_core/tests/event_catalogue.rs
+++ b/crates/notchwalk_core/tests/event_catalogue.rs
@@ -1,11 +1,11 @@
-//! The catalogue of log events and the code say the same.
+//! Compares the log events with their list in `docs/EVENTS.md`.
 
 use std::collections::BTreeSet;
 
 use notchwalk_core::ALL_LOG_EVENTS;
 
 #[test]
-fn every_event_stands_in_the_catalogue_as_the_code_has_it() {
+fn every_event_is_listed_with_its_level_and_text() {
     let catalogue = include_str!("../../../docs/EVENTS.md");
     for event in ALL_LOG_EVENTS {
         let row = format!(
@@ -24,12 +24,12 @@
     assert_eq!(
         rows - HEADING,
         ALL_LOG_EVENTS.len(),
-        "the catalogue names more events"
+        "docs/EVENTS.md lists other events too"
     );
 }
 
 #[test]
-fn numbers_are_not_used_twice() {
+fn event_numbers_are_unique() {
     let numbers: BTreeSet<_> = ALL_LOG_EVENTS.iter().map(|e| e.number()).collect();
     assert_eq!(numbers.len(), ALL_LOG_EVENTS.len());
 }
