--- a/crates/notchwalk_quarantine/src/error.rs
+++ b/crates/notchwalk_quarantine/src/error.rs
@@ -4,5 +4,5 @@
 
 /// The text of a fingerprint is malformed.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
-#[display("invalid fingerprint: expected 32 hexadecimal digits")]
+#[display("a fingerprint has 32 hexadecimal digits")]
 pub struct FingerprintError;
