--- a/crates/notchwalk_core/src/id.rs
+++ b/crates/notchwalk_core/src/id.rs
@@ -36,7 +36,8 @@
 }
 
 /// The error message for a malformed request id.
-pub const ID_TEXT_ERROR: &str = "invalid request id: expected VM-BOOT-SEQ, three decimal numbers";
+pub const REQUEST_ID_ERROR: &str =
+    "invalid request id: expected VM-BOOT-SEQ, three decimal numbers";
 
 impl fmt::Display for RequestId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -51,9 +52,9 @@
         let mut parts = text.splitn(3, '-');
         let mut next = || parts.next().and_then(|part| part.parse::<u64>().ok());
         let (Some(vm), Some(boot), Some(seq)) = (next(), next(), next()) else {
-            return Err(ID_TEXT_ERROR);
+            return Err(REQUEST_ID_ERROR);
         };
-        let vm = u32::try_from(vm).map_err(|_| ID_TEXT_ERROR)?;
+        let vm = u32::try_from(vm).map_err(|_| REQUEST_ID_ERROR)?;
         Ok(Self {
             vm: VmId(vm),
             boot: BootNumber(boot),
--- a/crates/notchwalk_core/src/lib.rs
+++ b/crates/notchwalk_core/src/lib.rs
@@ -9,7 +9,7 @@
 pub mod prelude;
 
 pub use finding::{Finding, Findings};
-pub use id::{leading_u64, Attempt, BootNumber, RequestId, ServerId, VmId, ID_TEXT_ERROR};
+pub use id::{leading_u64, Attempt, BootNumber, RequestId, ServerId, VmId, REQUEST_ID_ERROR};
 pub use log_event::{LogEvent, LogEventKind, ALL_LOG_EVENTS};
 pub use time::{Clock, Instant, TimeSource};
 
--- a/crates/notchwalk_core/src/time.rs
+++ b/crates/notchwalk_core/src/time.rs
@@ -16,7 +16,7 @@
     /// The origin of the clock.
     pub const ZERO: Self = Self(0);
     /// An instant in the far future, which is never reached.
-    pub const FAR: Self = Self(u64::MAX / 4);
+    pub const FAR_FUTURE: Self = Self(u64::MAX / 4);
 
     /// Creates an instant from microseconds since the origin.
     pub const fn from_micros(us: u64) -> Self {
--- a/crates/notchwalk_quarantine/src/quarantine/background.rs
+++ b/crates/notchwalk_quarantine/src/quarantine/background.rs
@@ -42,15 +42,15 @@
         let others = ended.filter(|(&server, _)| !ran_on(server) && !attributed.contains(&server));
         let others = others.count();
         // Losses that accompany the latest crash are known only seconds later.
-        let own = suspect.crashes().iter().filter(|c| c.confirmed).count();
-        if others < UNRELATED_PER_CRASH * own.saturating_sub(1) {
+        let confirmed = suspect.crashes().iter().filter(|c| c.confirmed).count();
+        if others < UNRELATED_PER_CRASH * confirmed.saturating_sub(1) {
             return 0;
         }
         u32::try_from(others).map_or(MAX_EXTRA_SCORE, |n| n.min(MAX_EXTRA_SCORE))
     }
 
-    /// Returns the servers lost by contents that are quarantined or had at least two
-    /// incidents, and that may be the cause.
+    /// Returns the lost servers that ran a content which is quarantined or had at least two
+    /// incidents, and which may be the cause.
     fn attributed_servers(&self) -> HashSet<u32> {
         let suspects = self.suspects.values();
         let at_fault =
--- a/crates/notchwalk_quarantine/src/quarantine/evidence.rs
+++ b/crates/notchwalk_quarantine/src/quarantine/evidence.rs
@@ -53,9 +53,9 @@
     /// Updates which crashes around `at` are correlated. If servers were lost on which a
     /// content did not run, it is probably not their cause.
     ///
-    /// Servers that were lost by a content that is quarantined, or that had two further
-    /// incidents, are not counted: two contents that crash servers often do so at the same
-    /// time, which is no common cause.
+    /// Servers that ran a content which is quarantined or had at least three incidents are
+    /// excluded: two contents that crash servers often do so at the same time, without a
+    /// common cause.
     pub(super) fn update_correlation(&mut self, at: Instant, now: Instant) {
         let (mut ended, mut attributed) = (HashSet::new(), HashSet::new());
         for suspect in self.suspects.values() {
--- a/crates/notchwalk_quarantine/src/quarantine/mod.rs
+++ b/crates/notchwalk_quarantine/src/quarantine/mod.rs
@@ -55,8 +55,8 @@
             return Verdict::Free;
         }
         let score = incidents.score();
-        let is_resting = now.since(suspect.last_crash()) < HOLD_AFTER_EXTRA_RUN;
-        if score >= self.threshold(suspect) || (score >= base_threshold(suspect) && is_resting) {
+        let is_on_hold = now.since(suspect.last_crash()) < HOLD_AFTER_EXTRA_RUN;
+        if score >= self.threshold(suspect) || (score >= base_threshold(suspect) && is_on_hold) {
             return Verdict::Held;
         }
         if suspect.is_running(now) && !self.recent.contains(content, now) {
@@ -126,7 +126,7 @@
 
     /// Records a successful run, which clears the content.
     pub fn note_succeeded(&mut self, content: Fingerprint, now: Instant) {
-        self.recent.note(content, now);
+        self.recent.record(content, now);
         if !self.suspects.contains_key(&content) {
             return;
         }
--- a/crates/notchwalk_quarantine/src/recent.rs
+++ b/crates/notchwalk_quarantine/src/recent.rs
@@ -26,7 +26,7 @@
 
 impl RecentSuccesses {
     /// Records a success.
-    pub fn note(&mut self, content: Fingerprint, now: Instant) {
+    pub fn record(&mut self, content: Fingerprint, now: Instant) {
         self.at.insert(content, now);
         self.order.push_back((content, now));
         if self.order.len() <= CAPACITY {
--- a/crates/notchwalk_quarantine/tests/rules.rs
+++ b/crates/notchwalk_quarantine/tests/rules.rs
@@ -256,12 +256,12 @@
 
 #[test]
 fn node_without_own_observations_declares_quarantine_after_delay() {
-    let (mut witness, mut other, bad) = (Node::new(), Node::new(), content(1));
+    let (mut observer, mut other, bad) = (Node::new(), Node::new(), content(1));
     for server in 0..3 {
-        witness.break_connection(bad, server);
-        witness.send_updates(&mut other);
+        observer.break_connection(bad, server);
+        observer.send_updates(&mut other);
         other.end_server(server);
-        witness.advance(300);
+        observer.advance(300);
         other.advance(300);
     }
     assert_eq!(other.verdict(bad), Verdict::Held);
@@ -374,15 +374,15 @@
 /// Guards against quarantining a content that ran on one of several servers lost together.
 #[test]
 fn correlated_losses_do_not_quarantine() {
-    let (mut node, unlucky) = (Node::new(), content(1));
+    let (mut node, harmless) = (Node::new(), content(1));
     for round in 0..4 {
         let server = round * 10;
-        node.crash(unlucky, server);
+        node.crash(harmless, server);
         node.advance(8);
         node.crash(content(100 + u128::from(round)), server + 1);
         node.advance(2_000);
     }
-    let verdict = node.verdict(unlucky);
+    let verdict = node.verdict(harmless);
     assert!(matches!(verdict, Verdict::Suspected { .. }), "{verdict:?}");
 }
 
@@ -433,20 +433,20 @@
 /// expire.
 #[test]
 fn losses_that_come_in_series_quarantine_nobody() {
-    let (mut node, unlucky) = (Node::new(), content(1));
+    let (mut node, harmless) = (Node::new(), content(1));
     for round in 0..4 {
-        node.crash(unlucky, round * 10);
+        node.crash(harmless, round * 10);
         node.advance(700);
         node.end_server(round * 10 + 1);
         node.end_server(round * 10 + 2);
         node.advance(1_800);
-        assert!(!node.is_quarantined(unlucky), "round {round}");
+        assert!(!node.is_quarantined(harmless), "round {round}");
     }
     // It may run again, and a success clears it.
-    let verdict = node.verdict(unlucky);
+    let verdict = node.verdict(harmless);
     assert!(matches!(verdict, Verdict::Suspected { .. }), "{verdict:?}");
-    node.succeed(unlucky);
-    assert!(node.is_free(unlucky));
+    node.succeed(harmless);
+    assert!(node.is_free(harmless));
 }
 
 /// Bounds the cost of the raised threshold: a crashing content gets two further servers at
@@ -475,23 +475,23 @@
 /// Guards against a quarantine by a node that did not observe the other losses.
 #[test]
 fn node_started_later_does_not_quarantine_after_losses_in_series() {
-    let (mut witness, unlucky) = (Node::new(), content(1));
+    let (mut observer, harmless) = (Node::new(), content(1));
     for round in 0..4 {
-        witness.crash(unlucky, round * 10);
-        witness.end_server(round * 10 + 1);
-        witness.end_server(round * 10 + 2);
-        witness.advance(2_500);
+        observer.crash(harmless, round * 10);
+        observer.end_server(round * 10 + 1);
+        observer.end_server(round * 10 + 2);
+        observer.advance(2_500);
     }
     let mut later = Node::new();
-    later.now = witness.now;
+    later.now = observer.now;
     later.advance(1);
-    let updates = witness.quarantine.retold(true, witness.now);
+    let updates = observer.quarantine.retold(true, observer.now);
     later.quarantine.hear(1, &updates, later.now);
     for round in 0..4 {
         later.end_server(round * 10);
     }
     later.advance(3_000);
-    assert!(!later.is_quarantined(unlucky));
+    assert!(!later.is_quarantined(harmless));
 }
 
 /// Guards against counting the servers lost by one crashing content as unrelated losses of
