--- a/crates/notchwalk_decide/src/membership.rs
+++ b/crates/notchwalk_decide/src/membership.rs
@@ -262,7 +262,7 @@
         PeerMessage::Heartbeat(_) => {}
         PeerMessage::LongRequest(request) => long_home::on_request(node, cx, from, request),
         PeerMessage::LongReply(reply) => long_work::on_reply(node, cx, reply),
-        PeerMessage::Suspects(news) => node.quarantine.hear(from.0, &news, cx.now),
+        PeerMessage::Suspects(news) => node.quarantine.apply_updates(from.0, &news, cx.now),
         // The driver moves bundles; the reducer only ever sees a checked one.
         PeerMessage::BundleAsk(_) | PeerMessage::BundleOffer(_) => {}
     }
--- a/crates/notchwalk_decide/src/suspects.rs
+++ b/crates/notchwalk_decide/src/suspects.rs
@@ -6,7 +6,7 @@
 //! engines crashed in four tries of one completion without this, three with it.
 
 use notchwalk_core::{Instant, LogEventKind};
-use notchwalk_quarantine::{Finding, Fingerprint, News, Verdict};
+use notchwalk_quarantine::{Fingerprint, QuarantineFinding, QuarantineUpdate, Verdict};
 use notchwalk_wire::PeerMessage;
 
 use crate::{
@@ -37,7 +37,7 @@
             Some((FailureCode::Quarantined, left))
         }
         Verdict::Held => Some((FailureCode::Suspected, SUSPECTED_RETRY_MS)),
-        Verdict::Free | Verdict::Suspected { .. } | Verdict::Busy => None,
+        Verdict::Allowed | Verdict::Suspected { .. } | Verdict::RunningElsewhere => None,
     }
 }
 
@@ -66,24 +66,24 @@
     let quarantine = &mut node.quarantine;
     match end {
         AttemptEnd::Complete { .. } => {
-            quarantine.note_server_lived(tag, running.since, cx.now);
-            quarantine.note_succeeded(content, cx.now);
+            quarantine.record_server_alive(tag, running.since, cx.now);
+            quarantine.record_success(content, cx.now);
         }
         AttemptEnd::Broken if !leaves => {
-            quarantine.note_broken(content, &[tag], others, silent, cx.now);
+            quarantine.record_broken_connection(content, &[tag], others, silent, cx.now);
         }
         AttemptEnd::Refused { .. } => {
-            quarantine.note_server_lived(tag, running.since, cx.now);
-            quarantine.note_idle(content);
+            quarantine.record_server_alive(tag, running.since, cx.now);
+            quarantine.record_run_ended(content);
         }
-        AttemptEnd::Broken | AttemptEnd::NotSent => quarantine.note_idle(content),
+        AttemptEnd::Broken | AttemptEnd::NotSent => quarantine.record_run_ended(content),
     }
 }
 
 /// A request was sent.
 pub(crate) fn on_sent(node: &mut Node, cx: &Cx<'_>, key: RequestKey) {
     if let Some(content) = node.requests[key].content {
-        node.quarantine.note_sent(content, cx.now);
+        node.quarantine.record_sent(content, cx.now);
     }
 }
 
@@ -91,7 +91,7 @@
 /// over, unless it answers what it was sent before.
 pub(crate) fn on_server_away(node: &mut Node, cx: &Cx<'_>, server: ServerKey) {
     let tag = tag(node, server);
-    node.quarantine.note_server_ended(tag, true, cx.now);
+    node.quarantine.record_server_ended(tag, true, cx.now);
     node.servers.arena[server].away = true;
 }
 
@@ -105,9 +105,9 @@
 
 /// Lets time pass, tells peers what is new, and logs what was found.
 pub(crate) fn on_tick(node: &mut Node, cx: &mut Cx<'_>) {
-    node.quarantine.pass_time(cx.now);
-    let news = node.quarantine.take_news();
-    tell(node, cx, news);
+    node.quarantine.tick(cx.now);
+    let updates = node.quarantine.take_updates();
+    tell(node, cx, updates);
     for finding in node.quarantine.take_findings() {
         log(cx, &finding);
     }
@@ -115,47 +115,51 @@
 
 /// Tells peers again what they may have missed; comes with each heartbeat.
 pub(crate) fn on_heartbeat(node: &Node, cx: &mut Cx<'_>) {
-    tell(node, cx, node.quarantine.retold(true, cx.now));
+    tell(
+        node,
+        cx,
+        node.quarantine.updates_to_rebroadcast(true, cx.now),
+    );
 }
 
-fn tell(node: &Node, cx: &mut Cx<'_>, news: Vec<News>) {
-    if news.is_empty() {
+fn tell(node: &Node, cx: &mut Cx<'_>, updates: Vec<QuarantineUpdate>) {
+    if updates.is_empty() {
         return;
     }
     for vm in node.membership.receivers() {
-        let message = Box::new(PeerMessage::Suspects(news.clone()));
+        let message = Box::new(PeerMessage::Suspects(updates.clone()));
         cx.emit(Effect::Peer { to: vm, message });
     }
 }
 
-fn log(cx: &mut Cx<'_>, finding: &Finding) {
+fn log(cx: &mut Cx<'_>, finding: &QuarantineFinding) {
     match finding {
-        Finding::Crashed {
+        QuarantineFinding::Crashed {
             content,
             crash,
-            moments,
+            incidents,
         } => {
             let server = crash.server >> LIFE_BITS;
             let facts = format!(
-                "content={content} server={server} others={} silent={} moments={moments}",
-                crash.others, crash.silent
+                "content={content} server={server} others={} silent={} moments={incidents}",
+                crash.other_requests, crash.silent
             );
             cx.log(LogEventKind::CrashSuspected, facts);
         }
-        Finding::Quarantined(found) => {
+        QuarantineFinding::Quarantined(found) => {
             let servers = found.crashes.iter().map(|c| c.server >> LIFE_BITS);
             let servers: Vec<String> = servers.map(|server| server.to_string()).collect();
             let facts = format!(
                 "content={} lasts_s={} times={} declared_here={} crashes={}",
                 found.content,
-                found.lasts.as_secs(),
-                found.times,
-                found.own,
+                found.duration.as_secs(),
+                found.quarantine_count,
+                found.declared_locally,
                 servers.join(",")
             );
             cx.log(LogEventKind::RequestQuarantined, facts);
         }
-        Finding::Ended { content, reason } => {
+        QuarantineFinding::Ended { content, reason } => {
             let facts = format!("content={content} reason={reason:?}");
             cx.log(LogEventKind::QuarantineEnded, facts);
         }
--- a/crates/notchwalk_quarantine/examples/query_of_death.rs
+++ b/crates/notchwalk_quarantine/examples/query_of_death.rs
@@ -7,13 +7,13 @@
 use notchwalk_quarantine::prelude::*;
 
 fn content(target: &str) -> Fingerprint {
-    let head = Content {
+    let head = RequestHead {
         workspace: Some("riggers"),
         method: "POST",
         host: "a.example",
         target,
     };
-    Fingerprinting::new(&head).finish()
+    FingerprintBuilder::new(&head).finish()
 }
 
 fn main() {
@@ -23,13 +23,13 @@
     for server in 1..=3 {
         // Both ran on the server when its connections broke. A refused connection confirms
         // that it ended.
-        quarantine.note_broken(crashing, &[server], 1, false, now);
+        quarantine.record_broken_connection(crashing, &[server], 1, false, now);
         if server == 1 {
-            quarantine.note_broken(beside, &[server], 1, false, now);
+            quarantine.record_broken_connection(beside, &[server], 1, false, now);
         }
-        quarantine.note_server_ended(server, false, now);
+        quarantine.record_server_ended(server, false, now);
         now = now.after(Duration::from_millis(400));
-        quarantine.pass_time(now);
+        quarantine.tick(now);
         println!(
             "after server {server}: {:?}",
             quarantine.verdict(crashing, now)
--- a/crates/notchwalk_quarantine/src/fingerprint.rs
+++ b/crates/notchwalk_quarantine/src/fingerprint.rs
@@ -51,7 +51,7 @@
 
 /// The parts of a request's head that identify its content.
 #[derive(Clone, Copy, Debug)]
-pub struct Content<'a> {
+pub struct RequestHead<'a> {
     /// The workspace of the caller's key; `None` on a route that requires no key.
     pub workspace: Option<&'a str>,
     /// The HTTP method.
@@ -64,12 +64,12 @@
 
 /// Computes a request's fingerprint while its body is streamed.
 #[derive(Debug)]
-pub struct Fingerprinting(blake3::Hasher);
+pub struct FingerprintBuilder(blake3::Hasher);
 
-impl Fingerprinting {
+impl FingerprintBuilder {
     /// Starts with the head. Each part is prefixed with its length, so that different
     /// heads never produce the same input.
-    pub fn new(content: &Content<'_>) -> Self {
+    pub fn new(content: &RequestHead<'_>) -> Self {
         let mut hasher = blake3::Hasher::new();
         hasher.update(&[u8::from(content.workspace.is_some())]);
         let parts = [
--- a/crates/notchwalk_quarantine/src/lib.rs
+++ b/crates/notchwalk_quarantine/src/lib.rs
@@ -43,8 +43,8 @@
 pub mod prelude;
 
 pub use error::FingerprintError;
-pub use fingerprint::{Content, Fingerprint, Fingerprinting};
+pub use fingerprint::{Fingerprint, FingerprintBuilder, RequestHead};
 pub use quarantine::Quarantine;
 pub use suspect::Crash;
-pub use update::News;
-pub use verdict::{EndReason, Finding, Quarantined, SuspectView, Verdict};
+pub use update::QuarantineUpdate;
+pub use verdict::{EndReason, QuarantineFinding, Quarantined, SuspectView, Verdict};
--- a/crates/notchwalk_quarantine/src/prelude.rs
+++ b/crates/notchwalk_quarantine/src/prelude.rs
@@ -1,3 +1,5 @@
 //! The commonly used types of this crate.
 
-pub use crate::{Content, Fingerprint, Fingerprinting, News, Quarantine, Verdict};
+pub use crate::{
+    Fingerprint, FingerprintBuilder, Quarantine, QuarantineUpdate, RequestHead, Verdict,
+};
--- a/crates/notchwalk_quarantine/src/quarantine/evidence.rs
+++ b/crates/notchwalk_quarantine/src/quarantine/evidence.rs
@@ -7,7 +7,7 @@
 use super::Quarantine;
 use crate::{
     suspect::{Crash, Runner, Suspect},
-    EndReason, Finding, Fingerprint,
+    EndReason, Fingerprint, QuarantineFinding,
 };
 
 /// How long a crash is retained.
@@ -37,15 +37,15 @@
         let suspect = self.suspects.entry(content).or_default();
         let is_new = suspect.add(crash);
         self.update_correlation(crash.at, now);
-        if is_new && crash.own {
-            let moments = self
+        if is_new && crash.observed_locally {
+            let incidents = self
                 .suspects
                 .get(&content)
                 .map_or(0, |s| s.incidents().count());
-            self.findings.push(Finding::Crashed {
+            self.findings.push(QuarantineFinding::Crashed {
                 content,
                 crash,
-                moments,
+                incidents,
             });
         }
     }
@@ -142,7 +142,8 @@
         suspect.clear(at);
         suspect.end_run(Runner::Local);
         if was_quarantined && suspect.period.is_none() {
-            self.findings.push(Finding::Ended { content, reason });
+            self.findings
+                .push(QuarantineFinding::Ended { content, reason });
         }
     }
 }
--- a/crates/notchwalk_quarantine/src/quarantine/judging.rs
+++ b/crates/notchwalk_quarantine/src/quarantine/judging.rs
@@ -10,8 +10,8 @@
 };
 use crate::{
     suspect::{Incidents, Period, Suspect},
-    update::{age_ms, saturating_ms, News},
-    EndReason, Finding, Fingerprint, Quarantined,
+    update::{age_ms, saturating_ms, QuarantineUpdate},
+    EndReason, Fingerprint, QuarantineFinding, Quarantined,
 };
 
 /// The score from which on a content is quarantined: three isolated incidents. With two,
@@ -46,7 +46,7 @@
 impl Quarantine {
     /// Advances the time: removes unconfirmed and old crashes, ends expired quarantines and
     /// declares new ones.
-    pub fn pass_time(&mut self, now: Instant) {
+    pub fn tick(&mut self, now: Instant) {
         if now.since(self.last_tick) < TICK_INTERVAL {
             return;
         }
@@ -67,7 +67,8 @@
                 suspect.period = None;
                 suspect.retain(|_| false);
                 let reason = EndReason::Lapsed;
-                self.findings.push(Finding::Ended { content, reason });
+                self.findings
+                    .push(QuarantineFinding::Ended { content, reason });
             }
         }
         self.declare_quarantines(now);
@@ -78,7 +79,7 @@
     /// of them is quarantined, since a quarantine removes crashes from other suspects.
     pub(super) fn declare_quarantines(&mut self, now: Instant) {
         let is_due = |suspect: &Suspect| {
-            let seen_here = suspect.crashes().iter().any(|crash| crash.own);
+            let seen_here = suspect.crashes().iter().any(|crash| crash.observed_locally);
             let delay = match seen_here {
                 true => DECLARATION_DELAY,
                 false => REMOTE_DECLARATION_DELAY,
@@ -96,10 +97,10 @@
                 .map_or(0, |s| s.quarantine_count)
                 + 1;
             let doublings = (times - 1).min(u32::BITS / 2);
-            let lasts = INITIAL_QUARANTINE.saturating_mul(1 << doublings);
+            let duration = INITIAL_QUARANTINE.saturating_mul(1 << doublings);
             let period = Period {
                 since: now,
-                until: now.after(lasts.min(MAX_QUARANTINE)),
+                until: now.after(duration.min(MAX_QUARANTINE)),
             };
             self.put_in_quarantine(content, period, times, true, now);
         }
@@ -110,7 +111,7 @@
         content: Fingerprint,
         period: Period,
         times: u32,
-        own: bool,
+        declared_locally: bool,
         now: Instant,
     ) {
         if now >= period.until {
@@ -126,8 +127,8 @@
         suspect.quarantine_count = suspect.quarantine_count.max(times);
         suspect.count_expires_at = period.until.after(period.until.since(period.since));
         let crashes = suspect.crashes().to_vec();
-        if own {
-            self.updates.push(News::Quarantined {
+        if declared_locally {
+            self.updates.push(QuarantineUpdate::Quarantined {
                 content,
                 age_ms: age_ms(period.since, now),
                 left_ms: saturating_ms(period.until.since(now)),
@@ -144,13 +145,14 @@
         for crash in &crashes {
             self.update_correlation(crash.at, now);
         }
-        self.findings.push(Finding::Quarantined(Quarantined {
-            content,
-            crashes,
-            lasts: period.until.since(now),
-            times,
-            own,
-        }));
+        self.findings
+            .push(QuarantineFinding::Quarantined(Quarantined {
+                content,
+                crashes,
+                duration: period.until.since(now),
+                quarantine_count: times,
+                declared_locally,
+            }));
     }
 }
 
@@ -170,7 +172,11 @@
     if incidents.count() > 1 {
         return 1.0;
     }
-    let others = suspect.crashes().iter().map(|crash| crash.others).min();
+    let others = suspect
+        .crashes()
+        .iter()
+        .map(|crash| crash.other_requests)
+        .min();
     REQUEST_CAUSE_PROBABILITY / f64::from(1 + others.unwrap_or(0))
 }
 
--- a/crates/notchwalk_quarantine/src/quarantine/mod.rs
+++ b/crates/notchwalk_quarantine/src/quarantine/mod.rs
@@ -19,8 +19,8 @@
 use crate::{
     recent::RecentSuccesses,
     suspect::{Crash, Runner, Suspect},
-    update::{age_ms, News},
-    EndReason, Finding, Fingerprint, SuspectView, Verdict,
+    update::{age_ms, QuarantineUpdate},
+    EndReason, Fingerprint, QuarantineFinding, SuspectView, Verdict,
 };
 use judging::{base_threshold, risk, HOLD_AFTER_EXTRA_RUN};
 
@@ -32,8 +32,8 @@
     /// Servers that ended, and when that was observed.
     ended_servers: HashMap<u32, Instant>,
     /// Updates to be published.
-    updates: Vec<News>,
-    findings: Vec<Finding>,
+    updates: Vec<QuarantineUpdate>,
+    findings: Vec<QuarantineFinding>,
     last_tick: Instant,
     /// Since when this node observes the ends of servers.
     observing_since: Option<Instant>,
@@ -43,7 +43,7 @@
     /// Returns the verdict on requests of this content.
     pub fn verdict(&self, content: Fingerprint, now: Instant) -> Verdict {
         let Some(suspect) = self.suspects.get(&content) else {
-            return Verdict::Free;
+            return Verdict::Allowed;
         };
         if let Some(period) = suspect.period.filter(|period| now < period.until) {
             return Verdict::Quarantined {
@@ -52,7 +52,7 @@
         }
         let incidents = suspect.incidents();
         if incidents.count() == 0 {
-            return Verdict::Free;
+            return Verdict::Allowed;
         }
         let score = incidents.score();
         let is_on_hold = now.since(suspect.last_crash()) < HOLD_AFTER_EXTRA_RUN;
@@ -60,11 +60,11 @@
             return Verdict::Held;
         }
         if suspect.is_running(now) && !self.recent.contains(content, now) {
-            return Verdict::Busy;
+            return Verdict::RunningElsewhere;
         }
         // A single correlated incident is too weak as evidence.
         if incidents.isolated == 0 && incidents.correlated < 2 {
-            return Verdict::Free;
+            return Verdict::Allowed;
         }
         Verdict::Suspected {
             risk: risk(suspect, incidents),
@@ -72,28 +72,28 @@
     }
 
     /// Records that a request was sent to a server.
-    pub fn note_sent(&mut self, content: Fingerprint, now: Instant) {
+    pub fn record_sent(&mut self, content: Fingerprint, now: Instant) {
         let Some(suspect) = self.suspects.get_mut(&content) else {
             return;
         };
         suspect.begin_run(Runner::Local, now);
-        self.updates.push(News::Running { content });
+        self.updates.push(QuarantineUpdate::Running { content });
     }
 
     /// Records that a run ended without evidence for or against its content.
-    pub fn note_idle(&mut self, content: Fingerprint) {
+    pub fn record_run_ended(&mut self, content: Fingerprint) {
         let Some(suspect) = self.suspects.get_mut(&content) else {
             return;
         };
         suspect.end_run(Runner::Local);
-        self.updates.push(News::Idle { content });
+        self.updates.push(QuarantineUpdate::Idle { content });
     }
 
     /// Records that the connection to a server broke while it was running a request.
     /// `servers` are the one that the request was sent to and its prefill workers: any of
     /// them may have ended. `others` is the number of other requests on the first of them.
     /// `silent` means that it stopped responding while the connection stayed open.
-    pub fn note_broken(
+    pub fn record_broken_connection(
         &mut self,
         content: Fingerprint,
         servers: &[u32],
@@ -101,20 +101,20 @@
         silent: bool,
         now: Instant,
     ) {
-        self.note_idle(content);
+        self.record_run_ended(content);
         for &server in servers {
             let crash = Crash {
                 server,
                 at: now,
-                others,
+                other_requests: others,
                 confirmed: false,
-                own: true,
+                observed_locally: true,
                 correlated: false,
                 probes: 0,
                 silent,
             };
             self.add(content, crash, now);
-            self.updates.push(News::Crashed {
+            self.updates.push(QuarantineUpdate::Crashed {
                 content,
                 server,
                 age_ms: 0,
@@ -125,31 +125,33 @@
     }
 
     /// Records a successful run, which clears the content.
-    pub fn note_succeeded(&mut self, content: Fingerprint, now: Instant) {
+    pub fn record_success(&mut self, content: Fingerprint, now: Instant) {
         self.recent.record(content, now);
         if !self.suspects.contains_key(&content) {
             return;
         }
         self.clear(content, now, EndReason::Succeeded);
-        self.updates.push(News::Succeeded { content, age_ms: 0 });
+        self.updates
+            .push(QuarantineUpdate::Succeeded { content, age_ms: 0 });
     }
 
     /// Records that a server was observed to have ended. `publish` is set if peers may not
     /// observe it themselves.
-    pub fn note_server_ended(&mut self, server: u32, publish: bool, now: Instant) {
+    pub fn record_server_ended(&mut self, server: u32, publish: bool, now: Instant) {
         let is_relevant = self.confirm(server, now);
         if is_relevant && publish {
-            self.updates.push(News::ServerEnded { server, age_ms: 0 });
+            self.updates
+                .push(QuarantineUpdate::ServerEnded { server, age_ms: 0 });
         }
     }
 
     /// Records that a server answered now, on the same connection, a request sent at
     /// `since`: it did not crash in between.
-    pub fn note_server_lived(&mut self, server: u32, since: Instant, now: Instant) {
+    pub fn record_server_alive(&mut self, server: u32, since: Instant, now: Instant) {
         if !self.refute(server, since, now) {
             return;
         }
-        self.updates.push(News::ServerAlive {
+        self.updates.push(QuarantineUpdate::ServerAlive {
             server,
             since_ms: age_ms(since, now),
             age_ms: 0,
@@ -161,14 +163,15 @@
         let is_known = self.suspects.contains_key(&content);
         if is_known {
             self.clear(content, now, EndReason::Released);
-            self.updates.push(News::Released { content, age_ms: 0 });
+            self.updates
+                .push(QuarantineUpdate::Released { content, age_ms: 0 });
         }
         is_known
     }
 
     /// Takes the servers whose port is due for a probe. Probes confirm a crash while the
     /// store is unavailable and no other request is sent to the server.
-    pub fn take_checks(&mut self, now: Instant) -> Vec<u32> {
+    pub fn take_probes(&mut self, now: Instant) -> Vec<u32> {
         let suspects = self.suspects.values_mut();
         let mut due: Vec<u32> = suspects.flat_map(|s| s.take_probes(now)).collect();
         due.sort_unstable();
@@ -177,33 +180,33 @@
     }
 
     /// Takes the updates to be published at once.
-    pub fn take_news(&mut self) -> Vec<News> {
+    pub fn take_updates(&mut self) -> Vec<QuarantineUpdate> {
         std::mem::take(&mut self.updates)
     }
 
     /// Tells whether there are updates to be published at once.
-    pub fn has_news(&self) -> bool {
+    pub fn has_updates(&self) -> bool {
         !self.updates.is_empty()
     }
 
     /// Takes the new findings.
-    pub fn take_findings(&mut self) -> Vec<Finding> {
+    pub fn take_findings(&mut self) -> Vec<QuarantineFinding> {
         std::mem::take(&mut self.findings)
     }
 
     /// Returns all suspects, for operators.
-    pub fn suspects(&self, now: Instant) -> Vec<SuspectView<'_>> {
+    pub fn suspect_views(&self, now: Instant) -> Vec<SuspectView<'_>> {
         let views = self.suspects.iter().map(|(&content, suspect)| SuspectView {
             content,
             crashes: suspect.crashes(),
             verdict: self.verdict(content, now),
-            times: suspect.quarantine_count,
+            quarantine_count: suspect.quarantine_count,
         });
         views.collect()
     }
 
     /// Returns the number of quarantined contents.
-    pub fn quarantined(&self, now: Instant) -> usize {
+    pub fn quarantined_count(&self, now: Instant) -> usize {
         let suspects = self.suspects.values();
         suspects.filter(|s| s.is_quarantined(now)).count()
     }
--- a/crates/notchwalk_quarantine/src/quarantine/peers.rs
+++ b/crates/notchwalk_quarantine/src/quarantine/peers.rs
@@ -7,7 +7,7 @@
 use super::{judging::MAX_QUARANTINE, Quarantine};
 use crate::{
     suspect::{Crash, Period, Runner},
-    update::{age_ms, saturating_ms, time_of, News},
+    update::{age_ms, saturating_ms, time_of, QuarantineUpdate},
     EndReason, Fingerprint,
 };
 
@@ -19,15 +19,15 @@
 
 impl Quarantine {
     /// Applies the updates of a peer.
-    pub fn hear(&mut self, peer: u32, updates: &[News], now: Instant) {
+    pub fn apply_updates(&mut self, peer: u32, updates: &[QuarantineUpdate], now: Instant) {
         for &update in updates {
             self.apply_update(peer, update, now);
         }
     }
 
-    fn apply_update(&mut self, peer: u32, update: News, now: Instant) {
+    fn apply_update(&mut self, peer: u32, update: QuarantineUpdate, now: Instant) {
         match update {
-            News::Crashed {
+            QuarantineUpdate::Crashed {
                 content,
                 server,
                 age_ms,
@@ -38,39 +38,40 @@
                 let crash = Crash {
                     server,
                     at,
-                    others,
+                    other_requests: others,
                     confirmed: false,
-                    own: false,
+                    observed_locally: false,
                     correlated: false,
                     probes: 0,
                     silent,
                 };
                 self.add(content, crash, now);
             }
-            News::ServerEnded { server, age_ms } => {
+            QuarantineUpdate::ServerEnded { server, age_ms } => {
                 self.confirm(server, time_of(age_ms, now));
             }
-            News::ServerAlive {
+            QuarantineUpdate::ServerAlive {
                 server,
                 since_ms,
                 age_ms,
             } => {
                 self.refute(server, time_of(since_ms, now), time_of(age_ms, now));
             }
-            News::Succeeded { content, age_ms } | News::Released { content, age_ms } => {
+            QuarantineUpdate::Succeeded { content, age_ms }
+            | QuarantineUpdate::Released { content, age_ms } => {
                 self.clear(content, time_of(age_ms, now), EndReason::Told);
             }
-            News::Running { content } => {
+            QuarantineUpdate::Running { content } => {
                 if let Some(suspect) = self.suspects.get_mut(&content) {
                     suspect.begin_run(Runner::Peer(peer), now);
                 }
             }
-            News::Idle { content } => {
+            QuarantineUpdate::Idle { content } => {
                 if let Some(suspect) = self.suspects.get_mut(&content) {
                     suspect.end_run(Runner::Peer(peer));
                 }
             }
-            News::Quarantined {
+            QuarantineUpdate::Quarantined {
                 content,
                 age_ms,
                 left_ms,
@@ -87,7 +88,7 @@
     }
 
     /// Ends the runs of a peer that is no longer a member.
-    pub fn forget_peer(&mut self, peer: u32) {
+    pub fn remove_peer(&mut self, peer: u32) {
         for suspect in self.suspects.values_mut() {
             suspect.end_run(Runner::Peer(peer));
         }
@@ -103,18 +104,18 @@
     }
 
     /// Returns the updates to rebroadcast: crashes that this node observed a short time ago.
-    /// With `whole`, also the quarantines, and older crashes of suspects with several
+    /// With `full`, also the quarantines, and older crashes of suspects with several
     /// incidents, for nodes that just started.
-    pub fn retold(&self, whole: bool, now: Instant) -> Vec<News> {
+    pub fn updates_to_rebroadcast(&self, full: bool, now: Instant) -> Vec<QuarantineUpdate> {
         let mut updates = Vec::new();
         for (&content, suspect) in &self.suspects {
-            if !whole {
+            if !full {
                 break;
             }
             let Some(period) = suspect.period.filter(|period| now < period.until) else {
                 continue;
             };
-            updates.push(News::Quarantined {
+            updates.push(QuarantineUpdate::Quarantined {
                 content,
                 age_ms: age_ms(period.since, now),
                 left_ms: saturating_ms(period.until.since(now)),
@@ -125,17 +126,17 @@
             if suspect.is_quarantined(now) {
                 continue;
             }
-            let repeated = whole && suspect.incidents().count() > 1;
+            let repeated = full && suspect.incidents().count() > 1;
             for crash in suspect.crashes() {
-                let recent = crash.own && now.since(crash.at) < REBROADCAST_PERIOD;
+                let recent = crash.observed_locally && now.since(crash.at) < REBROADCAST_PERIOD;
                 if !recent && !repeated {
                     continue;
                 }
-                updates.push(News::Crashed {
+                updates.push(QuarantineUpdate::Crashed {
                     content,
                     server: crash.server,
                     age_ms: age_ms(crash.at, now),
-                    others: crash.others,
+                    others: crash.other_requests,
                     silent: crash.silent,
                 });
             }
--- a/crates/notchwalk_quarantine/src/suspect.rs
+++ b/crates/notchwalk_quarantine/src/suspect.rs
@@ -33,11 +33,11 @@
     /// When the connection broke.
     pub at: Instant,
     /// Number of other requests running on the server.
-    pub others: u16,
+    pub other_requests: u16,
     /// Whether independent evidence shows that the server ended.
     pub confirmed: bool,
     /// Whether this node observed the crash itself.
-    pub own: bool,
+    pub observed_locally: bool,
     /// Whether servers that did not run the content were lost at the same time, which
     /// indicates a common cause.
     pub correlated: bool,
@@ -140,7 +140,7 @@
                 known.at = crash.at;
             }
             known.confirmed |= crash.confirmed;
-            known.own |= crash.own;
+            known.observed_locally |= crash.observed_locally;
             self.crashes.sort_by_key(|crash| crash.at);
             return is_later;
         }
@@ -187,7 +187,7 @@
         for crash in &mut self.crashes {
             let next = PROBE_DELAYS.get(usize::from(crash.probes));
             let is_due = next.is_some_and(|&after| now.since(crash.at) >= after);
-            if crash.own && !crash.confirmed && is_due {
+            if crash.observed_locally && !crash.confirmed && is_due {
                 crash.probes += 1;
                 due.push(crash.server);
             }
--- a/crates/notchwalk_quarantine/src/update.rs
+++ b/crates/notchwalk_quarantine/src/update.rs
@@ -11,7 +11,7 @@
 /// One update. Ages are in milliseconds, since nodes share no clock. A server is
 /// identified by the short id of its incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum News {
+pub enum QuarantineUpdate {
     /// A server appears to have crashed while running a request.
     Crashed {
         /// The request's content.
--- a/crates/notchwalk_quarantine/src/verdict.rs
+++ b/crates/notchwalk_quarantine/src/verdict.rs
@@ -10,14 +10,14 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
     /// There is no evidence against it.
-    Free,
+    Allowed,
     /// It may run, preferably where a crash affects the fewest requests.
     Suspected {
         /// The estimated probability that it crashes its server, 0 to 1.
         risk: f64,
     },
     /// It may run once the current run of the same content has ended.
-    Busy,
+    RunningElsewhere,
     /// It may not run until its latest crashes are confirmed or ruled out.
     Held,
     /// It may not run while it is quarantined.
@@ -35,16 +35,16 @@
     /// The crashes known to this node for which it is quarantined.
     pub crashes: Vec<Crash>,
     /// The duration of the quarantine.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// Number of quarantines so far, including this one.
-    pub times: u32,
+    pub quarantine_count: u32,
     /// Whether this node declared it; otherwise it was received from a peer or restored.
-    pub own: bool,
+    pub declared_locally: bool,
 }
 
 /// A new finding, to be logged, counted in metrics and persisted in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Finding {
+pub enum QuarantineFinding {
     /// A server appears to have crashed while running a request of this node.
     Crashed {
         /// The request's content.
@@ -52,7 +52,7 @@
         /// The crash.
         crash: Crash,
         /// Number of separate incidents so far.
-        moments: u32,
+        incidents: u32,
     },
     /// A content was quarantined.
     Quarantined(Quarantined),
@@ -88,5 +88,5 @@
     /// The current verdict.
     pub verdict: Verdict,
     /// Number of quarantines so far.
-    pub times: u32,
+    pub quarantine_count: u32,
 }
--- a/crates/notchwalk_quarantine/tests/convergence.rs
+++ b/crates/notchwalk_quarantine/tests/convergence.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use notchwalk_core::Instant;
-use notchwalk_quarantine::{Fingerprint, News, Quarantine, Verdict};
+use notchwalk_quarantine::{Fingerprint, Quarantine, QuarantineUpdate, Verdict};
 use proptest::{
     prelude::*,
     test_runner::{Config, RngAlgorithm, TestRng, TestRunner},
@@ -80,15 +80,15 @@
                 }
                 self.servers += 1;
                 let server = self.servers;
-                self.nodes[node].note_sent(content, self.now);
-                self.nodes[node].note_broken(content, &[server], 3, false, self.now);
+                self.nodes[node].record_sent(content, self.now);
+                self.nodes[node].record_broken_connection(content, &[server], 3, false, self.now);
                 for quarantine in self.nodes.iter_mut().filter(|_| confirmed) {
-                    quarantine.note_server_ended(server, false, self.now);
+                    quarantine.record_server_ended(server, false, self.now);
                 }
             }
             Op::Succeed { node, content } => {
                 let content = Fingerprint::from(content);
-                self.nodes[node].note_succeeded(content, self.now);
+                self.nodes[node].record_success(content, self.now);
             }
             Op::Deliver {
                 from,
@@ -96,14 +96,14 @@
                 lost,
                 duplicated,
             } => {
-                let updates = self.nodes[from].take_news();
+                let updates = self.nodes[from].take_updates();
                 if lost || from == to {
                     return;
                 }
-                let reversed: Vec<News> = updates.iter().rev().copied().collect();
-                self.nodes[to].hear(from as u32, &reversed, self.now);
+                let reversed: Vec<QuarantineUpdate> = updates.iter().rev().copied().collect();
+                self.nodes[to].apply_updates(from as u32, &reversed, self.now);
                 if duplicated {
-                    self.nodes[to].hear(from as u32, &updates, self.now);
+                    self.nodes[to].apply_updates(from as u32, &updates, self.now);
                 }
             }
             Op::Advance(ms) => self.advance(ms),
@@ -113,7 +113,7 @@
     fn advance(&mut self, ms: u64) {
         self.now = self.now.after(Duration::from_millis(ms));
         for quarantine in &mut self.nodes {
-            quarantine.pass_time(self.now);
+            quarantine.tick(self.now);
         }
     }
 
@@ -121,15 +121,15 @@
     fn settle(&mut self) {
         for _ in 0..40 {
             self.advance(250);
-            let rebroadcasts: Vec<Vec<News>> = self
+            let rebroadcasts: Vec<Vec<QuarantineUpdate>> = self
                 .nodes
                 .iter()
-                .map(|quarantine| quarantine.retold(true, self.now))
+                .map(|quarantine| quarantine.updates_to_rebroadcast(true, self.now))
                 .collect();
             for (from, updates) in rebroadcasts.iter().enumerate() {
                 for (to, quarantine) in self.nodes.iter_mut().enumerate() {
                     if from != to {
-                        quarantine.hear(from as u32, updates, self.now);
+                        quarantine.apply_updates(from as u32, updates, self.now);
                     }
                 }
             }
--- a/crates/notchwalk_quarantine/tests/fingerprints.rs
+++ b/crates/notchwalk_quarantine/tests/fingerprints.rs
@@ -1,16 +1,16 @@
 //! Which requests have the same fingerprint.
 
-use notchwalk_quarantine::{Content, Fingerprint, Fingerprinting};
+use notchwalk_quarantine::{Fingerprint, FingerprintBuilder, RequestHead};
 
-const HEAD: Content<'static> = Content {
+const HEAD: RequestHead<'static> = RequestHead {
     workspace: Some("riggers"),
     method: "POST",
     host: "a.example",
     target: "/short/1?page=2",
 };
 
-fn fingerprint(content: &Content<'_>, chunks: &[&str]) -> Fingerprint {
-    let mut fingerprinting = Fingerprinting::new(content);
+fn fingerprint(content: &RequestHead<'_>, chunks: &[&str]) -> Fingerprint {
+    let mut fingerprinting = FingerprintBuilder::new(content);
     for chunk in chunks {
         fingerprinting.update(chunk.as_bytes());
     }
@@ -26,28 +26,28 @@
 #[test]
 fn requests_that_differ_in_one_part_have_different_fingerprints() {
     let others = [
-        Content {
+        RequestHead {
             workspace: Some("booking"),
             ..HEAD
         },
-        Content {
+        RequestHead {
             workspace: None,
             ..HEAD
         },
-        Content {
+        RequestHead {
             method: "GET",
             ..HEAD
         },
-        Content {
+        RequestHead {
             host: "b.example",
             ..HEAD
         },
-        Content {
+        RequestHead {
             target: "/short/1?page=3",
             ..HEAD
         },
         // The same text, split at another position.
-        Content {
+        RequestHead {
             host: "a.example/short",
             target: "/1?page=2",
             ..HEAD
@@ -67,11 +67,11 @@
 /// route that requires no key.
 #[test]
 fn empty_workspace_name_differs_from_no_workspace() {
-    let none = Content {
+    let none = RequestHead {
         workspace: None,
         ..HEAD
     };
-    let empty = Content {
+    let empty = RequestHead {
         workspace: Some(""),
         ..HEAD
     };
--- a/crates/notchwalk_quarantine/tests/rules.rs
+++ b/crates/notchwalk_quarantine/tests/rules.rs
@@ -3,7 +3,9 @@
 use std::time::Duration;
 
 use notchwalk_core::Instant;
-use notchwalk_quarantine::{EndReason, Finding, Fingerprint, News, Quarantine, Verdict};
+use notchwalk_quarantine::{
+    EndReason, Fingerprint, Quarantine, QuarantineFinding, QuarantineUpdate, Verdict,
+};
 
 const START: Instant = Instant::from_millis(3_600_000);
 
@@ -27,13 +29,13 @@
 
     fn advance(&mut self, ms: u64) {
         self.now = self.now.after(Duration::from_millis(ms));
-        self.quarantine.pass_time(self.now);
+        self.quarantine.tick(self.now);
     }
 
     /// The connection to a server breaks while it runs a content.
     fn break_connection(&mut self, content: Fingerprint, server: u32) {
         self.quarantine
-            .note_broken(content, &[server], 9, false, self.now);
+            .record_broken_connection(content, &[server], 9, false, self.now);
     }
 
     /// The same, and the server is observed to have ended.
@@ -43,11 +45,11 @@
     }
 
     fn end_server(&mut self, server: u32) {
-        self.quarantine.note_server_ended(server, false, self.now);
+        self.quarantine.record_server_ended(server, false, self.now);
     }
 
     fn succeed(&mut self, content: Fingerprint) {
-        self.quarantine.note_succeeded(content, self.now);
+        self.quarantine.record_success(content, self.now);
     }
 
     fn verdict(&self, content: Fingerprint) -> Verdict {
@@ -59,13 +61,13 @@
     }
 
     fn is_free(&self, content: Fingerprint) -> bool {
-        self.verdict(content) == Verdict::Free
+        self.verdict(content) == Verdict::Allowed
     }
 
     /// Delivers all pending updates to another node.
     fn send_updates(&mut self, other: &mut Self) {
-        let updates = self.quarantine.take_news();
-        other.quarantine.hear(1, &updates, other.now);
+        let updates = self.quarantine.take_updates();
+        other.quarantine.apply_updates(1, &updates, other.now);
     }
 
     /// Crashes three servers with a content.
@@ -103,7 +105,7 @@
     let quarantined = node.quarantine.take_findings().into_iter();
     let quarantined: Vec<u32> = quarantined
         .filter_map(|finding| match finding {
-            Finding::Quarantined(found) => Some(found),
+            QuarantineFinding::Quarantined(found) => Some(found),
             _ => None,
         })
         .flat_map(|found| found.crashes.into_iter().map(|crash| crash.server))
@@ -148,16 +150,16 @@
     node.crash(good, 1);
     // A response read right after the crash may have arrived before it.
     node.advance(50);
-    node.quarantine.note_server_lived(1, sent, node.now);
+    node.quarantine.record_server_alive(1, sent, node.now);
     assert!(!node.is_free(good));
     node.advance(100);
-    node.quarantine.note_server_lived(1, sent, node.now);
+    node.quarantine.record_server_alive(1, sent, node.now);
     assert!(node.is_free(good));
     // A request sent after the crash may be answered by the server's next incarnation.
     node.crash(good, 1);
     let sent = node.now.after(Duration::from_millis(50));
     node.advance(500);
-    node.quarantine.note_server_lived(1, sent, node.now);
+    node.quarantine.record_server_alive(1, sent, node.now);
     assert!(!node.is_free(good));
 }
 
@@ -186,7 +188,7 @@
     node.now = other.now;
     other.send_updates(&mut node);
     assert!(node.is_free(good) && other.is_free(good));
-    let ended = |finding: &Finding| matches!(finding, Finding::Ended { reason, .. } if *reason == EndReason::Told);
+    let ended = |finding: &QuarantineFinding| matches!(finding, QuarantineFinding::Ended { reason, .. } if *reason == EndReason::Told);
     assert!(node.quarantine.take_findings().iter().any(ended));
 }
 
@@ -206,14 +208,14 @@
     assert!(node.is_quarantined(bad));
     assert!(node.is_free(beside));
     // An update that arrives late does not count either.
-    let late = News::Crashed {
+    let late = QuarantineUpdate::Crashed {
         content: beside,
         server: 1,
         age_ms: 600,
         others: 9,
         silent: false,
     };
-    node.quarantine.hear(1, &[late], node.now);
+    node.quarantine.apply_updates(1, &[late], node.now);
     assert!(node.is_free(beside));
 }
 
@@ -222,7 +224,7 @@
     let (mut node, bad) = (Node::new(), content(1));
     for server in 0..3 {
         node.quarantine
-            .note_broken(bad, &[server], 0, true, node.now);
+            .record_broken_connection(bad, &[server], 0, true, node.now);
         node.advance(300);
     }
     assert!(node.is_free(bad));
@@ -274,20 +276,20 @@
     let (mut node, mut peer, bad) = (Node::new(), Node::new(), content(1));
     node.crash(bad, 1);
     node.send_updates(&mut peer);
-    peer.quarantine.note_sent(bad, peer.now);
-    assert_eq!(peer.verdict(bad), Verdict::Busy);
+    peer.quarantine.record_sent(bad, peer.now);
+    assert_eq!(peer.verdict(bad), Verdict::RunningElsewhere);
     peer.send_updates(&mut node);
-    assert_eq!(node.verdict(bad), Verdict::Busy);
-    peer.quarantine.note_idle(bad);
+    assert_eq!(node.verdict(bad), Verdict::RunningElsewhere);
+    peer.quarantine.record_run_ended(bad);
     peer.send_updates(&mut node);
     assert!(matches!(node.verdict(bad), Verdict::Suspected { .. }));
     // The update of the end may be lost, and the peer may be removed.
     for lost in [true, false] {
-        peer.quarantine.note_sent(bad, peer.now);
+        peer.quarantine.record_sent(bad, peer.now);
         peer.send_updates(&mut node);
         match lost {
             true => node.advance(3_100),
-            false => node.quarantine.forget_peer(1),
+            false => node.quarantine.remove_peer(1),
         }
         assert!(matches!(node.verdict(bad), Verdict::Suspected { .. }));
     }
@@ -300,7 +302,7 @@
     node.succeed(popular);
     node.advance(100);
     node.crash(popular, 1);
-    node.quarantine.note_sent(popular, node.now);
+    node.quarantine.record_sent(popular, node.now);
     assert!(matches!(node.verdict(popular), Verdict::Suspected { .. }));
 }
 
@@ -331,13 +333,13 @@
     assert!(node.is_free(bad) && other.is_free(bad));
     assert!(!node.quarantine.release(content(9), node.now));
     // A rebroadcast of the ended quarantine does not restore it.
-    let old = News::Quarantined {
+    let old = QuarantineUpdate::Quarantined {
         content: bad,
         age_ms: 2_000,
         left_ms: 500_000,
         times: 1,
     };
-    node.quarantine.hear(1, &[old], node.now);
+    node.quarantine.apply_updates(1, &[old], node.now);
     assert!(node.is_free(bad));
 }
 
@@ -362,12 +364,11 @@
             node.advance(1);
         }
     }
-    assert!(node.quarantine.suspects(node.now).len() <= 512);
+    assert!(node.quarantine.suspect_views(node.now).len() <= 512);
     assert!(node.is_quarantined(bad));
-    assert!(node.quarantine.retold(true, node.now).len() <= 24);
-    let updates = node.quarantine.retold(true, node.now);
-    let is_it =
-        |update: &News| matches!(update, News::Quarantined { content, .. } if *content == bad);
+    assert!(node.quarantine.updates_to_rebroadcast(true, node.now).len() <= 24);
+    let updates = node.quarantine.updates_to_rebroadcast(true, node.now);
+    let is_it = |update: &QuarantineUpdate| matches!(update, QuarantineUpdate::Quarantined { content, .. } if *content == bad);
     assert!(updates.iter().any(is_it));
 }
 
@@ -456,7 +457,10 @@
     let (mut node, bad) = (Node::new(), content(1));
     let mut crashes = 0;
     for round in 0..40 {
-        let may_run = matches!(node.verdict(bad), Verdict::Free | Verdict::Suspected { .. });
+        let may_run = matches!(
+            node.verdict(bad),
+            Verdict::Allowed | Verdict::Suspected { .. }
+        );
         if may_run {
             crashes += 1;
             node.crash(bad, round * 10);
@@ -485,8 +489,10 @@
     let mut later = Node::new();
     later.now = observer.now;
     later.advance(1);
-    let updates = observer.quarantine.retold(true, observer.now);
-    later.quarantine.hear(1, &updates, later.now);
+    let updates = observer
+        .quarantine
+        .updates_to_rebroadcast(true, observer.now);
+    later.quarantine.apply_updates(1, &updates, later.now);
     for round in 0..4 {
         later.end_server(round * 10);
     }
--- a/crates/notchwalk_relay/src/front/accept.rs
+++ b/crates/notchwalk_relay/src/front/accept.rs
@@ -6,7 +6,7 @@
 use http::StatusCode;
 use notchwalk_core::Instant;
 use notchwalk_http::prelude::*;
-use notchwalk_quarantine::{Content, Fingerprint, Fingerprinting};
+use notchwalk_quarantine::{Fingerprint, FingerprintBuilder, RequestHead};
 use notchwalk_route::{host_name, RequestFacts, RequestKey, RouteLookup, WorkspaceTag};
 
 use super::Front;
@@ -179,9 +179,9 @@
 }
 
 /// Starts the fingerprint of a request from its head.
-fn fingerprinting(exchange: &Exchange, workspace: Option<&str>) -> Fingerprinting {
+fn fingerprinting(exchange: &Exchange, workspace: Option<&str>) -> FingerprintBuilder {
     let head = &exchange.head;
-    Fingerprinting::new(&Content {
+    FingerprintBuilder::new(&RequestHead {
         workspace,
         method: head.method.as_str(),
         host: &host_name(host(exchange)),
--- a/crates/notchwalk_relay/src/operator.rs
+++ b/crates/notchwalk_relay/src/operator.rs
@@ -43,7 +43,7 @@
     /// Returns the numbers of open requests and of quarantined contents.
     fn counts(&self) -> (usize, usize) {
         let router = self.shell.router.borrow();
-        let quarantined = router.quarantine().quarantined(self.shell.now());
+        let quarantined = router.quarantine().quarantined_count(self.shell.now());
         (router.open_requests(), quarantined)
     }
 
--- a/crates/notchwalk_relay/src/peer_link.rs
+++ b/crates/notchwalk_relay/src/peer_link.rs
@@ -10,7 +10,7 @@
 use monoio::net::udp::UdpSocket;
 use notchwalk_core::{LogEvent, LogEventKind};
 use notchwalk_platform::StoreVersion;
-use notchwalk_quarantine::News;
+use notchwalk_quarantine::QuarantineUpdate;
 use notchwalk_route::{Event, PeerWork, Told, ToldLimit};
 use serde_tuple::{Deserialize_tuple, Serialize_tuple};
 
@@ -55,7 +55,7 @@
     work: Vec<PeerWork>,
     /// Suspected contents.
     #[serde(default)]
-    suspects: Vec<News>,
+    suspects: Vec<QuarantineUpdate>,
     /// Incarnations of servers that announced to the sender that they are draining.
     #[serde(default)]
     draining: Vec<u32>,
@@ -104,7 +104,7 @@
 fn with_suspects(
     shell: &Shell,
     mut messages: Vec<PeerMessage>,
-    suspects: &[News],
+    suspects: &[QuarantineUpdate],
 ) -> Vec<PeerMessage> {
     for chunk in suspects.chunks(MAX_SUSPECTS_PER_DATAGRAM) {
         let mut outgoing = message(shell, Vec::new(), Vec::new());
@@ -225,7 +225,11 @@
         };
         let outgoing = heartbeat_messages(&shell, servers, work, Told::FirstHand);
         let whole = beat % FULL_UPDATE_HEARTBEATS == 0;
-        let suspects = shell.router.borrow().quarantine().retold(whole, now);
+        let suspects = shell
+            .router
+            .borrow()
+            .quarantine()
+            .updates_to_rebroadcast(whole, now);
         let to = shell.peers.borrow_mut().next_heartbeat_targets();
         send(&socket, &to, with_suspects(&shell, outgoing, &suspects)).await;
         shell.peers.borrow_mut().repeat_sync();
--- a/crates/notchwalk_relay/src/quarantine.rs
+++ b/crates/notchwalk_relay/src/quarantine.rs
@@ -12,7 +12,9 @@
 use notchwalk_daemon::Backoff;
 use notchwalk_http::prelude::*;
 use notchwalk_platform::{Row, RowWrite};
-use notchwalk_quarantine::{Crash, EndReason, Finding, Fingerprint, Quarantined, Verdict};
+use notchwalk_quarantine::{
+    Crash, EndReason, Fingerprint, QuarantineFinding, Quarantined, Verdict,
+};
 use notchwalk_route::{Event, Fleet};
 use serde_tuple::{Deserialize_tuple, Serialize_tuple};
 
@@ -43,24 +45,24 @@
 }
 
 /// Logs, counts and persists a finding.
-pub(crate) fn handle_finding(shell: &Rc<Shell>, finding: Finding) {
+pub(crate) fn handle_finding(shell: &Rc<Shell>, finding: QuarantineFinding) {
     match finding {
-        Finding::Crashed {
+        QuarantineFinding::Crashed {
             content,
             crash,
-            moments,
-        } => log_crash(shell, content, &crash, moments),
-        Finding::Quarantined(quarantined) => {
+            incidents,
+        } => log_crash(shell, content, &crash, incidents),
+        QuarantineFinding::Quarantined(quarantined) => {
             log_quarantined(shell, &quarantined);
-            if quarantined.own {
+            if quarantined.declared_locally {
                 monoio::spawn(persist(
                     shell.clone(),
                     quarantined.content,
-                    quarantined.times,
+                    quarantined.quarantine_count,
                 ));
             }
         }
-        Finding::Ended { content, reason } => {
+        QuarantineFinding::Ended { content, reason } => {
             let facts = format!("content={content} reason={reason:?}");
             LogEvent::new(LogEventKind::QuarantineEnded, facts).emit();
             if matches!(reason, EndReason::Succeeded | EndReason::Released) {
@@ -82,20 +84,20 @@
     }
 }
 
-fn log_crash(shell: &Shell, content: Fingerprint, crash: &Crash, moments: u32) {
+fn log_crash(shell: &Shell, content: Fingerprint, crash: &Crash, incidents: u32) {
     shell.metrics.suspected_crashes.inc();
     let router = shell.router.borrow();
     let facts = format!(
-        "content={content} server={} others={} silent={} moments={moments}",
+        "content={content} server={} others={} silent={} moments={incidents}",
         server_name(router.fleet(), crash.server),
-        crash.others,
+        crash.other_requests,
         crash.silent
     );
     LogEvent::new(LogEventKind::CrashSuspected, facts).emit();
 }
 
 fn log_quarantined(shell: &Shell, quarantined: &Quarantined) {
-    if quarantined.own {
+    if quarantined.declared_locally {
         shell.metrics.quarantines.inc();
     }
     let router = shell.router.borrow();
@@ -109,9 +111,9 @@
     let facts = format!(
         "content={} lasts_s={} times={} declared_here={} crashes={}",
         quarantined.content,
-        quarantined.lasts.as_secs(),
-        quarantined.times,
-        quarantined.own,
+        quarantined.duration.as_secs(),
+        quarantined.quarantine_count,
+        quarantined.declared_locally,
         crashes.join(",")
     );
     LogEvent::new(LogEventKind::RequestQuarantined, facts).emit();
@@ -152,10 +154,10 @@
     let now = shell.now();
     let missing: Vec<(Fingerprint, u32)> = {
         let router = shell.router.borrow();
-        let suspects = router.quarantine().suspects(now).into_iter();
+        let suspects = router.quarantine().suspect_views(now).into_iter();
         let quarantined = suspects.filter(|s| matches!(s.verdict, Verdict::Quarantined { .. }));
         let missing = quarantined.filter(|s| !stored.contains(&key_of(s.content)));
-        missing.map(|s| (s.content, s.times)).collect()
+        missing.map(|s| (s.content, s.quarantine_count)).collect()
     };
     for &(content, times) in &missing {
         persist(shell.clone(), content, times).await;
@@ -228,7 +230,7 @@
 pub(crate) fn state(shell: &Shell) -> Vec<serde_json::Value> {
     let (router, now) = (shell.router.borrow(), shell.now());
     let fleet = router.fleet();
-    let suspects = router.quarantine().suspects(now);
+    let suspects = router.quarantine().suspect_views(now);
     let suspects = suspects.into_iter().map(|suspect| {
         let crashes: Vec<serde_json::Value> = suspect
             .crashes
@@ -237,17 +239,17 @@
                 serde_json::json!({
                     "server": server_name(fleet, crash.server),
                     "age_ms": now.since(crash.at).as_millis() as u64,
-                    "others": crash.others,
+                    "others": crash.other_requests,
                     "confirmed": crash.confirmed,
                     "silent": crash.silent,
-                    "seen_here": crash.own,
+                    "seen_here": crash.observed_locally,
                 })
             })
             .collect();
         let (label, left) = match suspect.verdict {
-            Verdict::Free => ("free", None),
+            Verdict::Allowed => ("free", None),
             Verdict::Suspected { .. } => ("suspected", None),
-            Verdict::Busy => ("runs_elsewhere", None),
+            Verdict::RunningElsewhere => ("runs_elsewhere", None),
             Verdict::Held => ("held", None),
             Verdict::Quarantined { until } => ("quarantined", Some(until.since(now))),
         };
@@ -255,7 +257,7 @@
             "content": suspect.content.to_string(),
             "verdict": label,
             "left_ms": left.map(|left| left.as_millis() as u64),
-            "times": suspect.times,
+            "times": suspect.quarantine_count,
             "crashes": crashes,
         })
     });
--- a/crates/notchwalk_relay/src/store_repair.rs
+++ b/crates/notchwalk_relay/src/store_repair.rs
@@ -47,7 +47,13 @@
 
 /// Writes the quarantines missing from the store; returns their number.
 async fn write_quarantines(shell: &Rc<Shell>) -> usize {
-    if shell.router.borrow().quarantine().quarantined(shell.now()) == 0 {
+    if shell
+        .router
+        .borrow()
+        .quarantine()
+        .quarantined_count(shell.now())
+        == 0
+    {
         return 0;
     }
     let rank = shell.peers.borrow().rank(shell.now());
--- a/crates/notchwalk_route/src/effect.rs
+++ b/crates/notchwalk_route/src/effect.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, time::Duration};
 
 use notchwalk_core::Instant;
-use notchwalk_quarantine::Finding;
+use notchwalk_quarantine::QuarantineFinding;
 
 use crate::{RequestKey, ServerKey, ServerWord};
 
@@ -147,7 +147,7 @@
         addr: SocketAddr,
     },
     /// Report a finding on requests during which servers crashed.
-    Found(Finding),
+    Found(QuarantineFinding),
     /// Report a new notice from a server.
     Heard {
         /// The server.
--- a/crates/notchwalk_route/src/event.rs
+++ b/crates/notchwalk_route/src/event.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use notchwalk_quarantine::{Fingerprint, News};
+use notchwalk_quarantine::{Fingerprint, QuarantineUpdate};
 
 use crate::{
     Group, PeerWork, RequestFacts, RequestKey, ReservationOrder, ServerChange, ServerKey,
@@ -111,7 +111,7 @@
         /// The peer's number on this node.
         peer: u32,
         /// The updates.
-        news: Vec<News>,
+        news: Vec<QuarantineUpdate>,
     },
     /// No process listens at a server's address any more.
     NotListening {
--- a/crates/notchwalk_route/src/router/mod.rs
+++ b/crates/notchwalk_route/src/router/mod.rs
@@ -244,11 +244,11 @@
             Event::PeerGone { peer } => {
                 self.load_view.forget_peer(peer);
                 self.fleet.forget_sends_of(peer);
-                self.quarantine.forget_peer(peer);
+                self.quarantine.remove_peer(peer);
             }
             Event::News { peer, news } => self.apply_quarantine_updates(peer, &news, now),
             Event::NotListening { server } => {
-                self.quarantine.note_server_ended(server, true, now);
+                self.quarantine.record_server_ended(server, true, now);
             }
             Event::Restored {
                 content,
@@ -301,7 +301,7 @@
             }
             // The end of a draining server is no evidence about a request.
             if !removed.left {
-                self.quarantine.note_server_ended(removed.tag, false, now);
+                self.quarantine.record_server_ended(removed.tag, false, now);
             }
             self.release_unstarted_reservations(removed.key, now, out);
         }
@@ -337,7 +337,7 @@
     fn tick(&mut self, now: Instant, out: &mut Vec<Effect>) {
         self.load_view
             .forget_silent_peers(now.before(PEER_WORK_TTL));
-        self.quarantine.pass_time(now);
+        self.quarantine.tick(now);
         self.probe_servers(now, out);
         self.fleet.forget_ended_limits(now);
         for server in self.fleet.used_up_limits(now) {
--- a/crates/notchwalk_route/src/router/sending.rs
+++ b/crates/notchwalk_route/src/router/sending.rs
@@ -143,7 +143,7 @@
             server.wants_work(now),
             "work assigned to a server that is draining or backing off"
         );
-        self.quarantine.note_sent(request.facts.content, now);
+        self.quarantine.record_sent(request.facts.content, now);
         let is_engine = request.facts.prompt_tokens > 0;
         request.sent_at = now;
         request.predicted_first = after_ms(now, plan.ttft_ms);
--- a/crates/notchwalk_route/src/router/suspects.rs
+++ b/crates/notchwalk_route/src/router/suspects.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use notchwalk_core::Instant;
-use notchwalk_quarantine::{Fingerprint, News, Quarantine, Verdict};
+use notchwalk_quarantine::{Fingerprint, Quarantine, QuarantineUpdate, Verdict};
 
 use super::Router;
 use crate::{request::Request, shares::tag_of, AttemptEnd, Effect, Refusal, RequestKey, ServerKey};
@@ -31,20 +31,22 @@
     }
 
     /// Takes the quarantine updates to broadcast to peers.
-    pub fn take_news(&mut self) -> Vec<News> {
-        self.quarantine.take_news()
+    pub fn take_news(&mut self) -> Vec<QuarantineUpdate> {
+        self.quarantine.take_updates()
     }
 
     /// Checks a request's content against the quarantine.
     pub(super) fn check_content(&self, request: &Request, now: Instant) -> ContentCheck {
         match self.quarantine.verdict(request.facts.content, now) {
-            Verdict::Free | Verdict::Suspected { .. } => ContentCheck::Allowed,
+            Verdict::Allowed | Verdict::Suspected { .. } => ContentCheck::Allowed,
             Verdict::Quarantined { .. } => ContentCheck::Refuse(Refusal::Quarantined),
             Verdict::Held => ContentCheck::Refuse(Refusal::Suspected),
-            Verdict::Busy if now.since(request.waits_since) < MAX_WAIT_FOR_OTHER_RUN => {
+            Verdict::RunningElsewhere
+                if now.since(request.waits_since) < MAX_WAIT_FOR_OTHER_RUN =>
+            {
                 ContentCheck::Wait
             }
-            Verdict::Busy => ContentCheck::Refuse(Refusal::Suspected),
+            Verdict::RunningElsewhere => ContentCheck::Refuse(Refusal::Suspected),
         }
     }
 
@@ -95,16 +97,16 @@
                 }
         );
         if let Some(tag) = tag.filter(|_| answered) {
-            self.quarantine.note_server_lived(tag, sent_at, now);
+            self.quarantine.record_server_alive(tag, sent_at, now);
         }
         match end {
-            AttemptEnd::Delivered { healthy: true } => self.quarantine.note_succeeded(content, now),
+            AttemptEnd::Delivered { healthy: true } => self.quarantine.record_success(content, now),
             AttemptEnd::Broken => self.record_crash(key, server, false, now),
             AttemptEnd::Silent => self.record_crash(key, server, true, now),
             AttemptEnd::NotConnected | AttemptEnd::NotRun { moved: true, .. } => {
-                self.quarantine.note_idle(content);
+                self.quarantine.record_run_ended(content);
                 if let Some(tag) = tag {
-                    self.quarantine.note_server_ended(tag, true, now);
+                    self.quarantine.record_server_ended(tag, true, now);
                 }
             }
             AttemptEnd::NotRun {
@@ -117,12 +119,13 @@
                 let was_alive = |&key: &ServerKey| self.fleet.was_heard_since(key, sent_at);
                 match worker.filter(was_alive).and_then(|key| self.tag(key)) {
                     Some(tag) => {
-                        self.quarantine.note_broken(content, &[tag], 0, false, now);
+                        self.quarantine
+                            .record_broken_connection(content, &[tag], 0, false, now);
                     }
-                    None => self.quarantine.note_idle(content),
+                    None => self.quarantine.record_run_ended(content),
                 }
             }
-            _ => self.quarantine.note_idle(content),
+            _ => self.quarantine.record_run_ended(content),
         }
     }
 
@@ -136,12 +139,12 @@
         let servers = std::iter::once(&server).chain(&request.helpers);
         let tags: Vec<u32> = servers.filter_map(|&key| self.crashed_tag(key)).collect();
         if tags.is_empty() {
-            return self.quarantine.note_idle(content);
+            return self.quarantine.record_run_ended(content);
         }
         let others = self.load_view.on(server).len().saturating_sub(1);
         let others = u16::try_from(others).unwrap_or(u16::MAX);
         self.quarantine
-            .note_broken(content, &tags, others, silent, now);
+            .record_broken_connection(content, &tags, others, silent, now);
     }
 
     /// Returns the short id of a server that may have crashed.
@@ -167,7 +170,7 @@
         let needs_reservation = self
             .engine_placement(&request.service, now)
             .is_some_and(|placement| placement.exceeds_engine(&self.demand(request, now)));
-        if needs_reservation || self.quarantine.verdict(content, now) == Verdict::Free {
+        if needs_reservation || self.quarantine.verdict(content, now) == Verdict::Allowed {
             return;
         }
         let servers = self.fleet.in_use(&request.service, now).iter();
@@ -190,15 +193,20 @@
     }
 
     /// Applies a peer's quarantine updates.
-    pub(super) fn apply_quarantine_updates(&mut self, peer: u32, news: &[News], now: Instant) {
-        self.quarantine.hear(peer, news, now);
+    pub(super) fn apply_quarantine_updates(
+        &mut self,
+        peer: u32,
+        news: &[QuarantineUpdate],
+        now: Instant,
+    ) {
+        self.quarantine.apply_updates(peer, news, now);
         for item in news {
-            let News::Crashed { content, .. } = *item else {
+            let QuarantineUpdate::Crashed { content, .. } = *item else {
                 continue;
             };
             // The peer's count doesn't include runs on this node.
             if self.is_running(content) {
-                self.quarantine.note_sent(content, now);
+                self.quarantine.record_sent(content, now);
             }
         }
     }
@@ -220,7 +228,7 @@
             return self.remove_request(key, now, out);
         };
         if request.at.is_some() {
-            self.quarantine.note_idle(request.facts.content);
+            self.quarantine.record_run_ended(request.facts.content);
         }
         if request.reserving.is_some() {
             self.roll_back_sends(key, now);
@@ -230,7 +238,7 @@
 
     /// Requests probes of servers whose connections broke, to detect crashes.
     pub(super) fn probe_servers(&mut self, now: Instant, out: &mut Vec<Effect>) {
-        for server in self.quarantine.take_checks(now) {
+        for server in self.quarantine.take_probes(now) {
             let server_key = self.fleet.by_tag(server);
             let Some(known) = server_key.and_then(|key| self.fleet.get(key)) else {
                 continue;
--- a/crates/notchwalk_route/tests/decisions/common.rs
+++ b/crates/notchwalk_route/tests/decisions/common.rs
@@ -3,7 +3,7 @@
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
 use notchwalk_core::Instant;
-use notchwalk_quarantine::{Content, Fingerprint, Fingerprinting};
+use notchwalk_quarantine::{Fingerprint, FingerprintBuilder, RequestHead};
 use notchwalk_route::{
     Assignment, AttemptEnd, Backend, Effect, EngineParameters, Event, Refusal, Repeatability,
     RequestFacts, RequestKey, Route, RouteLookup, Router, RouterConfig, ServerChange, ServerKey,
@@ -82,7 +82,7 @@
 
 /// Returns the fingerprint of a request with this body.
 pub fn content(body: &str) -> Fingerprint {
-    let mut fingerprinting = Fingerprinting::new(&Content {
+    let mut fingerprinting = FingerprintBuilder::new(&RequestHead {
         workspace: None,
         method: "POST",
         host: "a.example",
--- a/crates/notchwalk_route/tests/decisions/suspects.rs
+++ b/crates/notchwalk_route/tests/decisions/suspects.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use notchwalk_core::Instant;
-use notchwalk_quarantine::{Finding, Fingerprint, News, Verdict};
+use notchwalk_quarantine::{Fingerprint, QuarantineFinding, QuarantineUpdate, Verdict};
 use notchwalk_route::{
     AttemptEnd, Effect, Event, Refusal, RequestKey, ServerChange, ServerRecord, ServerStage,
 };
@@ -107,7 +107,7 @@
     let mut rig = Rig::new();
     let request = arrive(&mut rig, "/short/", 3_000, crashing_content());
     rig.only_send();
-    let news = vec![News::Quarantined {
+    let news = vec![QuarantineUpdate::Quarantined {
         content: crashing_content(),
         age_ms: 5,
         left_ms: 600_000,
@@ -228,7 +228,7 @@
         rig.pass(Duration::from_millis(300));
     }
     let verdict = rig.router.quarantine().verdict(crashing_content(), rig.now);
-    assert_eq!(verdict, Verdict::Free);
+    assert_eq!(verdict, Verdict::Allowed);
 }
 
 /// Unusable answers show that the server is running.
@@ -244,7 +244,7 @@
         rig.pass(Duration::from_secs(2));
     }
     let verdict = rig.router.quarantine().verdict(crashing_content(), rig.now);
-    assert_eq!(verdict, Verdict::Free);
+    assert_eq!(verdict, Verdict::Allowed);
 }
 
 /// Returns a registration of a desk server with the start time of its incarnation.
@@ -351,7 +351,7 @@
         rig.end(other, AttemptEnd::Delivered { healthy: true });
     }
     let verdict = rig.router.quarantine().verdict(crashing_content(), rig.now);
-    assert_eq!(verdict, Verdict::Free, "{seen:?}");
+    assert_eq!(verdict, Verdict::Allowed, "{seen:?}");
 }
 
 #[test]
@@ -391,7 +391,8 @@
         Effect::Found(finding) => Some(finding),
         _ => None,
     });
-    let is_quarantine = |finding: &&Finding| matches!(finding, Finding::Quarantined(_));
+    let is_quarantine =
+        |finding: &&QuarantineFinding| matches!(finding, QuarantineFinding::Quarantined(_));
     assert_eq!(found.filter(is_quarantine).count(), 1);
 }
 
--- a/crates/notchwalk_standin/src/routed/limits.rs
+++ b/crates/notchwalk_standin/src/routed/limits.rs
@@ -9,7 +9,7 @@
 };
 
 use notchwalk_core::Instant;
-use notchwalk_quarantine::{Content, Fingerprinting};
+use notchwalk_quarantine::{FingerprintBuilder, RequestHead};
 use notchwalk_route::{
     AttemptEnd, Backend, Effect, Event, RateLimit, Repeatability, RequestFacts, RequestKey, Route,
     RouteLookup, Router, RouterConfig, ServerChange, ServerRecord, ServerStage, ServerWord,
@@ -399,7 +399,7 @@
         let route: Arc<Route> = route;
         self.number += 1;
         let target = self.number.to_string();
-        let content = Fingerprinting::new(&Content {
+        let content = FingerprintBuilder::new(&RequestHead {
             workspace: None,
             method: "POST",
             host: "a.example",
--- a/crates/notchwalk_standin/src/routed/world.rs
+++ b/crates/notchwalk_standin/src/routed/world.rs
@@ -9,7 +9,7 @@
 };
 
 use notchwalk_core::Instant;
-use notchwalk_quarantine::{Content, Fingerprint, Fingerprinting};
+use notchwalk_quarantine::{Fingerprint, FingerprintBuilder, RequestHead};
 use notchwalk_route::{
     Assignment, AttemptEnd, Effect, Event, FailedReservation, PeerWork, RequestFacts, RequestKey,
     Route, RouteLookup, Router, RouterConfig, ServerChange, WorkspaceTag,
@@ -490,11 +490,11 @@
 /// Returns the fingerprint of a request: each of them is another one.
 fn content_of(number: Number) -> Fingerprint {
     let target = number.to_string();
-    let content = Content {
+    let content = RequestHead {
         workspace: None,
         method: "POST",
         host: "",
         target: &target,
     };
-    Fingerprinting::new(&content).finish()
+    FingerprintBuilder::new(&content).finish()
 }
--- a/crates/notchwalk_wire/src/peer.rs
+++ b/crates/notchwalk_wire/src/peer.rs
@@ -2,7 +2,7 @@
 //! cost a node 3 KB a second, and names would be most of it.
 
 use notchwalk_core::{BootNumber, RequestId, ServerId, Tokens, VmId};
-use notchwalk_quarantine::News;
+use notchwalk_quarantine::QuarantineUpdate;
 use serde::{Deserialize, Serialize};
 use serde_tuple::{Deserialize_tuple, Serialize_tuple};
 
@@ -140,5 +140,5 @@
     /// A bundle: its manifest and parts as JSON.
     BundleOffer(String),
     /// What is known of requests under which servers ended.
-    Suspects(Vec<News>),
+    Suspects(Vec<QuarantineUpdate>),
 }
--- a/crates/notchwalkd/src/completions.rs
+++ b/crates/notchwalkd/src/completions.rs
@@ -7,7 +7,7 @@
 use notchwalk_bundle::{Bundle, Model};
 use notchwalk_decide::{block_hashes, Arrival, CallerKey, Event, GenerateWork, RequestKey, Work};
 use notchwalk_http::{chunk_into, Exchange};
-use notchwalk_quarantine::{Content, Fingerprint, Fingerprinting};
+use notchwalk_quarantine::{Fingerprint, FingerprintBuilder, RequestHead};
 use notchwalk_wire::Prompt;
 
 use crate::{
@@ -131,7 +131,7 @@
 /// Returns what identifies a request over its tries.
 fn content_of(exchange: &Exchange, caller: &Caller, body: &[u8]) -> Fingerprint {
     let workspace = caller.bundle.workspace(caller.workspace);
-    let mut fingerprinting = Fingerprinting::new(&Content {
+    let mut fingerprinting = FingerprintBuilder::new(&RequestHead {
         workspace: Some(&workspace.name),
         method: exchange.head.method.as_str(),
         host: "",
--- a/crates/notchwalkd/src/service_proxy.rs
+++ b/crates/notchwalkd/src/service_proxy.rs
@@ -12,7 +12,7 @@
 use notchwalk_http::{
     chunk_into, request_head, Connection, Exchange, HttpError, Reuse, StreamedResponse, CHUNK_END,
 };
-use notchwalk_quarantine::{Content, Fingerprint, Fingerprinting};
+use notchwalk_quarantine::{Fingerprint, FingerprintBuilder, RequestHead};
 
 use crate::{
     api_error::ApiFailure,
@@ -195,7 +195,7 @@
     let Body::Held(body) = body else {
         return None;
     };
-    let mut fingerprinting = Fingerprinting::new(&Content {
+    let mut fingerprinting = FingerprintBuilder::new(&RequestHead {
         workspace: Some(workspace),
         method: method.as_str(),
         host: "",
