--- a/crates/notchwalk_decide/src/suspects.rs
+++ b/crates/notchwalk_decide/src/suspects.rs
@@ -83,7 +83,7 @@
 /// A request was sent.
 pub(crate) fn on_sent(node: &mut Node, cx: &Cx<'_>, key: RequestKey) {
     if let Some(content) = node.requests[key].content {
-        node.quarantine.record_sent(content, cx.now);
+        node.quarantine.record_send(content, cx.now);
     }
 }
 
--- a/crates/notchwalk_quarantine/src/quarantine/mod.rs
+++ b/crates/notchwalk_quarantine/src/quarantine/mod.rs
@@ -72,7 +72,7 @@
     }
 
     /// Records that a request was sent to a server.
-    pub fn record_sent(&mut self, content: Fingerprint, now: Instant) {
+    pub fn record_send(&mut self, content: Fingerprint, now: Instant) {
         let Some(suspect) = self.suspects.get_mut(&content) else {
             return;
         };
--- a/crates/notchwalk_quarantine/tests/convergence.rs
+++ b/crates/notchwalk_quarantine/tests/convergence.rs
@@ -80,7 +80,7 @@
                 }
                 self.servers += 1;
                 let server = self.servers;
-                self.nodes[node].record_sent(content, self.now);
+                self.nodes[node].record_send(content, self.now);
                 self.nodes[node].record_broken_connection(content, &[server], 3, false, self.now);
                 for quarantine in self.nodes.iter_mut().filter(|_| confirmed) {
                     quarantine.record_server_ended(server, false, self.now);
--- a/crates/notchwalk_quarantine/tests/rules.rs
+++ b/crates/notchwalk_quarantine/tests/rules.rs
@@ -276,7 +276,7 @@
     let (mut node, mut peer, bad) = (Node::new(), Node::new(), content(1));
     node.crash(bad, 1);
     node.send_updates(&mut peer);
-    peer.quarantine.record_sent(bad, peer.now);
+    peer.quarantine.record_send(bad, peer.now);
     assert_eq!(peer.verdict(bad), Verdict::RunningElsewhere);
     peer.send_updates(&mut node);
     assert_eq!(node.verdict(bad), Verdict::RunningElsewhere);
@@ -285,7 +285,7 @@
     assert!(matches!(node.verdict(bad), Verdict::Suspected { .. }));
     // The update of the end may be lost, and the peer may be removed.
     for lost in [true, false] {
-        peer.quarantine.record_sent(bad, peer.now);
+        peer.quarantine.record_send(bad, peer.now);
         peer.send_updates(&mut node);
         match lost {
             true => node.advance(3_100),
@@ -302,7 +302,7 @@
     node.succeed(popular);
     node.advance(100);
     node.crash(popular, 1);
-    node.quarantine.record_sent(popular, node.now);
+    node.quarantine.record_send(popular, node.now);
     assert!(matches!(node.verdict(popular), Verdict::Suspected { .. }));
 }
 
--- a/crates/notchwalk_relay/src/answer.rs
+++ b/crates/notchwalk_relay/src/answer.rs
@@ -43,7 +43,7 @@
 pub enum ComeBack {
     /// The header is absent.
     NotSaid,
-    /// The server asks to back off for this long.
+    /// The backoff that the server requests.
     After(Duration),
     /// The header does not hold a valid duration.
     Faulty(String),
--- a/crates/notchwalk_relay/src/attempt.rs
+++ b/crates/notchwalk_relay/src/attempt.rs
@@ -214,7 +214,7 @@
 fn still_accepts_requests(shell: &Shell, to: &Assignment) -> bool {
     let router = shell.router.borrow();
     let server = router.fleet().get(to.server);
-    server.is_some_and(|server| server.wants_work(shell.now()))
+    server.is_some_and(|server| server.accepts_requests(shell.now()))
 }
 
 /// Sends a request and reads the response head; `None` if the server no longer accepts
--- a/crates/notchwalk_relay/src/effects.rs
+++ b/crates/notchwalk_relay/src/effects.rs
@@ -25,21 +25,21 @@
             Effect::Check { server, addr } => {
                 monoio::spawn(quarantine::probe(shell.clone(), server, addr));
             }
-            Effect::Found(finding) => quarantine::handle_finding(shell, finding),
-            Effect::Heard {
+            Effect::Finding(finding) => quarantine::handle_finding(shell, finding),
+            Effect::NewNotice {
                 server,
-                word,
-                by_peer,
-            } => server_words::log_notice(shell, server, word, by_peer),
+                notice,
+                reported_by_peer,
+            } => server_words::log_notice(shell, server, notice, reported_by_peer),
             Effect::LimitUsedUp { server } => server_words::log_limit_exhausted(shell, server),
-            Effect::Closed { server, pause } => log_circuit_opened(shell, server, pause),
+            Effect::Ejected { server, duration } => log_circuit_opened(shell, server, duration),
             // Handled by the task of their request.
             Effect::Send { .. } | Effect::Refuse { .. } | Effect::DeliverFailure { .. } => {}
         }
     }
 }
 
-fn log_circuit_opened(shell: &Shell, server: ServerKey, pause: Duration) {
+fn log_circuit_opened(shell: &Shell, server: ServerKey, duration: Duration) {
     let router = shell.router.borrow();
     let Some(server) = router.fleet().get(server) else {
         return;
@@ -47,7 +47,7 @@
     let facts = format!(
         "server={} pause_ms={} failure_rate={:.2}",
         server.record.instance,
-        pause.as_millis(),
+        duration.as_millis(),
         server.failure_rate(shell.now())
     );
     LogEvent::new(LogEventKind::CircuitOpened, facts).emit();
--- a/crates/notchwalk_relay/src/operator.rs
+++ b/crates/notchwalk_relay/src/operator.rs
@@ -51,13 +51,13 @@
         let router = self.shell.router.borrow();
         let metrics = &self.shell.metrics;
         metrics.server_limits.reset();
-        for (server, limit) in router.fleet().limited() {
+        for (server, limit) in router.fleet().limited_servers() {
             let labels = [server.record.instance.as_str()];
             let gauge = metrics.server_limits.with_label_values(&labels);
             gauge.set(limit.rate());
         }
         metrics.limited_sends.reset();
-        let sent = router.fleet().sent_within_limits();
+        let sent = router.fleet().sent_to_limited();
         metrics.limited_sends.inc_by(sent);
     }
 
@@ -74,11 +74,11 @@
                     "instance": server.record.instance,
                     "service": server.record.service,
                     "addr": server.record.addr,
-                    "takes_work": server.takes_work(now),
-                    "said_leaving": server.leaves(),
-                    "wants_nothing_ms": server.wants_nothing_for(now).as_millis() as u64,
+                    "takes_work": server.is_available(now),
+                    "said_leaving": server.is_draining(),
+                    "wants_nothing_ms": server.back_off_remaining(now).as_millis() as u64,
                     "limit_per_second": server.limit().map(|limit| limit.rate()),
-                    "limit_allowance": server.allowance(now),
+                    "limit_allowance": server.available_requests(now),
                     "limit_users": server.limit_users(now),
                     "failure_rate": server.failure_rate(now),
                     "generating": load.writers,
--- a/crates/notchwalk_relay/src/peer_link.rs
+++ b/crates/notchwalk_relay/src/peer_link.rs
@@ -11,7 +11,7 @@
 use notchwalk_core::{LogEvent, LogEventKind};
 use notchwalk_platform::StoreVersion;
 use notchwalk_quarantine::QuarantineUpdate;
-use notchwalk_route::{Event, PeerWork, Told, ToldLimit};
+use notchwalk_route::{Event, LimitScope, LimitUpdate, PeerWork};
 use serde_tuple::{Deserialize_tuple, Serialize_tuple};
 
 use crate::{
@@ -61,7 +61,7 @@
     draining: Vec<u32>,
     /// Servers with rate limits, and what the sender sends to them.
     #[serde(default)]
-    limits: Vec<ToldLimit>,
+    limits: Vec<LimitUpdate>,
 }
 
 fn message(shell: &Shell, servers: Vec<u32>, work: Vec<PeerWork>) -> PeerMessage {
@@ -137,21 +137,21 @@
         shell.publish_wake.wait().await;
         let now = shell.now();
         let (servers, work) = shell.router.borrow_mut().take_changed_work(now);
-        let suspects = shell.router.borrow_mut().take_news();
+        let suspects = shell.router.borrow_mut().take_quarantine_updates();
         if shell.epoch_to_publish.take() {
             // The message carries the version of the store.
             let group = shell.peers.borrow().group_peers();
             let outgoing = message(&shell, Vec::new(), Vec::new());
             send(&socket, &group, vec![outgoing]).await;
         }
-        let draining = shell.router.borrow_mut().take_leaving_news();
+        let draining = shell.router.borrow_mut().take_draining_updates();
         for chunk in draining.chunks(MAX_DRAINING_PER_DATAGRAM) {
             let mut outgoing = message(&shell, Vec::new(), Vec::new());
             outgoing.draining = chunk.to_vec();
             let group = shell.peers.borrow().group_peers();
             send(&socket, &group, vec![outgoing]).await;
         }
-        let limits = shell.router.borrow_mut().take_limit_news(now);
+        let limits = shell.router.borrow_mut().take_limit_updates(now);
         if !servers.is_empty() || !limits.is_empty() {
             let group = shell.peers.borrow().group_peers();
             let outgoing = with_limits(&shell, messages(&shell, servers, work), limits);
@@ -170,7 +170,7 @@
 fn with_limits(
     shell: &Shell,
     mut messages: Vec<PeerMessage>,
-    mut limits: Vec<ToldLimit>,
+    mut limits: Vec<LimitUpdate>,
 ) -> Vec<PeerMessage> {
     while limits.len() > MAX_LIMITS_PER_DATAGRAM {
         let mut outgoing = message(shell, Vec::new(), Vec::new());
@@ -190,7 +190,7 @@
     if pending_sync.is_empty() {
         return;
     }
-    let outgoing = heartbeat_messages(shell, Vec::new(), Vec::new(), Told::All);
+    let outgoing = heartbeat_messages(shell, Vec::new(), Vec::new(), LimitScope::All);
     send(socket, &pending_sync, outgoing).await;
 }
 
@@ -199,17 +199,19 @@
     shell: &Shell,
     servers: Vec<u32>,
     work: Vec<PeerWork>,
-    limits: Told,
+    limits: LimitScope,
 ) -> Vec<PeerMessage> {
     let mut outgoing = messages(shell, servers, work);
     if let Some(first) = outgoing.first_mut() {
         first.from = Some(shell.presence_record());
         // Repeated since datagrams may be lost and nodes may have started since.
         let router = shell.router.borrow();
-        first.draining = router.fleet().leaving_to_tell(MAX_DRAINING_PER_DATAGRAM);
+        first.draining = router
+            .fleet()
+            .draining_to_publish(MAX_DRAINING_PER_DATAGRAM);
         first.limits = router
             .fleet()
-            .limits_to_tell(limits, MAX_LIMITS_PER_DATAGRAM, shell.now());
+            .limit_updates(limits, MAX_LIMITS_PER_DATAGRAM, shell.now());
     }
     outgoing
 }
@@ -223,7 +225,7 @@
             0 => shell.router.borrow().all_own_work(now),
             _ => (Vec::new(), Vec::new()),
         };
-        let outgoing = heartbeat_messages(&shell, servers, work, Told::FirstHand);
+        let outgoing = heartbeat_messages(&shell, servers, work, LimitScope::Direct);
         let whole = beat % FULL_UPDATE_HEARTBEATS == 0;
         let suspects = shell
             .router
@@ -262,7 +264,7 @@
             let facts = format!("entry={name} silent_ms={}", time_to_expiry.as_millis());
             LogEvent::new(LogEventKind::PeerDead, facts).emit();
         }
-        shell.step(Event::PeerGone { peer: peer.number });
+        shell.step(Event::PeerUnreachable { peer: peer.number });
     }
     let alive = shell.peers.borrow().alive(now);
     shell.metrics.peers_alive.set(alive.into());
@@ -271,15 +273,15 @@
 
 /// Updates the router's node count and this node's group.
 pub(crate) fn update_node_count(shell: &Rc<Shell>) {
-    let servers = shell.router.borrow().fleet().largest_service();
+    let servers = shell.router.borrow().fleet().largest_service_size();
     shell.peers.borrow_mut().set_largest_service(servers);
     let group = shell.peers.borrow_mut().update_group(shell.now());
     shell.step(Event::Group(group));
     let sharing = shell.peers.borrow().sharing_nodes(shell.now());
     if let Some(count) = sharing {
-        shell.step(Event::Entries { count });
+        shell.step(Event::NodeCount { count });
         let sharing = shell.peers.borrow().limit_sharing(shell.now());
-        shell.step(Event::Sharing(sharing));
+        shell.step(Event::LimitSharing(sharing));
     }
 }
 
@@ -333,25 +335,25 @@
         LogEvent::new(LogEventKind::PeerAlive, facts).emit();
     }
     if update.restarted {
-        shell.step(Event::PeerGone { peer: number });
+        shell.step(Event::PeerUnreachable { peer: number });
     }
     if !message.suspects.is_empty() {
-        shell.step(Event::News {
+        shell.step(Event::QuarantineUpdates {
             peer: number,
-            news: message.suspects,
+            updates: message.suspects,
         });
     }
     if !message.draining.is_empty() {
-        shell.step(Event::ToldLeaving {
+        shell.step(Event::DrainingReported {
             servers: message.draining,
         });
     }
     if !message.limits.is_empty() {
-        shell.step(Event::ToldLimits {
+        shell.step(Event::LimitUpdates {
             peer: number,
             name: update.name,
-            near: update.in_same_group,
-            limits: message.limits,
+            is_in_group: update.in_same_group,
+            updates: message.limits,
         });
     }
     if !message.servers.is_empty() {
--- a/crates/notchwalk_relay/src/peers.rs
+++ b/crates/notchwalk_relay/src/peers.rs
@@ -9,7 +9,7 @@
 
 use notchwalk_core::Instant;
 use notchwalk_platform::StoreVersion;
-use notchwalk_route::{entry_order, Group, Sharing};
+use notchwalk_route::{node_order, Group, LimitSharing};
 
 use crate::presence_record::PresenceRecord;
 
@@ -100,7 +100,7 @@
     /// Whether the presence records of all nodes were read.
     records_read: bool,
     /// Size of the largest service, in servers.
-    largest_service: usize,
+    largest_service_size: usize,
     group: Group,
     /// The peers in this node's group.
     group_peers: HashSet<SocketAddr>,
@@ -145,8 +145,8 @@
     }
 
     /// Sets the size of the largest service, in servers.
-    pub fn set_largest_service(&mut self, largest_service: usize) {
-        self.largest_service = largest_service;
+    pub fn set_largest_service(&mut self, largest_service_size: usize) {
+        self.largest_service_size = largest_service_size;
     }
 
     /// Recomputes the group of this node and its members from the peers seen or
@@ -158,17 +158,17 @@
             .iter()
             .filter(|(_, peer)| peer.last_known >= since);
         let mut order: Vec<((u32, &str), Option<SocketAddr>)> = recent
-            .map(|(&addr, peer)| (entry_order(&peer.record.name), Some(addr)))
+            .map(|(&addr, peer)| (node_order(&peer.record.name), Some(addr)))
             .collect();
-        order.push((entry_order(&self.own_name), None));
+        order.push((node_order(&self.own_name), None));
         order.sort();
         let nodes = order.len();
         let place = order.iter().position(|(_, addr)| addr.is_none());
-        let group = Group::of_place(place.unwrap_or(0), nodes, self.largest_service);
+        let group = Group::for_node(place.unwrap_or(0), nodes, self.largest_service_size);
         let (mut group_peers, mut other_peers) = (HashSet::new(), Vec::new());
         for (place, (_, addr)) in order.into_iter().enumerate() {
             match addr {
-                Some(addr) if Group::of_place(place, nodes, self.largest_service) == group => {
+                Some(addr) if Group::for_node(place, nodes, self.largest_service_size) == group => {
                     group_peers.insert(addr);
                 }
                 Some(addr) => other_peers.push(addr),
@@ -351,10 +351,10 @@
 
     /// Returns who shares the rate limits of servers: the registered nodes of this
     /// group, and how many of them are reachable. Unreachable ones may still send.
-    pub fn limit_sharing(&self, now: Instant) -> Sharing {
+    pub fn limit_sharing(&self, now: Instant) -> LimitSharing {
         let in_group = |peer: &&Peer| self.group_peers.contains(&peer.record.peer);
         let reachable = self.reachable(now).filter(in_group).count() as u32 + 1;
-        Sharing::new(&self.own_name, self.group_size() as u32, reachable)
+        LimitSharing::new(&self.own_name, self.group_size() as u32, reachable)
     }
 
     /// Takes the peers that expired since the last call.
--- a/crates/notchwalk_relay/src/quarantine.rs
+++ b/crates/notchwalk_relay/src/quarantine.rs
@@ -217,7 +217,7 @@
         return shell.step(Event::Restored {
             content,
             left,
-            times,
+            quarantine_count: times,
         });
     }
     let ended = Duration::from_millis(store_ms.saturating_sub(stored.until_ms));
--- a/crates/notchwalk_relay/src/server_watch.rs
+++ b/crates/notchwalk_relay/src/server_watch.rs
@@ -54,11 +54,16 @@
     fn record(&self, row: &Row) -> Option<ServerRecord> {
         let record = self.shell.dialect.server(row);
         let known = self.known.get(&row.key);
-        let had_start_time = known.is_some_and(|known| known.record.born.is_some());
-        let record = record.and_then(|record| match had_start_time && record.born.is_none() {
-            true => Err("the start time is missing, which an earlier registration had".to_owned()),
-            false => Ok(record),
-        });
+        let had_start_time = known.is_some_and(|known| known.record.started_ms.is_some());
+        let record =
+            record.and_then(
+                |record| match had_start_time && record.started_ms.is_none() {
+                    true => Err(
+                        "the start time is missing, which an earlier registration had".to_owned(),
+                    ),
+                    false => Ok(record),
+                },
+            );
         match record {
             Ok(record) => Some(record),
             Err(reason) => {
@@ -82,7 +87,7 @@
             record.service,
             record.addr,
             record.stage,
-            record.born.unwrap_or(0)
+            record.started_ms.unwrap_or(0)
         );
         LogEvent::new(LogEventKind::ServerRegistered, facts).emit();
         self.close_idle_connections(&record);
@@ -92,8 +97,8 @@
         };
         self.known.insert(record.instance.clone(), known);
         let change = match self.reading_snapshot {
-            true => ServerChange::Copied(record),
-            false => ServerChange::Present(record),
+            true => ServerChange::Restored(record),
+            false => ServerChange::Registered(record),
         };
         self.shell.step(Event::Servers(change));
     }
@@ -101,8 +106,8 @@
     /// Returns whether a row of a snapshot is of an incarnation before the known one.
     fn is_former_incarnation(&self, record: &ServerRecord) -> bool {
         let known = self.known.get(&record.instance);
-        let born = known.and_then(|known| known.record.born);
-        self.reading_snapshot && born > record.born
+        let born = known.and_then(|known| known.record.started_ms);
+        self.reading_snapshot && born > record.started_ms
     }
 
     /// Closes idle connections to the former incarnation of a server; its end may not
@@ -111,7 +116,7 @@
         let Some(known) = self.known.get(&record.instance) else {
             return;
         };
-        if known.record.born != record.born {
+        if known.record.started_ms != record.started_ms {
             self.shell.client.forget_idle_at(known.record.addr);
         }
     }
@@ -141,7 +146,7 @@
         self.known.remove(instance);
         let facts = format!("server={instance}");
         LogEvent::new(LogEventKind::ServerGone, facts).emit();
-        let change = ServerChange::Gone(instance.to_owned());
+        let change = ServerChange::Removed(instance.to_owned());
         self.shell.step(Event::Servers(change));
     }
 
--- a/crates/notchwalk_relay/src/server_words.rs
+++ b/crates/notchwalk_relay/src/server_words.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
 use notchwalk_core::{Instant, LogEvent, LogEventKind};
-use notchwalk_route::{Event, RateLimit, ServerKey, ServerWord};
+use notchwalk_route::{Event, RateLimit, ServerKey, ServerNotice};
 
 use crate::{shell::Shell, AnswerFacts, AnswerWord, ComeBack, SaidLimit};
 
@@ -34,22 +34,29 @@
         return;
     };
     if let Some(limit) = limit(shell, server, facts) {
-        let asked = origin.sent_at;
-        apply_notice(shell, server, ServerWord::Limit { limit, asked });
+        let requested_at = origin.sent_at;
+        apply_notice(
+            shell,
+            server,
+            ServerNotice::Limit {
+                limit,
+                requested_at,
+            },
+        );
     }
     if facts.leaving {
-        apply_notice(shell, server, ServerWord::Leaving);
+        apply_notice(shell, server, ServerNotice::Draining);
     }
     if let Some(backoff) = backoff(shell, server, &facts.wants_nothing_for) {
-        apply_notice(shell, server, ServerWord::WantsNothing(backoff));
+        apply_notice(shell, server, ServerNotice::BackOff(backoff));
     }
 }
 
-fn apply_notice(shell: &Rc<Shell>, server: ServerKey, notice: ServerWord) {
+fn apply_notice(shell: &Rc<Shell>, server: ServerKey, notice: ServerNotice) {
     let label = match notice {
-        ServerWord::Leaving => Some("leaving"),
-        ServerWord::WantsNothing(_) => Some("wants_nothing"),
-        ServerWord::Limit { limit, .. } => limit.map(|_| "limit"),
+        ServerNotice::Draining => Some("leaving"),
+        ServerNotice::BackOff(_) => Some("wants_nothing"),
+        ServerNotice::Limit { limit, .. } => limit.map(|_| "limit"),
     };
     if let Some(label) = label {
         shell
@@ -58,10 +65,7 @@
             .with_label_values(&[label])
             .inc();
     }
-    shell.step(Event::ServerSaid {
-        server,
-        word: notice,
-    });
+    shell.step(Event::NoticeReceived { server, notice });
 }
 
 /// Returns the server that a response speaks for: the one it names, else the one that
@@ -75,7 +79,7 @@
     if facts.word != AnswerWord::Moved {
         return origin.server.or_else(|| fleet.by_addr(origin.addr));
     }
-    fleet.other_at(origin.addr, origin.server)
+    fleet.other_server_at(origin.addr, origin.server)
 }
 
 /// Returns the limit that a response announces, or `Some(None)` if a known limit has
@@ -137,28 +141,37 @@
 }
 
 /// Logs a notice that is new to this node.
-pub(crate) fn log_notice(shell: &Shell, server: ServerKey, notice: ServerWord, by_peer: bool) {
+pub(crate) fn log_notice(
+    shell: &Shell,
+    server: ServerKey,
+    notice: ServerNotice,
+    reported_by_peer: bool,
+) {
     let (kind, facts) = match notice {
-        ServerWord::Leaving => {
+        ServerNotice::Draining => {
             let router = shell.router.borrow();
             let stage = router.fleet().get(server).map(|known| known.record.stage);
             let running = router.board().load(server, shell.now()).occupied();
-            let facts = format!("by_peer={by_peer} record={stage:?} running={running}");
+            let facts = format!("by_peer={reported_by_peer} record={stage:?} running={running}");
             (LogEventKind::ServerSaysLeaving, facts)
         }
-        ServerWord::WantsNothing(time) => {
+        ServerNotice::BackOff(time) => {
             let facts = format!("for_ms={}", time.as_millis());
             (LogEventKind::ServerWantsNothing, facts)
         }
-        ServerWord::Limit { limit, asked } => {
-            let age = shell.now().since(asked).as_millis();
+        ServerNotice::Limit {
+            limit,
+            requested_at,
+        } => {
+            let age = shell.now().since(requested_at).as_millis();
             match limit {
                 Some(limit) => {
-                    let facts = format!("by_peer={by_peer} per_second={limit} asked_ms={age}");
+                    let facts =
+                        format!("by_peer={reported_by_peer} per_second={limit} asked_ms={age}");
                     (LogEventKind::ServerLimited, facts)
                 }
                 None => {
-                    let facts = format!("by_peer={by_peer} asked_ms={age}");
+                    let facts = format!("by_peer={reported_by_peer} asked_ms={age}");
                     (LogEventKind::ServerLimitEnded, facts)
                 }
             }
@@ -179,7 +192,7 @@
     let facts = format!(
         "server={} per_second={limit} allowance={:.2} users={} sent={}",
         known.record.instance,
-        known.allowance(now).unwrap_or_default(),
+        known.available_requests(now).unwrap_or_default(),
         known.limit_users(now),
         known.sent()
     );
--- a/crates/notchwalk_relay/src/shell.rs
+++ b/crates/notchwalk_relay/src/shell.rs
@@ -247,7 +247,7 @@
         }
         let router = self.router.borrow();
         let fleet = router.fleet();
-        let has_notices = fleet.has_leaving_news() || fleet.has_limit_news();
+        let has_notices = fleet.has_draining_updates() || fleet.has_limit_updates();
         if router.has_changed_work() || router.quarantine().has_updates() || has_notices {
             self.publish_wake.notify();
         }
--- a/crates/notchwalk_route/src/effect.rs
+++ b/crates/notchwalk_route/src/effect.rs
@@ -5,7 +5,7 @@
 use notchwalk_core::Instant;
 use notchwalk_quarantine::QuarantineFinding;
 
-use crate::{RequestKey, ServerKey, ServerWord};
+use crate::{RequestKey, ServerKey, ServerNotice};
 
 /// A prefill worker: another engine that prefills a part of a prompt.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -147,15 +147,15 @@
         addr: SocketAddr,
     },
     /// Report a finding on requests during which servers crashed.
-    Found(QuarantineFinding),
+    Finding(QuarantineFinding),
     /// Report a new notice from a server.
-    Heard {
+    NewNotice {
         /// The server.
         server: ServerKey,
         /// The notice.
-        word: ServerWord,
+        notice: ServerNotice,
         /// Whether a peer published it; otherwise this node received it.
-        by_peer: bool,
+        reported_by_peer: bool,
     },
     /// Report that a server's limit is used up: requests for its service wait or go to other
     /// servers.
@@ -164,10 +164,10 @@
         server: ServerKey,
     },
     /// Report that a server was ejected.
-    Closed {
+    Ejected {
         /// The server.
         server: ServerKey,
         /// Duration of the ejection.
-        pause: Duration,
+        duration: Duration,
     },
 }
--- a/crates/notchwalk_route/src/event.rs
+++ b/crates/notchwalk_route/src/event.rs
@@ -5,8 +5,8 @@
 use notchwalk_quarantine::{Fingerprint, QuarantineUpdate};
 
 use crate::{
-    Group, PeerWork, RequestFacts, RequestKey, ReservationOrder, ServerChange, ServerKey,
-    ServerWord, Sharing, SiteConfig, ToldLimit,
+    Group, LimitSharing, LimitUpdate, PeerWork, RequestFacts, RequestKey, ReservationOrder,
+    ServerChange, ServerKey, ServerNotice, SiteConfig,
 };
 
 /// How an attempt to send a request to a server ended.
@@ -19,7 +19,7 @@
     },
     /// The connection failed, so the request was not sent.
     NotConnected,
-    /// The request was not sent because the server started draining or backing off.
+    /// The request was not sent because the server started draining or requested a backoff.
     NotSent,
     /// The server reported that it did not run the request.
     NotRun {
@@ -57,11 +57,11 @@
     /// The server registry changed.
     Servers(ServerChange),
     /// A server announced a notice in a response header.
-    ServerSaid {
+    NoticeReceived {
         /// The server.
         server: ServerKey,
         /// The notice.
-        word: ServerWord,
+        notice: ServerNotice,
     },
     /// A complete request arrived.
     Arrived {
@@ -97,21 +97,21 @@
         work: Vec<PeerWork>,
     },
     /// A peer became unreachable or restarted: its earlier updates no longer apply.
-    PeerGone {
+    PeerUnreachable {
         /// The peer's number on this node.
         peer: u32,
     },
     /// A peer published servers that announced to it that they are draining.
-    ToldLeaving {
+    DrainingReported {
         /// The short ids of the servers' incarnations.
         servers: Vec<u32>,
     },
     /// A peer published updates on requests during which servers crashed.
-    News {
+    QuarantineUpdates {
         /// The peer's number on this node.
         peer: u32,
         /// The updates.
-        news: Vec<QuarantineUpdate>,
+        updates: Vec<QuarantineUpdate>,
     },
     /// No process listens at a server's address any more.
     NotListening {
@@ -125,7 +125,7 @@
         /// The remaining time of the quarantine.
         left: Duration,
         /// How often the content has been quarantined.
-        times: u32,
+        quarantine_count: u32,
     },
     /// An operator ended a quarantine.
     Release {
@@ -135,23 +135,23 @@
     /// This node's group.
     Group(Group),
     /// The number of nodes that share budgets.
-    Entries {
+    NodeCount {
         /// The number of nodes, this one included.
         count: u32,
     },
     /// The nodes that share the limits of servers.
-    Sharing(Sharing),
+    LimitSharing(LimitSharing),
     /// A peer published updates on limited servers.
-    ToldLimits {
+    LimitUpdates {
         /// The peer's number on this node.
         peer: u32,
         /// The peer's name.
         name: String,
         /// Whether it is in this node's group. The send counters of other peers are ignored,
         /// as they arrive too late.
-        near: bool,
+        is_in_group: bool,
         /// The updates.
-        limits: Vec<ToldLimit>,
+        updates: Vec<LimitUpdate>,
     },
     /// All reservation orders of a request were answered or failed.
     Reserved {
--- a/crates/notchwalk_route/src/fleet/limit_update.rs
+++ b/crates/notchwalk_route/src/fleet/limit_update.rs
@@ -6,7 +6,7 @@
 
 /// The nodes that share the limits of servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Sharing {
+pub struct LimitSharing {
     /// This node's id.
     pub(super) own: u32,
     /// Number of registered nodes in this node's group, itself included.
@@ -15,7 +15,7 @@
     pub(super) reachable: u32,
 }
 
-impl Sharing {
+impl LimitSharing {
     /// Creates the sharing of the node with this name.
     pub fn new(name: &str, registered: u32, reachable: u32) -> Self {
         Self {
@@ -28,20 +28,20 @@
 
 /// An update on a limited server, as published to peers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
-pub struct ToldLimit {
+pub struct LimitUpdate {
     /// The server's short id.
     pub server: u32,
     /// The limit that the publishing node observed, if any.
-    pub said: Option<ToldLimitWord>,
+    pub observed: Option<ObservedLimit>,
     /// Number of requests that the publishing node has sent to the server.
     pub sent: u32,
     /// Whether the publishing node has demand for the server.
-    pub wants: bool,
+    pub has_demand: bool,
 }
 
 /// An observed limit, as published to peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
-pub struct ToldLimitWord {
+pub struct ObservedLimit {
     /// The limit; `None` once the server announces none.
     pub limit: Option<RateLimit>,
     /// Time since the request was sent whose response announced it, in milliseconds.
@@ -50,10 +50,10 @@
 
 /// Which observed limits are published.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum LimitScope {
     /// Those from responses to this node. Limits received from peers are not rebroadcast:
     /// each hop would add to their age, and they would never expire.
-    FirstHand,
+    Direct,
     /// All of them, for a node that has just started: it may have been the only one that
     /// received a response before.
     All,
--- a/crates/notchwalk_route/src/fleet/mod.rs
+++ b/crates/notchwalk_route/src/fleet/mod.rs
@@ -17,9 +17,9 @@
 use notchwalk_core::Instant;
 use slotmap::{new_key_type, SlotMap};
 
-use crate::{Group, ServerWord};
+use crate::{Group, ServerNotice};
 use draining_incarnations::DrainingIncarnations;
-pub use limit_update::{Sharing, Told, ToldLimit, ToldLimitWord};
+pub use limit_update::{LimitScope, LimitSharing, LimitUpdate, ObservedLimit};
 pub use server::{Server, ServerRecord, ServerStage};
 pub use sharing::Availability;
 use sharing::Limits;
@@ -33,13 +33,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ServerChange {
     /// A server registered or updated its registration.
-    Present(ServerRecord),
+    Registered(ServerRecord),
     /// A registration from a restored snapshot, possibly of an incarnation that has ended.
-    Copied(ServerRecord),
+    Restored(ServerRecord),
     /// The registration of this instance id was removed.
-    Gone(String),
+    Removed(String),
     /// The complete registry; servers that are not in it are removed.
-    Whole(Vec<ServerRecord>),
+    All(Vec<ServerRecord>),
 }
 
 /// An incarnation of a server that was removed from the fleet.
@@ -50,7 +50,7 @@
     /// Its short id.
     pub tag: u32,
     /// Whether it was draining, which means that it did not fail.
-    pub left: bool,
+    pub was_draining: bool,
 }
 
 /// The previous incarnation of a server that has restarted.
@@ -86,16 +86,16 @@
     /// Applies a change; returns the servers that it removes.
     pub fn apply(&mut self, change: ServerChange, now: Instant) -> Vec<RemovedServer> {
         match change {
-            ServerChange::Present(record) => {
-                if record.born.is_none() {
+            ServerChange::Registered(record) => {
+                if record.started_ms.is_none() {
                     // Without a start time, a new registration counts as a new incarnation.
                     self.draining.forget_ended(record.incarnation_tag());
                 }
                 self.upsert(record, now).into_iter().collect()
             }
-            ServerChange::Copied(record) => self.upsert(record, now).into_iter().collect(),
-            ServerChange::Gone(instance) => self.remove(&instance).into_iter().collect(),
-            ServerChange::Whole(records) => {
+            ServerChange::Restored(record) => self.upsert(record, now).into_iter().collect(),
+            ServerChange::Removed(instance) => self.remove(&instance).into_iter().collect(),
+            ServerChange::All(records) => {
                 let mut removed = Vec::new();
                 let known: Vec<String> = self.by_instance.keys().cloned().collect();
                 for instance in known {
@@ -123,7 +123,7 @@
         let mut server = Server::new(record);
         let tag = server.tag;
         if self.draining.contains(tag) {
-            server.note_told_leaving();
+            server.apply_reported_draining();
         }
         let key = self.servers.insert(server);
         self.by_instance.insert(instance, key);
@@ -143,7 +143,7 @@
         const MAX_ENDED: usize = 64;
         let &key = self.by_instance.get(&record.instance)?;
         let known = self.servers.get(key)?;
-        if known.record.born == record.born {
+        if known.record.started_ms == record.started_ms {
             return None;
         }
         let (tag, addr) = (known.tag, known.record.addr);
@@ -156,7 +156,7 @@
     }
 
     /// Returns the previous incarnation of a restarted server.
-    pub(crate) fn ended_life(&self, key: ServerKey) -> Option<&EndedIncarnation> {
+    pub(crate) fn ended_incarnation(&self, key: ServerKey) -> Option<&EndedIncarnation> {
         self.ended_incarnations
             .iter()
             .find(|incarnation| incarnation.key == key)
@@ -166,7 +166,7 @@
         let key = self.by_instance.remove(instance)?;
         let server = self.servers.remove(key)?;
         self.by_tag.remove(&server.tag);
-        if server.leaves() {
+        if server.is_draining() {
             self.draining.add_ended(server.tag);
         }
         self.limits.retain(&server);
@@ -176,7 +176,7 @@
         Some(RemovedServer {
             key,
             tag: server.tag,
-            left: server.leaves(),
+            was_draining: server.is_draining(),
         })
     }
 
@@ -191,7 +191,7 @@
     }
 
     /// Returns the number of servers of the largest service.
-    pub fn largest_service(&self) -> usize {
+    pub fn largest_service_size(&self) -> usize {
         self.by_service.values().map(Vec::len).max().unwrap_or(0)
     }
 
@@ -205,11 +205,11 @@
 
     /// Returns the servers of a service that this node uses: those of its group, or all of
     /// them while none of its group accepts work.
-    pub fn in_use(&self, service: &str, now: Instant) -> &[ServerKey] {
+    pub fn servers_in_use(&self, service: &str, now: Instant) -> &[ServerKey] {
         let all = self.of_service(service);
         let own = self.group.subset(all);
-        let takes_work = |key: &ServerKey| self.servers[*key].takes_work(now);
-        match own.iter().any(takes_work) {
+        let is_available = |key: &ServerKey| self.servers[*key].is_available(now);
+        match own.iter().any(is_available) {
             true => own,
             false => all,
         }
@@ -238,7 +238,7 @@
     }
 
     /// Returns a server other than `key` at this address.
-    pub fn other_at(&self, addr: SocketAddr, key: Option<ServerKey>) -> Option<ServerKey> {
+    pub fn other_server_at(&self, addr: SocketAddr, key: Option<ServerKey>) -> Option<ServerKey> {
         let mut servers = self.servers.iter();
         let is_other = |(other, server): &(ServerKey, &Server)| {
             server.record.addr == addr && Some(*other) != key
@@ -247,15 +247,19 @@
     }
 
     /// Applies a notice from a server; returns whether it changes anything.
-    pub fn note_word(&mut self, key: ServerKey, word: ServerWord, now: Instant) -> bool {
-        if let ServerWord::Limit { limit, asked } = word {
-            return self.note_limit(key, limit, asked, now);
+    pub fn apply_notice(&mut self, key: ServerKey, notice: ServerNotice, now: Instant) -> bool {
+        if let ServerNotice::Limit {
+            limit,
+            requested_at,
+        } = notice
+        {
+            return self.record_limit(key, limit, requested_at, now);
         }
         let Some(server) = self.servers.get_mut(key) else {
             return false;
         };
-        let is_new = server.note_word(word, now);
-        if is_new && word == ServerWord::Leaving {
+        let is_new = server.apply_notice(notice, now);
+        if is_new && notice == ServerNotice::Draining {
             self.draining_updates.push(server.tag);
         }
         is_new
@@ -263,71 +267,71 @@
 
     /// Marks an incarnation as draining on a peer's report; returns the server if that is
     /// new.
-    pub fn note_told_leaving(&mut self, tag: u32) -> Option<ServerKey> {
+    pub fn apply_reported_draining(&mut self, tag: u32) -> Option<ServerKey> {
         let Some(&key) = self.by_tag.get(&tag) else {
             self.draining.add_reported(tag);
             return None;
         };
-        self.servers[key].note_told_leaving().then_some(key)
+        self.servers[key].apply_reported_draining().then_some(key)
     }
 
     /// Returns whether draining servers are to be published without delay.
-    pub fn has_leaving_news(&self) -> bool {
+    pub fn has_draining_updates(&self) -> bool {
         !self.draining_updates.is_empty()
     }
 
     /// Takes the short ids of draining servers that are to be published without delay.
-    pub fn take_leaving_news(&mut self) -> Vec<u32> {
+    pub fn take_draining_updates(&mut self) -> Vec<u32> {
         std::mem::take(&mut self.draining_updates)
     }
 
     /// Returns the short ids of at most `max` servers that announced to this node that they
     /// are draining. Reports from peers are not rebroadcast: they would circulate after the
     /// incarnation has ended.
-    pub fn leaving_to_tell(&self, max: usize) -> Vec<u32> {
+    pub fn draining_to_publish(&self, max: usize) -> Vec<u32> {
         let servers = self.servers.values();
         let draining = servers.filter(|server| server.announced_draining());
         draining.map(|server| server.tag).take(max).collect()
     }
 
     /// Returns whether a server has responded successfully after `since`.
-    pub fn was_heard_since(&self, key: ServerKey, since: Instant) -> bool {
+    pub fn has_responded_since(&self, key: ServerKey, since: Instant) -> bool {
         let server = self.servers.get(key);
-        server.is_some_and(|server| server.was_heard_since(since))
+        server.is_some_and(|server| server.has_responded_since(since))
     }
 
     /// Records that a request is sent to a server.
-    pub fn note_sent(&mut self, key: ServerKey, now: Instant) {
-        self.note_message(key, now);
+    pub fn record_send(&mut self, key: ServerKey, now: Instant) {
+        self.count_message(key, now);
         if let Some(server) = self.servers.get_mut(key) {
-            server.note_sent(now);
+            server.record_send(now);
         }
     }
 
     /// Records a successful response.
-    pub fn note_success(&mut self, key: ServerKey, now: Instant) {
+    pub fn record_success(&mut self, key: ServerKey, now: Instant) {
         if let Some(server) = self.servers.get_mut(key) {
-            server.note_success(now);
+            server.record_success(now);
         }
     }
 
     /// Records that a request to a server timed out without output; returns the duration of
     /// the ejection if this starts one. A server that responds to other requests is busy and
     /// has not failed: ejecting it would only move its load to equally busy servers.
-    pub fn note_silence(&mut self, key: ServerKey, now: Instant) -> Option<Duration> {
-        self.servers.get_mut(key)?.note_silence(now)
+    pub fn record_timeout(&mut self, key: ServerKey, now: Instant) -> Option<Duration> {
+        self.servers.get_mut(key)?.record_timeout(now)
     }
 
     /// Records a failure of a server; returns the duration of the ejection if this starts
     /// one.
-    pub fn note_failure(&mut self, key: ServerKey, now: Instant) -> Option<Duration> {
-        self.servers.get_mut(key)?.note_failure(now)
+    pub fn record_failure(&mut self, key: ServerKey, now: Instant) -> Option<Duration> {
+        self.servers.get_mut(key)?.record_failure(now)
     }
 
     /// Records that a server is unreachable, which ejects it at once.
-    pub fn note_unreachable(&mut self, key: ServerKey, now: Instant) {
+    pub fn record_unreachable(&mut self, key: ServerKey, now: Instant) {
         if let Some(server) = self.servers.get_mut(key) {
-            server.note_unreachable(now);
+            server.record_unreachable(now);
         }
     }
 }
--- a/crates/notchwalk_route/src/fleet/server.rs
+++ b/crates/notchwalk_route/src/fleet/server.rs
@@ -5,7 +5,7 @@
 use notchwalk_core::Instant;
 
 use super::limit::ServerLimit;
-use crate::{shares::tag_of, RateLimit, ServerWord};
+use crate::{shares::tag_of, RateLimit, ServerNotice};
 
 /// Consecutive failures after which a server is ejected.
 const FAILURES_TO_EJECT: u32 = 2;
@@ -47,7 +47,7 @@
     pub instance: String,
     /// Start time of this incarnation in milliseconds since the Unix epoch, if announced.
     /// State about a server never outlives its incarnation.
-    pub born: Option<u64>,
+    pub started_ms: Option<u64>,
     /// The service that it serves.
     pub service: String,
     /// The address that it listens on.
@@ -63,7 +63,7 @@
 impl ServerRecord {
     /// Derives the short id of this incarnation.
     pub(super) fn incarnation_tag(&self) -> u32 {
-        match self.born {
+        match self.started_ms {
             Some(born) => tag_of(&format!("{}/{born}", self.instance)),
             None => tag_of(&self.instance),
         }
@@ -134,7 +134,7 @@
     }
 
     /// Returns whether the server may be given new work.
-    pub fn takes_work(&self, now: Instant) -> bool {
+    pub fn is_available(&self, now: Instant) -> bool {
         self.time_until_available(now) == Some(Duration::ZERO)
             && self.time_until_allowed(now) == Some(Duration::ZERO)
     }
@@ -145,19 +145,20 @@
     }
 
     /// Records that a request is sent to the server.
-    pub(super) fn note_sent(&mut self, now: Instant) {
+    pub(super) fn record_send(&mut self, now: Instant) {
         if self.failures >= FAILURES_TO_EJECT {
             self.probed_at = now;
         }
     }
 
-    /// Returns whether the server is neither draining nor asking this node to back off.
-    pub fn wants_work(&self, now: Instant) -> bool {
-        !self.leaves() && now >= self.back_off_until
+    /// Returns whether the server is neither draining nor within a backoff that it
+    /// requested.
+    pub fn accepts_requests(&self, now: Instant) -> bool {
+        !self.is_draining() && now >= self.back_off_until
     }
 
     /// Returns whether the server is draining. Every send to a server checks this.
-    pub fn leaves(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         self.draining != Draining::No
     }
 
@@ -174,7 +175,7 @@
             true => until.max(self.probed_at.after(PROBE_INTERVAL)),
             false => until,
         };
-        (!self.leaves()).then(|| until.since(now))
+        (!self.is_draining()).then(|| until.since(now))
     }
 
     /// Returns the time until its limit allows this node a request; `None` if this node
@@ -199,7 +200,7 @@
 
     /// Returns the number of requests that its limit allows the reachable nodes now; `None`
     /// without a limit.
-    pub fn allowance(&self, now: Instant) -> Option<f64> {
+    pub fn available_requests(&self, now: Instant) -> Option<f64> {
         let limited = self.limit.active()?;
         Some(limited.bucket.level(now))
     }
@@ -217,15 +218,15 @@
     }
 
     /// Returns whether its limit is too low for a prefill worker.
-    pub(crate) fn is_scarce(&self) -> bool {
+    pub(crate) fn has_low_limit(&self) -> bool {
         /// Minimum rate in requests per second; each part of a long prompt is a request.
         const MIN_PREFILL_WORKER_RATE: f64 = 8.0;
         self.limit()
             .is_some_and(|limit| limit.rate() < MIN_PREFILL_WORKER_RATE)
     }
 
-    /// Returns how much longer the server asks this node to back off.
-    pub fn wants_nothing_for(&self, now: Instant) -> Duration {
+    /// Returns the remaining time of the backoff that the server requested.
+    pub fn back_off_remaining(&self, now: Instant) -> Duration {
         self.back_off_until.since(now)
     }
 
@@ -248,8 +249,8 @@
     }
 
     /// Marks the server as draining on a peer's report; returns whether that is new.
-    pub(super) fn note_told_leaving(&mut self) -> bool {
-        let is_new = !self.leaves();
+    pub(super) fn apply_reported_draining(&mut self) -> bool {
+        let is_new = !self.is_draining();
         if is_new {
             self.draining = Draining::Reported;
         }
@@ -257,21 +258,21 @@
     }
 
     /// Applies a notice from the server; returns whether it changes anything.
-    pub(super) fn note_word(&mut self, word: ServerWord, now: Instant) -> bool {
-        match word {
-            ServerWord::Leaving => {
+    pub(super) fn apply_notice(&mut self, notice: ServerNotice, now: Instant) -> bool {
+        match notice {
+            ServerNotice::Draining => {
                 let is_new = self.draining != Draining::Announced;
                 self.draining = Draining::Announced;
                 is_new
             }
-            ServerWord::WantsNothing(time) => {
+            ServerNotice::BackOff(time) => {
                 let until = now.after(time);
                 let is_new = until > self.back_off_until;
                 self.back_off_until = self.back_off_until.max(until);
                 is_new
             }
-            // Applied by `Fleet::note_limit`, as the limit is shared with other nodes.
-            ServerWord::Limit { .. } => false,
+            // Applied by `Fleet::record_limit`, as the limit is shared with other nodes.
+            ServerNotice::Limit { .. } => false,
         }
     }
 
@@ -280,24 +281,24 @@
         self.limit.active().map(|limited| limited.limit)
     }
 
-    pub(super) fn was_heard_since(&self, since: Instant) -> bool {
+    pub(super) fn has_responded_since(&self, since: Instant) -> bool {
         self.responded_at > since
     }
 
-    pub(super) fn note_success(&mut self, now: Instant) {
+    pub(super) fn record_success(&mut self, now: Instant) {
         self.responded_at = now;
         self.failures = 0;
         self.record_outcome(0.0, now);
     }
 
-    pub(super) fn note_silence(&mut self, now: Instant) -> Option<Duration> {
+    pub(super) fn record_timeout(&mut self, now: Instant) -> Option<Duration> {
         if now.since(self.responded_at) < ALIVE_WINDOW {
             return None;
         }
-        self.note_failure(now)
+        self.record_failure(now)
     }
 
-    pub(super) fn note_failure(&mut self, now: Instant) -> Option<Duration> {
+    pub(super) fn record_failure(&mut self, now: Instant) -> Option<Duration> {
         self.reset_old_failures(now);
         self.count_failure(now)
     }
@@ -315,7 +316,7 @@
         Some(ejection)
     }
 
-    pub(super) fn note_unreachable(&mut self, now: Instant) {
+    pub(super) fn record_unreachable(&mut self, now: Instant) {
         self.reset_old_failures(now);
         self.failures = self.failures.max(FAILURES_TO_EJECT);
         self.count_failure(now);
--- a/crates/notchwalk_route/src/fleet/sharing.rs
+++ b/crates/notchwalk_route/src/fleet/sharing.rs
@@ -10,10 +10,10 @@
 
 use super::{
     limit::{LimitObservation, ServerLimit},
-    limit_update::{Sharing, Told, ToldLimit, ToldLimitWord},
+    limit_update::{LimitScope, LimitSharing, LimitUpdate, ObservedLimit},
     Fleet, Server, ServerKey,
 };
-use crate::{shares::tag_of, RateLimit, ServerWord};
+use crate::{shares::tag_of, RateLimit, ServerNotice};
 
 /// How long a service counts as in demand after a request for it.
 const DEMAND_TTL: Duration = Duration::from_secs(1);
@@ -39,7 +39,7 @@
 /// State of the servers that announce limits.
 #[derive(Debug, Default)]
 pub(super) struct Limits {
-    sharing: Option<Sharing>,
+    sharing: Option<LimitSharing>,
     /// Servers with a limit, or whose limit ended recently.
     servers: Vec<ServerKey>,
     /// Those with an update that is to be published without delay.
@@ -83,7 +83,7 @@
     }
 
     /// Sets which nodes share the limits of servers.
-    pub fn set_sharing(&mut self, sharing: Sharing, now: Instant) {
+    pub fn set_sharing(&mut self, sharing: LimitSharing, now: Instant) {
         if self.limits.sharing == Some(sharing) {
             return;
         }
@@ -110,7 +110,7 @@
 
     /// Returns the share of a server's limit that the reachable nodes of this group may use.
     /// Other groups that use the server have a share each, as their updates arrive too late.
-    fn limit_share(&self, key: ServerKey, sharing: Sharing) -> f64 {
+    fn limit_share(&self, key: ServerKey, sharing: LimitSharing) -> f64 {
         let Some(server) = self.servers.get(key) else {
             return 0.0;
         };
@@ -135,7 +135,7 @@
 
     /// Applies the limit that a response to this node announced; returns whether that
     /// changes the server's limit.
-    pub(super) fn note_limit(
+    pub(super) fn record_limit(
         &mut self,
         key: ServerKey,
         limit: Option<RateLimit>,
@@ -167,42 +167,48 @@
     }
 
     /// Applies a peer's updates on limited servers; returns the limits that changed.
-    /// `near` is the number and the name of a peer in this node's group. Sends of other
-    /// peers count against their own groups' shares.
-    pub fn hear_limits(
+    /// `from` is the number and the name of the peer, if it is in this node's group. Sends of
+    /// other peers count against their own groups' shares.
+    pub fn apply_limit_updates(
         &mut self,
-        near: Option<(u32, &str)>,
-        updates: &[ToldLimit],
+        from: Option<(u32, &str)>,
+        updates: &[LimitUpdate],
         now: Instant,
-    ) -> Vec<(ServerKey, ServerWord)> {
+    ) -> Vec<(ServerKey, ServerNotice)> {
         let mut changed = Vec::new();
         for update in updates {
             let Some(key) = self.by_tag(update.server) else {
                 continue;
             };
-            if let Some(observed) = update.said {
+            if let Some(observed) = update.observed {
                 let limit = observed.limit;
-                let asked = now.before(Duration::from_millis(observed.age_ms.into()));
+                let requested_at = now.before(Duration::from_millis(observed.age_ms.into()));
                 let observed = LimitObservation {
                     limit,
-                    requested_at: asked,
+                    requested_at,
                     is_direct: false,
                 };
                 if self.apply_limit(key, observed, now) {
-                    changed.push((key, ServerWord::Limit { limit, asked }));
+                    changed.push((
+                        key,
+                        ServerNotice::Limit {
+                            limit,
+                            requested_at,
+                        },
+                    ));
                 }
             }
-            let Some((peer, name)) = near else { continue };
+            let Some((peer, name)) = from else { continue };
             if let Some(limited) = self.servers[key].limit.active_mut() {
                 let bucket = &mut limited.bucket;
-                bucket.apply_peer(peer, tag_of(name), update.sent, update.wants, now);
+                bucket.apply_peer(peer, tag_of(name), update.sent, update.has_demand, now);
             }
         }
         changed
     }
 
     /// Discards the send counters of a peer.
-    pub fn forget_sends_of(&mut self, peer: u32) {
+    pub fn remove_peer_sends(&mut self, peer: u32) {
         for &key in &self.limits.servers {
             let server = self.servers.get_mut(key);
             if let Some(limited) = server.and_then(|server| server.limit.active_mut()) {
@@ -212,45 +218,45 @@
     }
 
     /// Returns whether updates on limited servers are to be published without delay.
-    pub fn has_limit_news(&self) -> bool {
+    pub fn has_limit_updates(&self) -> bool {
         !self.limits.pending.is_empty()
     }
 
     /// Takes the updates on limited servers that are to be published without delay.
-    pub fn take_limit_news(&mut self, now: Instant) -> Vec<ToldLimit> {
+    pub fn take_limit_updates(&mut self, now: Instant) -> Vec<LimitUpdate> {
         let pending = std::mem::take(&mut self.limits.pending);
         let updates = pending.iter();
-        let updates = updates.filter_map(|&key| self.limit_update(key, Told::FirstHand, now));
+        let updates = updates.filter_map(|&key| self.limit_update(key, LimitScope::Direct, now));
         updates.collect()
     }
 
     /// Returns at most `max` updates on limited servers for publishing.
-    pub fn limits_to_tell(&self, scope: Told, max: usize, now: Instant) -> Vec<ToldLimit> {
+    pub fn limit_updates(&self, scope: LimitScope, max: usize, now: Instant) -> Vec<LimitUpdate> {
         let servers = self.limits.servers.iter();
         let updates = servers.filter_map(|&key| self.limit_update(key, scope, now));
         updates.take(max).collect()
     }
 
-    fn limit_update(&self, key: ServerKey, scope: Told, now: Instant) -> Option<ToldLimit> {
+    fn limit_update(&self, key: ServerKey, scope: LimitScope, now: Instant) -> Option<LimitUpdate> {
         let server = self.servers.get(key)?;
         let latest = server.limit.latest(now);
-        let latest = latest.filter(|latest| latest.is_direct || scope == Told::All);
-        let said = latest.map(|latest| ToldLimitWord {
+        let latest = latest.filter(|latest| latest.is_direct || scope == LimitScope::All);
+        let observed = latest.map(|latest| ObservedLimit {
             limit: latest.limit,
             age_ms: now.since(latest.requested_at).as_millis() as u32,
         });
         let last_demand = self.limits.last_demand.get(&server.record.service);
-        Some(ToldLimit {
+        Some(LimitUpdate {
             server: server.tag,
-            said,
+            observed,
             sent: server.sent,
-            wants: last_demand.is_some_and(|&at| now.since(at) < DEMAND_TTL),
+            has_demand: last_demand.is_some_and(|&at| now.since(at) < DEMAND_TTL),
         })
     }
 
     /// Records demand for a service: a node with demand gets a share of the limits of its
     /// servers.
-    pub fn note_asked_for(&mut self, service: &str, now: Instant) {
+    pub fn record_demand(&mut self, service: &str, now: Instant) {
         if self.limits.servers.is_empty() {
             return;
         }
@@ -263,7 +269,7 @@
     }
 
     /// Removes servers whose limits have ended and whose end has been published.
-    pub fn forget_ended_limits(&mut self, now: Instant) {
+    pub fn remove_ended_limits(&mut self, now: Instant) {
         let servers = &self.servers;
         self.limits.servers.retain(|&key| {
             let server = servers.get(key);
@@ -275,12 +281,12 @@
     }
 
     /// Counts a message to a server: a request, a part of one or a reservation order.
-    pub fn note_message(&mut self, key: ServerKey, now: Instant) {
+    pub fn count_message(&mut self, key: ServerKey, now: Instant) {
         self.count_sent(key, 1, now);
     }
 
     /// Rolls back the count of a message that was not sent.
-    pub fn note_unsent(&mut self, key: ServerKey, now: Instant) {
+    pub fn roll_back_message(&mut self, key: ServerKey, now: Instant) {
         self.count_sent(key, -1, now);
     }
 
@@ -295,14 +301,14 @@
     }
 
     /// Returns the servers with a limit.
-    pub fn limited(&self) -> impl Iterator<Item = (&Server, RateLimit)> {
+    pub fn limited_servers(&self) -> impl Iterator<Item = (&Server, RateLimit)> {
         let servers = self.limits.servers.iter();
         let servers = servers.filter_map(|&key| self.servers.get(key));
         servers.filter_map(|server| Some((server, server.limit()?)))
     }
 
     /// Returns how many messages this node has sent to limited servers.
-    pub fn sent_within_limits(&self) -> u64 {
+    pub fn sent_to_limited(&self) -> u64 {
         self.limits.sent
     }
 
@@ -356,7 +362,7 @@
 
     /// Returns this node's share of the limits of a service's servers, in requests per
     /// second.
-    pub fn allowed_rate(&self, service: &str, now: Instant) -> f64 {
+    pub fn own_allowed_rate(&self, service: &str, now: Instant) -> f64 {
         let servers = self.of_service(service).iter();
         let servers = servers.map(|&key| &self.servers[key]);
         let available =
--- a/crates/notchwalk_route/src/groups.rs
+++ b/crates/notchwalk_route/src/groups.rs
@@ -40,7 +40,7 @@
 impl Group {
     /// Returns the group of the node at `position` in the order of all `nodes` nodes, if the
     /// largest service has `servers` servers.
-    pub fn of_place(position: usize, nodes: usize, servers: usize) -> Self {
+    pub fn for_node(position: usize, nodes: usize, servers: usize) -> Self {
         let groups = match nodes {
             0..=MAX_UNDIVIDED_NODES => 1,
             _ => nodes.div_ceil(MAX_NODES_PER_GROUP).next_power_of_two(),
@@ -90,7 +90,7 @@
 
 /// Returns the key that orders nodes. It spreads the nodes of one failure domain, whose
 /// names are similar, over all groups.
-pub fn entry_order(name: &str) -> (u32, &str) {
+pub fn node_order(name: &str) -> (u32, &str) {
     (mix_bits(tag_of(name)), name)
 }
 
--- a/crates/notchwalk_route/src/lib.rs
+++ b/crates/notchwalk_route/src/lib.rs
@@ -47,15 +47,15 @@
 pub use engine_cost::EngineCost;
 pub use event::{AttemptEnd, Event, FailedReservation};
 pub use fleet::{
-    Availability, Fleet, Server, ServerChange, ServerKey, ServerRecord, ServerStage, Sharing, Told,
-    ToldLimit, ToldLimitWord,
+    Availability, Fleet, LimitScope, LimitSharing, LimitUpdate, ObservedLimit, Server,
+    ServerChange, ServerKey, ServerRecord, ServerStage,
 };
-pub use groups::{entry_order, Group};
+pub use groups::{node_order, Group};
 pub use request::{RequestFacts, RequestKey};
 pub use retry_budget::RetryBudget;
 pub use router::{Router, RouterConfig};
 pub use routes::{host_name, RouteLookup, RouteTable};
-pub use server_notice::{RateLimit, ServerWord};
+pub use server_notice::{RateLimit, ServerNotice};
 pub use shares::WorkspaceTag;
 pub use site::{
     Backend, ClientLimits, EngineParameters, Repeatability, Route, Service, SiteConfig, Workspace,
--- a/crates/notchwalk_route/src/placement/call.rs
+++ b/crates/notchwalk_route/src/placement/call.rs
@@ -22,11 +22,11 @@
     /// Load added for a server in another failure domain.
     const REMOTE_DOMAIN_COST: f64 = 0.05;
     let mut best: Option<(f64, ServerKey)> = None;
-    for &key in fleet.in_use(service, now) {
+    for &key in fleet.servers_in_use(service, now) {
         let Some(server) = fleet.get(key) else {
             continue;
         };
-        if !server.takes_work(now) || excluded.contains(&key) {
+        if !server.is_available(now) || excluded.contains(&key) {
             continue;
         }
         let load = load_view.load(key, now);
--- a/crates/notchwalk_route/src/placement/mod.rs
+++ b/crates/notchwalk_route/src/placement/mod.rs
@@ -217,7 +217,7 @@
     }
 
     fn candidates(&self, service: &str, excluded: &[ServerKey]) -> Vec<View> {
-        let servers = self.fleet.in_use(service, self.now);
+        let servers = self.fleet.servers_in_use(service, self.now);
         let mut candidates = Vec::with_capacity(servers.len());
         let mut short = 0;
         for &key in servers {
@@ -226,7 +226,7 @@
             };
             let load = self.load_view.load(key, self.now);
             short += load.short;
-            if !server.takes_work(self.now) || excluded.contains(&key) {
+            if !server.is_available(self.now) || excluded.contains(&key) {
                 continue;
             }
             let engine_step_ms = self.cost().pass_ms(load.writers, load.pass_tokens);
@@ -241,7 +241,7 @@
                 start_delay_ms,
                 failure_penalty_ms: 400.0 * server.failure_rate(self.now),
                 in_short_pool: self.peer_load_unknown,
-                has_low_limit: server.is_scarce(),
+                has_low_limit: server.has_low_limit(),
             });
         }
         if self.peer_load_unknown {
--- a/crates/notchwalk_route/src/reservations.rs
+++ b/crates/notchwalk_route/src/reservations.rs
@@ -63,7 +63,7 @@
 
     /// Records that an order had no response. A release is repeated from now on. A
     /// reservation or renewal may still be carried out after the end of its request.
-    pub fn note_unanswered(&mut self, order: &ReservationOrder, now: Instant) {
+    pub fn record_unanswered(&mut self, order: &ReservationOrder, now: Instant) {
         if order.tokens.is_none() {
             self.repeat_release(order.clone(), now);
             return;
--- a/crates/notchwalk_route/src/retry_budget.rs
+++ b/crates/notchwalk_route/src/retry_budget.rs
@@ -65,7 +65,7 @@
     }
 
     /// Records the first attempt of a request.
-    pub fn note_first(&mut self, now: Instant) {
+    pub fn record_first_attempt(&mut self, now: Instant) {
         self.begin(now);
         self.remove_expired(now);
         self.attempts.push_back((now, false));
--- a/crates/notchwalk_route/src/router/ending.rs
+++ b/crates/notchwalk_route/src/router/ending.rs
@@ -39,7 +39,7 @@
                 self.load_view.remove(worker, key);
             }
         }
-        self.fleet.note_success(server, now);
+        self.fleet.record_success(server, now);
     }
 
     /// Removes a request from its servers.
@@ -175,7 +175,9 @@
             return;
         };
         let at_fault = match end {
-            AttemptEnd::Delivered { healthy: true } => return self.fleet.note_success(server, now),
+            AttemptEnd::Delivered { healthy: true } => {
+                return self.fleet.record_success(server, now)
+            }
             AttemptEnd::Delivered { healthy: false } => return,
             AttemptEnd::NotRun {
                 at_fault: Some(addr),
@@ -186,7 +188,7 @@
                     // A worker that rejects a segment is unreachable, draining or full, and
                     // would fail the next prompt too.
                     Some(worker) => {
-                        self.fleet.note_unreachable(worker, now);
+                        self.fleet.record_unreachable(worker, now);
                         None
                     }
                     None => at_fault,
@@ -197,13 +199,16 @@
             AttemptEnd::NotSent => return,
             AttemptEnd::Failed => None,
             AttemptEnd::NotConnected => {
-                self.fleet.note_unreachable(server, now);
+                self.fleet.record_unreachable(server, now);
                 None
             }
             AttemptEnd::Broken | AttemptEnd::Unusable => Some(server),
             AttemptEnd::Silent => {
-                if let Some(pause) = self.fleet.note_silence(server, now) {
-                    out.push(Effect::Closed { server, pause });
+                if let Some(pause) = self.fleet.record_timeout(server, now) {
+                    out.push(Effect::Ejected {
+                        server,
+                        duration: pause,
+                    });
                 }
                 None
             }
@@ -211,10 +216,10 @@
         let Some(at_fault) = at_fault else {
             return;
         };
-        if let Some(pause) = self.fleet.note_failure(at_fault, now) {
-            out.push(Effect::Closed {
+        if let Some(pause) = self.fleet.record_failure(at_fault, now) {
+            out.push(Effect::Ejected {
                 server: at_fault,
-                pause,
+                duration: pause,
             });
         }
     }
--- a/crates/notchwalk_route/src/router/limits.rs
+++ b/crates/notchwalk_route/src/router/limits.rs
@@ -7,7 +7,7 @@
 use rand::Rng;
 
 use super::Router;
-use crate::{request::Request, Effect, RequestKey, ToldLimit};
+use crate::{request::Request, Effect, LimitUpdate, RequestKey};
 
 /// Fraction of the caller's remaining timeout within which a late request must be sent to
 /// be queued. The rest is left for the answer.
@@ -42,17 +42,17 @@
 impl Router {
     pub(super) fn apply_peer_limits(
         &mut self,
-        near: Option<(u32, &str)>,
-        limits: &[ToldLimit],
+        group_peer: Option<(u32, &str)>,
+        limits: &[LimitUpdate],
         now: Instant,
         out: &mut Vec<Effect>,
     ) {
-        for (server, word) in self.fleet.hear_limits(near, limits, now) {
-            let by_peer = true;
-            out.push(Effect::Heard {
+        for (server, notice) in self.fleet.apply_limit_updates(group_peer, limits, now) {
+            let reported_by_peer = true;
+            out.push(Effect::NewNotice {
                 server,
-                word,
-                by_peer,
+                notice,
+                reported_by_peer,
             });
         }
     }
@@ -63,7 +63,7 @@
             return;
         };
         for &server in request.helpers.iter().chain(&request.at) {
-            self.fleet.note_unsent(server, now);
+            self.fleet.roll_back_message(server, now);
         }
     }
 
@@ -107,7 +107,7 @@
     ) -> Duration {
         /// Upper bound of the result.
         const MAX_WAIT: Duration = Duration::from_secs(3_600);
-        let rate = self.fleet.allowed_rate(service, now);
+        let rate = self.fleet.own_allowed_rate(service, now);
         let queue_time = f64::from(queued_before) / rate;
         match queue_time < MAX_WAIT.as_secs_f64() {
             true => first_send + Duration::from_secs_f64(queue_time),
--- a/crates/notchwalk_route/src/router/mod.rs
+++ b/crates/notchwalk_route/src/router/mod.rs
@@ -28,8 +28,8 @@
 use crate::{
     first_try::FirstTries, placement::EnginePlacement, request::Request,
     reservations::Reservations, shares::Shares, wait_queue::WaitQueue, Board, Effect, Event, Fleet,
-    RequestKey, RetryBudget, RouteTable, ServerChange, ServerKey, ServerWord, Service, SiteConfig,
-    ToldLimit,
+    LimitUpdate, RequestKey, RetryBudget, RouteTable, ServerChange, ServerKey, ServerNotice,
+    Service, SiteConfig,
 };
 
 /// Time after which the work reported by a silent peer expires, if the driver has not
@@ -129,14 +129,14 @@
     }
 
     /// Takes the rate-limit updates to broadcast to peers.
-    pub fn take_limit_news(&mut self, now: Instant) -> Vec<ToldLimit> {
-        self.fleet.take_limit_news(now)
+    pub fn take_limit_updates(&mut self, now: Instant) -> Vec<LimitUpdate> {
+        self.fleet.take_limit_updates(now)
     }
 
     /// Takes the short ids of servers that announced that they are draining, to broadcast
     /// to peers.
-    pub fn take_leaving_news(&mut self) -> Vec<u32> {
-        self.fleet.take_leaving_news()
+    pub fn take_draining_updates(&mut self) -> Vec<u32> {
+        self.fleet.take_draining_updates()
     }
 
     /// Returns the load view: the work on all servers, as far as it is known.
@@ -219,17 +219,17 @@
         match event {
             Event::Configured(site) => self.configure(&site, now),
             Event::Servers(change) => self.apply_server_change(change, now, out),
-            Event::ServerSaid { server, word } => {
-                if self.fleet.note_word(server, word, now) {
-                    let by_peer = false;
-                    out.push(Effect::Heard {
+            Event::NoticeReceived { server, notice } => {
+                if self.fleet.apply_notice(server, notice, now) {
+                    let reported_by_peer = false;
+                    out.push(Effect::NewNotice {
                         server,
-                        word,
-                        by_peer,
+                        notice,
+                        reported_by_peer,
                     });
                 }
             }
-            Event::ToldLeaving { servers } => self.apply_draining_notices(&servers, out),
+            Event::DrainingReported { servers } => self.apply_draining_notices(&servers, out),
             Event::Arrived { request, facts } => self.handle_arrived(request, facts, now, out),
             Event::Started { request } => self.handle_started(request, now),
             Event::AttemptEnded { request, end } => {
@@ -241,37 +241,41 @@
                 servers,
                 work,
             } => self.apply_peer_work(peer, &servers, work, now),
-            Event::PeerGone { peer } => {
+            Event::PeerUnreachable { peer } => {
                 self.load_view.forget_peer(peer);
-                self.fleet.forget_sends_of(peer);
+                self.fleet.remove_peer_sends(peer);
                 self.quarantine.remove_peer(peer);
             }
-            Event::News { peer, news } => self.apply_quarantine_updates(peer, &news, now),
+            Event::QuarantineUpdates { peer, updates } => {
+                self.apply_quarantine_updates(peer, &updates, now)
+            }
             Event::NotListening { server } => {
                 self.quarantine.record_server_ended(server, true, now);
             }
             Event::Restored {
                 content,
                 left,
-                times,
-            } => self.quarantine.restore(content, left, times, now),
+                quarantine_count,
+            } => self
+                .quarantine
+                .restore(content, left, quarantine_count, now),
             Event::Release { content } => {
                 self.quarantine.release(content, now);
             }
             Event::Group(group) => self.fleet.set_group(group, now),
-            Event::Entries { count } => self.node_count = Some(count),
-            Event::Sharing(sharing) => self.fleet.set_sharing(sharing, now),
-            Event::ToldLimits {
+            Event::NodeCount { count } => self.node_count = Some(count),
+            Event::LimitSharing(sharing) => self.fleet.set_sharing(sharing, now),
+            Event::LimitUpdates {
                 peer,
                 name,
-                near,
-                limits,
+                is_in_group,
+                updates,
             } => {
-                let near = near.then_some((peer, name.as_str()));
-                self.apply_peer_limits(near, &limits, now, out);
+                let group_peer = is_in_group.then_some((peer, name.as_str()));
+                self.apply_peer_limits(group_peer, &updates, now, out);
             }
             Event::Reserved { request, failed } => self.handle_reserved(request, &failed, now, out),
-            Event::Unanswered(order) => self.reservations.note_unanswered(&order, now),
+            Event::Unanswered(order) => self.reservations.record_unanswered(&order, now),
             Event::Tick => self.tick(now, out),
             Event::Draining { after } => self.draining_from = Some(now.after(after)),
         }
@@ -296,11 +300,11 @@
     fn apply_server_change(&mut self, change: ServerChange, now: Instant, out: &mut Vec<Effect>) {
         for removed in self.fleet.apply(change, now) {
             self.load_view.forget_server(removed.key);
-            if let Some(life) = self.fleet.ended_life(removed.key) {
+            if let Some(life) = self.fleet.ended_incarnation(removed.key) {
                 self.reservations.forget_at(life.addr);
             }
             // The end of a draining server is no evidence about a request.
-            if !removed.left {
+            if !removed.was_draining {
                 self.quarantine.record_server_ended(removed.tag, false, now);
             }
             self.release_unstarted_reservations(removed.key, now, out);
@@ -309,13 +313,13 @@
 
     fn apply_draining_notices(&mut self, servers: &[u32], out: &mut Vec<Effect>) {
         for &tag in servers {
-            let Some(server) = self.fleet.note_told_leaving(tag) else {
+            let Some(server) = self.fleet.apply_reported_draining(tag) else {
                 continue;
             };
-            out.push(Effect::Heard {
+            out.push(Effect::NewNotice {
                 server,
-                word: ServerWord::Leaving,
-                by_peer: true,
+                notice: ServerNotice::Draining,
+                reported_by_peer: true,
             });
         }
     }
@@ -339,7 +343,7 @@
             .forget_silent_peers(now.before(PEER_WORK_TTL));
         self.quarantine.tick(now);
         self.probe_servers(now, out);
-        self.fleet.forget_ended_limits(now);
+        self.fleet.remove_ended_limits(now);
         for server in self.fleet.used_up_limits(now) {
             out.push(Effect::LimitUsedUp { server });
         }
--- a/crates/notchwalk_route/src/router/reserving.rs
+++ b/crates/notchwalk_route/src/router/reserving.rs
@@ -70,8 +70,11 @@
         // A server may have announced draining or backoff in the meantime.
         let fleet = &self.fleet;
         let servers = request.helpers.iter().chain(&request.at);
-        let is_ready =
-            |&key: &ServerKey| fleet.get(key).is_some_and(|server| server.wants_work(now));
+        let is_ready = |&key: &ServerKey| {
+            fleet
+                .get(key)
+                .is_some_and(|server| server.accepts_requests(now))
+        };
         if failed.is_empty() && servers.into_iter().all(is_ready) {
             out.push(Effect::Send {
                 request: key,
@@ -81,7 +84,7 @@
         }
         // No server received the request. Retry with other engines.
         for &server in request.helpers.iter().chain(&request.at) {
-            self.fleet.note_unsent(server, now);
+            self.fleet.roll_back_message(server, now);
         }
         request.sends -= 1;
         request.tried.retain(|server| Some(*server) != request.at);
@@ -91,7 +94,7 @@
             };
             request.tried.push(server);
             if engine.unreachable {
-                self.fleet.note_unreachable(server, now);
+                self.fleet.record_unreachable(server, now);
             }
         }
         self.release_reservations(key, now, out);
@@ -153,7 +156,7 @@
 
     fn count_order(&mut self, order: &ReservationOrder, now: Instant) {
         if let Some(engine) = self.fleet.by_addr(order.addr) {
-            self.fleet.note_message(engine, now);
+            self.fleet.count_message(engine, now);
         }
     }
 }
--- a/crates/notchwalk_route/src/router/sending.rs
+++ b/crates/notchwalk_route/src/router/sending.rs
@@ -42,7 +42,7 @@
             return self.refuse(key, Refusal::Draining, now, out);
         }
         if let Some(Some(request)) = self.requests.get(key) {
-            self.fleet.note_asked_for(&request.service, now);
+            self.fleet.record_demand(&request.service, now);
         }
         self.enqueue_and_dispatch(key, now, out);
     }
@@ -109,7 +109,7 @@
         };
         let is_first_send = request.sends == 0;
         if is_first_send {
-            self.retry_budget.note_first(now);
+            self.retry_budget.record_first_attempt(now);
         }
         let Some(assignment) = self.assign(key, &plan, now) else {
             return self.refuse(key, Refusal::NoServer, now, out);
@@ -140,10 +140,10 @@
             "request sent to more servers than its route allows"
         );
         debug_assert!(
-            server.wants_work(now),
+            server.accepts_requests(now),
             "work assigned to a server that is draining or backing off"
         );
-        self.quarantine.record_sent(request.facts.content, now);
+        self.quarantine.record_send(request.facts.content, now);
         let is_engine = request.facts.prompt_tokens > 0;
         request.sent_at = now;
         request.predicted_first = after_ms(now, plan.ttft_ms);
@@ -191,7 +191,7 @@
             pause_silence: inter_token_timeout(request),
         };
         self.load_view.add(plan.primary.server, work);
-        self.fleet.note_sent(plan.primary.server, now);
+        self.fleet.record_send(plan.primary.server, now);
         let mut helpers = Vec::with_capacity(plan.prefill_workers.len());
         for worker in &plan.prefill_workers {
             let Some(server) = self.fleet.get(worker.server) else {
@@ -209,7 +209,7 @@
                 ..work
             };
             self.load_view.add(worker.server, segment);
-            self.fleet.note_message(worker.server, now);
+            self.fleet.count_message(worker.server, now);
         }
         Some(Assignment {
             helpers,
--- a/crates/notchwalk_route/src/router/suspects.rs
+++ b/crates/notchwalk_route/src/router/suspects.rs
@@ -31,7 +31,7 @@
     }
 
     /// Takes the quarantine updates to broadcast to peers.
-    pub fn take_news(&mut self) -> Vec<QuarantineUpdate> {
+    pub fn take_quarantine_updates(&mut self) -> Vec<QuarantineUpdate> {
         self.quarantine.take_updates()
     }
 
@@ -116,7 +116,7 @@
                 // The segment may have crashed the worker, if the worker was alive when it
                 // was sent.
                 let worker = self.fleet.by_addr(addr).filter(|&key| key != server);
-                let was_alive = |&key: &ServerKey| self.fleet.was_heard_since(key, sent_at);
+                let was_alive = |&key: &ServerKey| self.fleet.has_responded_since(key, sent_at);
                 match worker.filter(was_alive).and_then(|key| self.tag(key)) {
                     Some(tag) => {
                         self.quarantine
@@ -150,9 +150,9 @@
     /// Returns the short id of a server that may have crashed.
     fn crashed_tag(&self, server: ServerKey) -> Option<u32> {
         let Some(known) = self.fleet.get(server) else {
-            return self.fleet.ended_life(server).map(|life| life.tag);
+            return self.fleet.ended_incarnation(server).map(|life| life.tag);
         };
-        (!known.leaves()).then_some(known.tag)
+        (!known.is_draining()).then_some(known.tag)
     }
 
     /// Restricts a request with suspected content to a subset of servers that depends on
@@ -173,10 +173,10 @@
         if needs_reservation || self.quarantine.verdict(content, now) == Verdict::Allowed {
             return;
         }
-        let servers = self.fleet.in_use(&request.service, now).iter();
+        let servers = self.fleet.servers_in_use(&request.service, now).iter();
         let is_eligible = |key: &&ServerKey| {
             let server = self.fleet.get(**key);
-            server.is_some_and(|server| server.takes_work(now)) && !request.tried.contains(key)
+            server.is_some_and(|server| server.is_available(now)) && !request.tried.contains(key)
         };
         let mut servers: Vec<ServerKey> = servers.filter(is_eligible).copied().collect();
         servers.sort_by_key(|&key| {
@@ -196,17 +196,17 @@
     pub(super) fn apply_quarantine_updates(
         &mut self,
         peer: u32,
-        news: &[QuarantineUpdate],
+        updates: &[QuarantineUpdate],
         now: Instant,
     ) {
-        self.quarantine.apply_updates(peer, news, now);
-        for item in news {
+        self.quarantine.apply_updates(peer, updates, now);
+        for item in updates {
             let QuarantineUpdate::Crashed { content, .. } = *item else {
                 continue;
             };
             // The peer's count doesn't include runs on this node.
             if self.is_running(content) {
-                self.quarantine.record_sent(content, now);
+                self.quarantine.record_send(content, now);
             }
         }
     }
@@ -251,6 +251,6 @@
     /// Emits the quarantine's new findings as effects.
     pub(super) fn emit_findings(&mut self, out: &mut Vec<Effect>) {
         let findings = self.quarantine.take_findings();
-        out.extend(findings.into_iter().map(Effect::Found));
+        out.extend(findings.into_iter().map(Effect::Finding));
     }
 }
--- a/crates/notchwalk_route/src/router/waiting.rs
+++ b/crates/notchwalk_route/src/router/waiting.rs
@@ -96,7 +96,7 @@
             ContentCheck::Wait => return Decision::Wait,
             ContentCheck::Refuse(reason) => return Decision::Refuse(reason),
         }
-        // Don't queue a request if all servers are draining or backing off.
+        // Don't queue a request if all servers are draining or requested a backoff.
         match self
             .fleet
             .availability(&request.service, &request.tried, now)
--- a/crates/notchwalk_route/src/server_notice.rs
+++ b/crates/notchwalk_route/src/server_notice.rs
@@ -36,16 +36,16 @@
 
 /// A notice from a server about itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ServerWord {
+pub enum ServerNotice {
     /// It is draining and will stop soon.
-    Leaving,
-    /// It asks this node to back off for this time.
-    WantsNothing(Duration),
+    Draining,
+    /// It requests that this node backs off for this time.
+    BackOff(Duration),
     /// The rate that it accepts from all nodes together.
     Limit {
         /// The limit; `None` if the response announces none.
         limit: Option<RateLimit>,
         /// When the request of that response was sent: responses may arrive out of order.
-        asked: Instant,
+        requested_at: Instant,
     },
 }
--- a/crates/notchwalk_route/tests/decisions/common.rs
+++ b/crates/notchwalk_route/tests/decisions/common.rs
@@ -5,9 +5,10 @@
 use notchwalk_core::Instant;
 use notchwalk_quarantine::{Fingerprint, FingerprintBuilder, RequestHead};
 use notchwalk_route::{
-    Assignment, AttemptEnd, Backend, Effect, EngineParameters, Event, Refusal, Repeatability,
-    RequestFacts, RequestKey, Route, RouteLookup, Router, RouterConfig, ServerChange, ServerKey,
-    ServerRecord, ServerStage, Service, Sharing, SiteConfig, Workspace, WorkspaceTag,
+    Assignment, AttemptEnd, Backend, Effect, EngineParameters, Event, LimitSharing, Refusal,
+    Repeatability, RequestFacts, RequestKey, Route, RouteLookup, Router, RouterConfig,
+    ServerChange, ServerKey, ServerRecord, ServerStage, Service, SiteConfig, Workspace,
+    WorkspaceTag,
 };
 
 pub const ENGINES: &str = "engines";
@@ -95,7 +96,7 @@
 pub fn record(service: &str, number: u8) -> ServerRecord {
     ServerRecord {
         instance: format!("{service}-{number}"),
-        born: None,
+        started_ms: None,
         service: service.to_owned(),
         addr: format!("10.0.{}.{number}:80", service.len())
             .parse()
@@ -147,13 +148,13 @@
             content: None,
             arrivals: 0,
         };
-        rig.step(Event::Entries { count: 1 });
-        rig.step(Event::Sharing(Sharing::new(name, 1, 1)));
+        rig.step(Event::NodeCount { count: 1 });
+        rig.step(Event::LimitSharing(LimitSharing::new(name, 1, 1)));
         rig.step(Event::Configured(site()));
         let engines = (0..engines).map(|number| record(ENGINES, number));
         let desks = (0..3).map(|number| record(DESK, number));
         let servers = engines.chain(desks).collect();
-        rig.step(Event::Servers(ServerChange::Whole(servers)));
+        rig.step(Event::Servers(ServerChange::All(servers)));
         rig
     }
 
@@ -251,14 +252,14 @@
 /// Returns a registration of a desk server with the start time of its incarnation.
 pub fn born(number: u8, born: u64) -> ServerRecord {
     ServerRecord {
-        born: Some(born),
+        started_ms: Some(born),
         ..record(DESK, number)
     }
 }
 
 /// Registers a server, or updates its registration.
 pub fn present(rig: &mut Rig, record: ServerRecord) {
-    rig.step(Event::Servers(ServerChange::Present(record)));
+    rig.step(Event::Servers(ServerChange::Registered(record)));
 }
 
 /// Returns the key of a registered server.
--- a/crates/notchwalk_route/tests/decisions/groups.rs
+++ b/crates/notchwalk_route/tests/decisions/groups.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use notchwalk_route::{entry_order, AttemptEnd, Event, Group};
+use notchwalk_route::{node_order, AttemptEnd, Event, Group};
 
 use crate::common::{tally, Rig};
 
@@ -11,7 +11,7 @@
     let servers: Vec<u32> = (0..60).collect();
     for nodes in 1..=64 {
         for position in 0..nodes {
-            let group = Group::of_place(position, nodes, 60);
+            let group = Group::for_node(position, nodes, 60);
             assert_eq!((group.count(), group.subset(&servers).len()), (1, 60));
         }
     }
@@ -24,7 +24,7 @@
         let mut members: BTreeMap<usize, usize> = BTreeMap::new();
         let mut uses = vec![0; servers];
         for position in 0..nodes {
-            let group = Group::of_place(position, nodes, servers);
+            let group = Group::for_node(position, nodes, servers);
             *members.entry(group.index()).or_default() += 1;
             for &server in group.subset(&all) {
                 uses[server] += 1;
@@ -42,9 +42,9 @@
 #[test]
 fn few_servers_are_not_divided_among_many_nodes() {
     for position in 0..76 {
-        assert_eq!(Group::of_place(position, 76, 60), Group::default());
+        assert_eq!(Group::for_node(position, 76, 60), Group::default());
     }
-    assert!(Group::of_place(0, 76, 200).count() > 1);
+    assert!(Group::for_node(0, 76, 200).count() > 1);
 }
 
 /// A long prompt needs several servers.
@@ -53,7 +53,7 @@
     let three = [1, 2, 3];
     let twenty: Vec<u32> = (0..20).collect();
     for position in 0..300 {
-        let group = Group::of_place(position, 300, 3_000);
+        let group = Group::for_node(position, 300, 3_000);
         assert_eq!(group.subset(&three), three);
         assert!(group.subset(&twenty).len() >= 8);
     }
@@ -65,7 +65,7 @@
         let (fewer, more): (Vec<usize>, Vec<usize>) =
             ((0..servers).collect(), (0..=servers).collect());
         for position in [0, 40, 150, 299] {
-            let group = Group::of_place(position, 300, 3_000);
+            let group = Group::for_node(position, 300, 3_000);
             let (before, after) = (group.subset(&fewer), group.subset(&more));
             assert!(before[0].abs_diff(after[0]) <= 1);
             assert!(before.len().abs_diff(after.len()) <= 1);
@@ -76,14 +76,14 @@
 #[test]
 fn similar_names_spread_over_all_groups() {
     let mut names: Vec<String> = (0..300).map(|n| format!("front-{}-{n}", n % 3)).collect();
-    names.sort_by(|a, b| entry_order(a).cmp(&entry_order(b)));
+    names.sort_by(|a, b| node_order(a).cmp(&node_order(b)));
     let domain_of = |name: &String| name.as_bytes()["front-".len()];
     for domain in [b'0', b'1', b'2'] {
         let mut by_group: BTreeMap<usize, usize> = BTreeMap::new();
         for (position, name) in names.iter().enumerate() {
             let counts = usize::from(domain_of(name) == domain);
             *by_group
-                .entry(Group::of_place(position, 300, 3_000).index())
+                .entry(Group::for_node(position, 300, 3_000).index())
                 .or_default() += counts;
         }
         assert!(by_group.values().all(|&count| count >= 1), "{by_group:?}");
@@ -94,7 +94,7 @@
 #[test]
 fn unreachable_group_falls_back_to_all_servers() {
     let mut rig = Rig::named("entry-1", 32);
-    rig.step(Event::Group(Group::of_place(0, 200, 3_000)));
+    rig.step(Event::Group(Group::for_node(0, 200, 3_000)));
     for _ in 0..40 {
         rig.arrive("/short/", 5_000);
     }
--- a/crates/notchwalk_route/tests/decisions/leaving.rs
+++ b/crates/notchwalk_route/tests/decisions/leaving.rs
@@ -12,7 +12,7 @@
     for number in 0..2 {
         let mut draining = record(DESK, number);
         draining.stage = ServerStage::Leaving;
-        rig.step(Event::Servers(ServerChange::Present(draining)));
+        rig.step(Event::Servers(ServerChange::Registered(draining)));
     }
     for _ in 0..20 {
         rig.arrive("/once/", 0);
@@ -25,8 +25,8 @@
     let mut rig = Rig::new();
     let mut draining = record(DESK, 0);
     draining.stage = ServerStage::Leaving;
-    rig.step(Event::Servers(ServerChange::Present(draining)));
-    rig.step(Event::Servers(ServerChange::Present(record(DESK, 0))));
+    rig.step(Event::Servers(ServerChange::Registered(draining)));
+    rig.step(Event::Servers(ServerChange::Registered(record(DESK, 0))));
     for _ in 0..20 {
         rig.arrive("/once/", 0);
         assert_ne!(rig.only_send().instance, "desk-0");
@@ -36,7 +36,7 @@
 #[test]
 fn removed_server_receives_no_requests() {
     let mut rig = Rig::new();
-    rig.step(Event::Servers(ServerChange::Gone("desk-1".to_owned())));
+    rig.step(Event::Servers(ServerChange::Removed("desk-1".to_owned())));
     for _ in 0..20 {
         rig.arrive("/once/", 0);
         assert_ne!(rig.only_send().instance, "desk-1");
@@ -66,7 +66,7 @@
 #[test]
 fn request_without_any_server_is_refused_as_not_run() {
     let mut rig = Rig::new();
-    rig.step(Event::Servers(ServerChange::Whole(Vec::new())));
+    rig.step(Event::Servers(ServerChange::All(Vec::new())));
     rig.arrive("/once/", 0);
     assert!(rig.sends().is_empty());
     assert!(rig.refusals().iter().all(|reason| reason.has_not_run()));
@@ -92,7 +92,7 @@
     for request in waiting {
         rig.end(request, AttemptEnd::Silent);
     }
-    let is_ejection = |effect: &Effect| matches!(effect, Effect::Closed { .. });
+    let is_ejection = |effect: &Effect| matches!(effect, Effect::Ejected { .. });
     assert!(!rig.effects.iter().any(is_ejection));
 }
 
@@ -104,6 +104,6 @@
     for request in requests {
         rig.end(request, AttemptEnd::Silent);
     }
-    let is_ejection = |effect: &Effect| matches!(effect, Effect::Closed { .. });
+    let is_ejection = |effect: &Effect| matches!(effect, Effect::Ejected { .. });
     assert!(rig.effects.iter().any(is_ejection));
 }
--- a/crates/notchwalk_route/tests/decisions/limits.rs
+++ b/crates/notchwalk_route/tests/decisions/limits.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use notchwalk_route::{
-    AttemptEnd, Effect, Event, RateLimit, Refusal, RequestKey, ServerChange, ServerWord, Sharing,
-    Told, ToldLimit,
+    AttemptEnd, Effect, Event, LimitScope, LimitSharing, LimitUpdate, RateLimit, Refusal,
+    RequestKey, ServerChange, ServerNotice,
 };
 
 use crate::common::{born, content, key, present, record, Rig, DESK, ENGINES};
@@ -16,8 +16,11 @@
     let server = key(rig, service, number);
     let limit = rate.and_then(RateLimit::per_second);
     let asked = rig.now.before(age);
-    let word = ServerWord::Limit { limit, asked };
-    rig.step(Event::ServerSaid { server, word });
+    let notice = ServerNotice::Limit {
+        limit,
+        requested_at: asked,
+    };
+    rig.step(Event::NoticeReceived { server, notice });
 }
 
 fn announce(rig: &mut Rig, service: &str, number: u8, rate: f64) {
@@ -38,7 +41,9 @@
 
 fn allowance(rig: &Rig, service: &str, number: u8) -> f64 {
     let server = rig.router.fleet().get(key(rig, service, number));
-    server.and_then(|s| s.allowance(rig.now)).expect("no limit")
+    server
+        .and_then(|s| s.available_requests(rig.now))
+        .expect("no limit")
 }
 
 /// Uses up the limits of `servers` servers with one request each.
@@ -185,18 +190,18 @@
 }
 
 /// Returns the limit updates that a node publishes.
-fn updates(rig: &Rig) -> Vec<ToldLimit> {
+fn updates(rig: &Rig) -> Vec<LimitUpdate> {
     rig.router
         .fleet()
-        .limits_to_tell(Told::FirstHand, 48, rig.now)
+        .limit_updates(LimitScope::Direct, 48, rig.now)
 }
 
 fn publish(from: &Rig, to: &mut Rig, name: &str, peer: u32) {
-    to.step(Event::ToldLimits {
+    to.step(Event::LimitUpdates {
         peer,
         name: name.to_owned(),
-        near: true,
-        limits: updates(from),
+        is_in_group: true,
+        updates: updates(from),
     });
 }
 
@@ -208,7 +213,9 @@
     announce(&mut first, DESK, 0, 2.0);
     publish(&first, &mut second, "entry-1", 1);
     assert_eq!(limit(&second, DESK, 0), Some(2.0));
-    assert!(updates(&second).iter().all(|update| update.said.is_none()));
+    assert!(updates(&second)
+        .iter()
+        .all(|update| update.observed.is_none()));
     first.pass(SECOND);
     second.pass(SECOND);
     announce_aged(&mut first, DESK, 0, None, Duration::ZERO);
@@ -226,14 +233,14 @@
     publish(&first, &mut second, "entry-1", 1);
     let mut first = Rig::just_started("entry-1", 3);
     let limits = second.router.fleet();
-    let limits = limits.limits_to_tell(Told::All, 48, second.now);
+    let limits = limits.limit_updates(LimitScope::All, 48, second.now);
     let name = "entry-2".to_owned();
     let peer = 2;
-    first.step(Event::ToldLimits {
+    first.step(Event::LimitUpdates {
         peer,
         name,
-        near: true,
-        limits,
+        is_in_group: true,
+        updates: limits,
     });
     assert_eq!(limit(&first, DESK, 0), Some(0.0));
 }
@@ -246,19 +253,19 @@
     let full = allowance(&rig, DESK, 0);
     let server = updates(&rig)[0].server;
     let mut allowance_after = |sent| {
-        let limits = vec![ToldLimit {
+        let limits = vec![LimitUpdate {
             server,
-            said: None,
+            observed: None,
             sent,
-            wants: false,
+            has_demand: false,
         }];
         let name = "entry-2".to_owned();
         let peer = 1;
-        rig.step(Event::ToldLimits {
+        rig.step(Event::LimitUpdates {
             peer,
             name,
-            near: true,
-            limits,
+            is_in_group: true,
+            updates: limits,
         });
         allowance(&rig, DESK, 0)
     };
@@ -277,7 +284,7 @@
 #[test]
 fn unreachable_nodes_keep_their_share() {
     let mut rig = Rig::new();
-    rig.step(Event::Sharing(Sharing::new("entry-1", 4, 1)));
+    rig.step(Event::LimitSharing(LimitSharing::new("entry-1", 4, 1)));
     announce_all(&mut rig, DESK, 3, 4.0);
     let mut sent = 0;
     for _ in 0..800 {
@@ -356,11 +363,11 @@
 fn limit_is_restored_after_a_registration_expires() {
     let mut rig = Rig::new();
     announce(&mut rig, DESK, 0, 2.0);
-    let gone = ServerChange::Gone(record(DESK, 0).instance);
+    let gone = ServerChange::Removed(record(DESK, 0).instance);
     rig.step(Event::Servers(gone));
     present(&mut rig, record(DESK, 0));
     assert_eq!(limit(&rig, DESK, 0), Some(2.0));
-    let copied = ServerChange::Copied(record(DESK, 0));
+    let copied = ServerChange::Restored(record(DESK, 0));
     rig.step(Event::Servers(copied));
     assert_eq!(limit(&rig, DESK, 0), Some(2.0));
 }
@@ -389,15 +396,15 @@
 /// The strictest of several notices applies.
 #[test]
 fn limit_does_not_override_draining_or_back_off() {
-    let back_off = ServerWord::WantsNothing(3 * SECOND);
-    for word in [ServerWord::Leaving, back_off] {
+    let back_off = ServerNotice::BackOff(3 * SECOND);
+    for notice in [ServerNotice::Draining, back_off] {
         for limit_first in [false, true] {
             let mut rig = Rig::new();
             let server = key(&rig, DESK, 0);
             if limit_first {
                 announce(&mut rig, DESK, 0, 50.0);
             }
-            rig.step(Event::ServerSaid { server, word });
+            rig.step(Event::NoticeReceived { server, notice });
             announce(&mut rig, DESK, 0, 50.0);
             rig.pass(SECOND);
             let calls = (0..30).map(|_| rig.arrive("/again/", 0)).count();
@@ -405,7 +412,7 @@
             assert_eq!(sends.len(), calls);
             assert!(
                 sends.iter().all(|(_, to)| to.instance != "desk-0"),
-                "{word:?}"
+                "{notice:?}"
             );
         }
     }
@@ -421,7 +428,7 @@
     rig.step(Event::Restored {
         content,
         left,
-        times,
+        quarantine_count: times,
     });
     rig.content = Some(content);
     rig.arrive("/again/", 0);
@@ -546,17 +553,17 @@
     let full = allowance(&rig, DESK, 0);
     let server = updates(&rig)[0].server;
     for sent in [70, 90] {
-        let limits = vec![ToldLimit {
+        let limits = vec![LimitUpdate {
             server,
-            said: None,
+            observed: None,
             sent,
-            wants: true,
+            has_demand: true,
         }];
-        rig.step(Event::ToldLimits {
+        rig.step(Event::LimitUpdates {
             peer: 1,
             name: "entry-70".to_owned(),
-            near: false,
-            limits,
+            is_in_group: false,
+            updates: limits,
         });
     }
     assert!((allowance(&rig, DESK, 0) - full).abs() < 0.01);
--- a/crates/notchwalk_route/tests/decisions/placement.rs
+++ b/crates/notchwalk_route/tests/decisions/placement.rs
@@ -122,7 +122,7 @@
     second.pass(Duration::from_millis(10_100));
     assert_eq!(occupied(&second), 0);
     first.tell(&mut second, 1);
-    second.step(Event::PeerGone { peer: 1 });
+    second.step(Event::PeerUnreachable { peer: 1 });
     assert_eq!(occupied(&second), 0);
 }
 
--- a/crates/notchwalk_route/tests/decisions/random_runs.rs
+++ b/crates/notchwalk_route/tests/decisions/random_runs.rs
@@ -5,7 +5,7 @@
 use notchwalk_core::Instant;
 use notchwalk_route::{
     Assignment, AttemptEnd, Effect, Event, FailedReservation, PeerWork, Refusal, Repeatability,
-    RequestKey, ServerChange, ServerKey, ServerStage, ServerWord, SiteConfig, WorkPhase,
+    RequestKey, ServerChange, ServerKey, ServerNotice, ServerStage, SiteConfig, WorkPhase,
 };
 use proptest::{
     prelude::*,
@@ -65,7 +65,7 @@
     /// Times of first sends, and of retries after a server was reached.
     first_sends: Vec<Instant>,
     retries: Vec<Instant>,
-    /// When servers that back off accept requests again; `None` for draining ones.
+    /// When servers that requested a backoff accept requests again; `None` for draining ones.
     available_from: HashMap<ServerKey, Option<Instant>>,
 }
 
@@ -109,11 +109,11 @@
                     state.reserving = true;
                 }
                 Effect::Order(_)
-                | Effect::Closed { .. }
-                | Effect::Heard { .. }
+                | Effect::Ejected { .. }
+                | Effect::NewNotice { .. }
                 | Effect::Check { .. }
                 | Effect::LimitUsedUp { .. }
-                | Effect::Found(_) => {}
+                | Effect::Finding(_) => {}
             }
         }
     }
@@ -246,7 +246,8 @@
             Action::Drain(server, removed) => self.drain(server, removed),
             Action::Register(server) => {
                 let record = record(if server < 7 { ENGINES } else { DESK }, server % 7);
-                self.rig.step(Event::Servers(ServerChange::Present(record)));
+                self.rig
+                    .step(Event::Servers(ServerChange::Registered(record)));
             }
             Action::Notify(server, backoff) => self.notify(server, backoff),
             Action::Configure(version) => {
@@ -268,8 +269,8 @@
         let mut record = record(if server < 7 { ENGINES } else { DESK }, server % 7);
         record.stage = ServerStage::Leaving;
         let change = match removed {
-            true => ServerChange::Gone(record.instance),
-            false => ServerChange::Present(record),
+            true => ServerChange::Removed(record.instance),
+            false => ServerChange::Registered(record),
         };
         self.rig.step(Event::Servers(change));
     }
@@ -280,9 +281,9 @@
         let Some(server) = self.rig.router.fleet().by_instance(&instance) else {
             return;
         };
-        let word = match backoff {
-            Some(ms) => ServerWord::WantsNothing(Duration::from_millis(ms.into())),
-            None => ServerWord::Leaving,
+        let notice = match backoff {
+            Some(ms) => ServerNotice::BackOff(Duration::from_millis(ms.into())),
+            None => ServerNotice::Draining,
         };
         let until = backoff.map(|ms| self.rig.now.after(Duration::from_millis(ms.into())));
         let known = self
@@ -290,7 +291,7 @@
             .entry(server)
             .or_insert(Some(Instant::ZERO));
         *known = known.zip(until).map(|(before, until)| before.max(until));
-        self.rig.step(Event::ServerSaid { server, word });
+        self.rig.step(Event::NoticeReceived { server, notice });
     }
 
     fn end(&mut self, which: usize, end: u8) {
@@ -352,7 +353,7 @@
 
     /// Ends all requests and checks that no state remains.
     fn finish(mut self) {
-        self.rig.step(Event::PeerGone { peer: 1 });
+        self.rig.step(Event::PeerUnreachable { peer: 1 });
         for request in std::mem::take(&mut self.order) {
             if !self.states[&request].0.ended {
                 self.rig.step(Event::Abandoned { request });
--- a/crates/notchwalk_route/tests/decisions/reservations.rs
+++ b/crates/notchwalk_route/tests/decisions/reservations.rs
@@ -283,10 +283,10 @@
         .expect("server is registered");
     let server = rig.router.fleet().get(key).expect("server is registered");
     let restarted = ServerRecord {
-        born: Some(2),
+        started_ms: Some(2),
         ..server.record.clone()
     };
-    rig.step(Event::Servers(ServerChange::Present(restarted)));
+    rig.step(Event::Servers(ServerChange::Registered(restarted)));
     take_orders(&mut rig);
     rig.pass(Duration::from_millis(1_600));
     let renewed: HashSet<_> = take_orders(&mut rig)
@@ -333,7 +333,7 @@
     let to = rig.only_send();
     rig.pass(Duration::from_millis(800));
     take_orders(&mut rig);
-    rig.step(Event::Servers(ServerChange::Gone(to.instance.clone())));
+    rig.step(Event::Servers(ServerChange::Removed(to.instance.clone())));
     assert_eq!(take_released(&mut rig).len(), placed);
     rig.pass(Duration::from_millis(1_600));
     assert!(take_orders(&mut rig)
@@ -353,7 +353,7 @@
     rig.pass(Duration::from_millis(800));
     rig.step(Event::Started { request });
     take_orders(&mut rig);
-    rig.step(Event::Servers(ServerChange::Gone(to.instance.clone())));
+    rig.step(Event::Servers(ServerChange::Removed(to.instance.clone())));
     assert!(take_released(&mut rig).is_empty());
     rig.pass(Duration::from_millis(1_600));
     assert_eq!(take_orders(&mut rig).len(), placed);
--- a/crates/notchwalk_route/tests/decisions/retries.rs
+++ b/crates/notchwalk_route/tests/decisions/retries.rs
@@ -90,7 +90,7 @@
     let mut rig = Rig::new();
     let mut budget = RetryBudget::new(0.2, 0.0, Duration::from_secs(10));
     for _ in 0..100 {
-        budget.note_first(rig.now);
+        budget.record_first_attempt(rig.now);
     }
     assert!(budget.has_left(rig.now, Some(1)));
     rig.now = rig.now.after(Duration::from_secs(11));
@@ -113,7 +113,7 @@
     let mut rig = Rig::new();
     let mut budget = RetryBudget::new(0.2, 12.0, Duration::from_secs(10));
     for _ in 0..100 {
-        budget.note_first(rig.now);
+        budget.record_first_attempt(rig.now);
     }
     let take_retries =
         |budget: &mut RetryBudget, now| (0..100).filter(|_| budget.take(now, Some(6))).count();
--- a/crates/notchwalk_route/tests/decisions/server_words.rs
+++ b/crates/notchwalk_route/tests/decisions/server_words.rs
@@ -2,18 +2,18 @@
 
 use std::time::Duration;
 
-use notchwalk_route::{AttemptEnd, Effect, Event, Refusal, ServerChange, ServerKey, ServerWord};
+use notchwalk_route::{AttemptEnd, Effect, Event, Refusal, ServerChange, ServerKey, ServerNotice};
 
 use crate::common::{born, key, present, record, Rig, DESK, ENGINES};
 
-fn announce(rig: &mut Rig, service: &str, number: u8, word: ServerWord) {
+fn announce(rig: &mut Rig, service: &str, number: u8, notice: ServerNotice) {
     let server = key(rig, service, number);
-    rig.step(Event::ServerSaid { server, word });
+    rig.step(Event::NoticeReceived { server, notice });
 }
 
 fn announce_draining(rig: &mut Rig, service: &str, numbers: impl IntoIterator<Item = u8>) {
     for number in numbers {
-        announce(rig, service, number, ServerWord::Leaving);
+        announce(rig, service, number, ServerNotice::Draining);
     }
 }
 
@@ -28,8 +28,8 @@
 }
 
 fn announce_back_off(rig: &mut Rig, number: u8, seconds: u64) {
-    let word = ServerWord::WantsNothing(Duration::from_secs(seconds));
-    announce(rig, DESK, number, word);
+    let notice = ServerNotice::BackOff(Duration::from_secs(seconds));
+    announce(rig, DESK, number, notice);
 }
 
 #[test]
@@ -140,7 +140,7 @@
     present(&mut rig, record(DESK, 0));
     assert!(!is_used(&mut rig, "desk-0"));
     let servers = (0..3).map(|number| record(DESK, number)).collect();
-    rig.step(Event::Servers(ServerChange::Whole(servers)));
+    rig.step(Event::Servers(ServerChange::All(servers)));
     assert!(!is_used(&mut rig, "desk-0"));
     rig.pass(Duration::from_secs(60));
     assert!(!is_used(&mut rig, "desk-0"));
@@ -164,10 +164,10 @@
     let mut rig = Rig::new();
     present(&mut rig, born(0, 1_000));
     announce_draining(&mut rig, DESK, [0]);
-    rig.step(Event::Servers(ServerChange::Gone("desk-0".to_owned())));
+    rig.step(Event::Servers(ServerChange::Removed("desk-0".to_owned())));
     present(&mut rig, born(0, 1_000));
     assert!(!is_used(&mut rig, "desk-0"));
-    rig.step(Event::Servers(ServerChange::Gone("desk-0".to_owned())));
+    rig.step(Event::Servers(ServerChange::Removed("desk-0".to_owned())));
     present(&mut rig, born(0, 2_000));
     assert!(is_used(&mut rig, "desk-0"));
 }
@@ -177,7 +177,7 @@
 fn draining_server_without_start_time_is_used_after_it_registers_again() {
     let mut rig = Rig::new();
     announce_draining(&mut rig, DESK, [0]);
-    rig.step(Event::Servers(ServerChange::Gone("desk-0".to_owned())));
+    rig.step(Event::Servers(ServerChange::Removed("desk-0".to_owned())));
     present(&mut rig, record(DESK, 0));
     assert!(is_used(&mut rig, "desk-0"));
 }
@@ -233,8 +233,8 @@
     let mut rig = Rig::named("entry-1", 3);
     for number in 0..3 {
         announce_back_off(&mut rig, number, 5 + u64::from(number));
-        let word = ServerWord::WantsNothing(Duration::from_secs(7 + u64::from(number)));
-        announce(&mut rig, ENGINES, number, word);
+        let notice = ServerNotice::BackOff(Duration::from_secs(7 + u64::from(number)));
+        announce(&mut rig, ENGINES, number, notice);
     }
     let at_desk = refused(&mut rig, "/once/", 0);
     assert_eq!(at_desk, (Refusal::NoServer, Some(Duration::from_secs(5))));
@@ -299,7 +299,7 @@
             rig.step(Event::Abandoned { request });
         }
         let effects = std::mem::take(&mut rig.effects);
-        let is_ejection = |effect: &Effect| matches!(effect, Effect::Closed { .. });
+        let is_ejection = |effect: &Effect| matches!(effect, Effect::Ejected { .. });
         effects.iter().any(is_ejection)
     };
     assert!(!fails_and_is_ejected(&mut rig));
--- a/crates/notchwalk_route/tests/decisions/suspects.rs
+++ b/crates/notchwalk_route/tests/decisions/suspects.rs
@@ -34,7 +34,7 @@
 
 /// Deregisters a server that has crashed.
 fn remove_server(rig: &mut Rig, instance: &str) {
-    let change = ServerChange::Gone(instance.to_owned());
+    let change = ServerChange::Removed(instance.to_owned());
     rig.step(Event::Servers(change));
 }
 
@@ -107,13 +107,13 @@
     let mut rig = Rig::new();
     let request = arrive(&mut rig, "/short/", 3_000, crashing_content());
     rig.only_send();
-    let news = vec![QuarantineUpdate::Quarantined {
+    let updates = vec![QuarantineUpdate::Quarantined {
         content: crashing_content(),
         age_ms: 5,
         left_ms: 600_000,
         times: 1,
     }];
-    rig.step(Event::News { peer: 1, news });
+    rig.step(Event::QuarantineUpdates { peer: 1, updates });
     rig.pass(Duration::from_millis(50));
     rig.end(request, AttemptEnd::Broken);
     assert!(rig.sends().is_empty());
@@ -216,7 +216,7 @@
                 stage: ServerStage::Leaving,
                 ..record(ENGINES, number)
             };
-            rig.step(Event::Servers(ServerChange::Present(draining)));
+            rig.step(Event::Servers(ServerChange::Registered(draining)));
         } else {
             remove_server(&mut rig, &instance);
         }
@@ -250,7 +250,7 @@
 /// Returns a registration of a desk server with the start time of its incarnation.
 fn desk(number: u8, born: u64) -> ServerRecord {
     ServerRecord {
-        born: Some(born),
+        started_ms: Some(born),
         ..record(DESK, number)
     }
 }
@@ -260,7 +260,7 @@
 fn new_incarnation_confirms_a_crash() {
     let mut rig = Rig::new();
     for number in 0..3 {
-        rig.step(Event::Servers(ServerChange::Present(desk(number, 1))));
+        rig.step(Event::Servers(ServerChange::Registered(desk(number, 1))));
     }
     // Incarnations that ended shortly before would count in the request's favour.
     rig.pass(Duration::from_secs(5));
@@ -270,7 +270,7 @@
         let number: u8 = instance.trim_start_matches("desk-").parse().unwrap();
         rig.pass(Duration::from_millis(100));
         let restarted = desk(number, 10 + round);
-        rig.step(Event::Servers(ServerChange::Present(restarted)));
+        rig.step(Event::Servers(ServerChange::Registered(restarted)));
         rig.pass(Duration::from_millis(20));
         rig.end(request, AttemptEnd::Broken);
         rig.sends();
@@ -285,7 +285,7 @@
 fn new_incarnation_has_no_failure_history() {
     let mut rig = Rig::new();
     for number in 0..3 {
-        rig.step(Event::Servers(ServerChange::Present(desk(number, 1))));
+        rig.step(Event::Servers(ServerChange::Registered(desk(number, 1))));
     }
     let request = rig.arrive("/once/", 0);
     let instance = rig.only_send().instance;
@@ -295,7 +295,7 @@
     let fleet = rig.router.fleet();
     let is_closed = |now: Instant| {
         let mut servers = fleet.iter();
-        servers.any(|(_, server)| server.record.instance == instance && !server.takes_work(now))
+        servers.any(|(_, server)| server.record.instance == instance && !server.is_available(now))
     };
     assert!(is_closed(rig.now));
     rig.sends();
@@ -304,14 +304,14 @@
         stage: ServerStage::Leaving,
         ..desk(number, 1)
     };
-    rig.step(Event::Servers(ServerChange::Present(draining)));
-    rig.step(Event::Servers(ServerChange::Present(desk(number, 2))));
+    rig.step(Event::Servers(ServerChange::Registered(draining)));
+    rig.step(Event::Servers(ServerChange::Registered(desk(number, 2))));
     let fleet = rig.router.fleet();
     let mut servers = fleet.iter();
     let (key, server) = servers
         .find(|(_, server)| server.record.instance == instance)
         .expect("server is registered");
-    assert!(server.takes_work(rig.now));
+    assert!(server.is_available(rig.now));
     assert_eq!(server.failure_rate(rig.now), 0.0);
     let load = rig.router.board().load(key, rig.now);
     assert_eq!(load.occupied(), 0);
@@ -322,7 +322,7 @@
         let found = servers.find(|(_, server)| server.record.instance == instance);
         found.map(|(key, _)| key)
     };
-    rig.step(Event::Servers(ServerChange::Present(desk(number, 2))));
+    rig.step(Event::Servers(ServerChange::Registered(desk(number, 2))));
     assert_eq!(key_again(&rig), Some(key));
 }
 
@@ -388,7 +388,7 @@
     let mut rig = Rig::new();
     crash_servers(&mut rig, "/short/", 3_000);
     let found = rig.effects.iter().filter_map(|effect| match effect {
-        Effect::Found(finding) => Some(finding),
+        Effect::Finding(finding) => Some(finding),
         _ => None,
     });
     let is_quarantine =
--- a/crates/notchwalk_standin/src/routed/limits.rs
+++ b/crates/notchwalk_standin/src/routed/limits.rs
@@ -11,9 +11,9 @@
 use notchwalk_core::Instant;
 use notchwalk_quarantine::{FingerprintBuilder, RequestHead};
 use notchwalk_route::{
-    AttemptEnd, Backend, Effect, Event, RateLimit, Repeatability, RequestFacts, RequestKey, Route,
-    RouteLookup, Router, RouterConfig, ServerChange, ServerRecord, ServerStage, ServerWord,
-    Service, Sharing, SiteConfig, Told, ToldLimit, WorkspaceTag,
+    AttemptEnd, Backend, Effect, Event, LimitScope, LimitSharing, LimitUpdate, RateLimit,
+    Repeatability, RequestFacts, RequestKey, Route, RouteLookup, Router, RouterConfig,
+    ServerChange, ServerNotice, ServerRecord, ServerStage, Service, SiteConfig, WorkspaceTag,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -44,7 +44,7 @@
     Told {
         to: usize,
         from: usize,
-        limits: Vec<ToldLimit>,
+        limits: Vec<LimitUpdate>,
         beat: bool,
     },
     Reach(usize, u64, RequestKey, usize, Instant),
@@ -117,7 +117,7 @@
 fn record(server: usize) -> ServerRecord {
     ServerRecord {
         instance: format!("i-{server}"),
-        born: None,
+        started_ms: None,
         service: DESK.to_owned(),
         addr: format!("10.0.{}.{}:80", server / 250, server % 250 + 1)
             .parse()
@@ -175,10 +175,10 @@
         let count = self.plan.entries as u32;
         let mut out = Vec::new();
         for event in [
-            Event::Entries { count },
+            Event::NodeCount { count },
             Event::Configured(site()),
-            Event::Servers(ServerChange::Whole(servers)),
-            Event::Sharing(Sharing::new(&name(entry), count, 1)),
+            Event::Servers(ServerChange::All(servers)),
+            Event::LimitSharing(LimitSharing::new(&name(entry), count, 1)),
         ] {
             router.step(self.now, event, &mut out);
         }
@@ -292,16 +292,16 @@
     fn greet(&mut self, entry: usize) {
         for peer in 0..self.plan.entries {
             if peer != entry && self.entries[peer].up {
-                let limits = self.known_limits(peer, Told::All);
+                let limits = self.known_limits(peer, LimitScope::All);
                 self.tell(peer, Some(entry), limits, true);
             }
         }
     }
 
-    fn known_limits(&self, entry: usize, told: Told) -> Vec<ToldLimit> {
+    fn known_limits(&self, entry: usize, told: LimitScope) -> Vec<LimitUpdate> {
         const MOST: usize = 48;
         let fleet = self.entries[entry].router.fleet();
-        fleet.limits_to_tell(told, MOST, self.now)
+        fleet.limit_updates(told, MOST, self.now)
     }
 
     fn beat(&mut self, entry: usize) {
@@ -310,7 +310,7 @@
         if !self.entries[entry].up {
             return;
         }
-        let limits = self.known_limits(entry, Told::FirstHand);
+        let limits = self.known_limits(entry, LimitScope::Direct);
         self.tell(entry, None, limits, true);
         let since = self.now.before(HEARTBEAT.mul_f64(pace) * MISSED);
         let heard = self.entries[entry].heard.iter();
@@ -325,13 +325,13 @@
             .collect();
         for peer in gone {
             self.entries[entry].heard[peer] = Instant::ZERO;
-            self.step(entry, Event::PeerGone { peer: peer as u32 });
+            self.step(entry, Event::PeerUnreachable { peer: peer as u32 });
         }
-        let sharing = Sharing::new(&name(entry), self.plan.entries as u32, count);
-        self.step(entry, Event::Sharing(sharing));
+        let sharing = LimitSharing::new(&name(entry), self.plan.entries as u32, count);
+        self.step(entry, Event::LimitSharing(sharing));
     }
 
-    fn tell(&mut self, from: usize, to: Option<usize>, limits: Vec<ToldLimit>, beat: bool) {
+    fn tell(&mut self, from: usize, to: Option<usize>, limits: Vec<LimitUpdate>, beat: bool) {
         if self.plan.silent {
             return;
         }
@@ -360,7 +360,7 @@
         }
     }
 
-    fn hear(&mut self, to: usize, from: usize, limits: Vec<ToldLimit>, beat: bool) {
+    fn hear(&mut self, to: usize, from: usize, limits: Vec<LimitUpdate>, beat: bool) {
         if !self.entries[to].up {
             return;
         }
@@ -370,12 +370,12 @@
         if !limits.is_empty() {
             let peer = from as u32;
             let name = name(from);
-            let near = true;
-            let told = Event::ToldLimits {
+            let is_in_group = true;
+            let told = Event::LimitUpdates {
                 peer,
                 name,
-                near,
-                limits,
+                is_in_group,
+                updates: limits,
             };
             self.step(to, told);
         }
@@ -428,8 +428,8 @@
         let mut out = Vec::new();
         let router = &mut self.entries[entry].router;
         router.step(self.now, event, &mut out);
-        let news = match router.fleet().has_limit_news() {
-            true => router.take_limit_news(self.now),
+        let news = match router.fleet().has_limit_updates() {
+            true => router.take_limit_updates(self.now),
             false => Vec::new(),
         };
         if !news.is_empty() {
@@ -456,8 +456,8 @@
                 self.entries[entry].arrived.remove(&request);
                 self.outcome.refused += 1;
             }
-            Effect::Heard {
-                word: ServerWord::Limit { limit: None, .. },
+            Effect::NewNotice {
+                notice: ServerNotice::Limit { limit: None, .. },
                 ..
             } => {
                 self.outcome.heard_end[entry].get_or_insert(self.now);
@@ -495,8 +495,11 @@
         let fleet = self.entries[entry].router.fleet();
         let known = fleet.by_instance(&format!("i-{server}"));
         if let Some(server) = known {
-            let word = ServerWord::Limit { limit, asked };
-            self.step(entry, Event::ServerSaid { server, word });
+            let notice = ServerNotice::Limit {
+                limit,
+                requested_at: asked,
+            };
+            self.step(entry, Event::NoticeReceived { server, notice });
         }
         self.entries[entry].arrived.remove(&request);
         self.outcome.served += 1;
--- a/crates/notchwalk_standin/src/routed/policy.rs
+++ b/crates/notchwalk_standin/src/routed/policy.rs
@@ -123,7 +123,7 @@
 pub(crate) fn record(number: usize) -> ServerRecord {
     ServerRecord {
         instance: format!("engine-{number}"),
-        born: None,
+        started_ms: None,
         service: SERVICE.to_owned(),
         addr: SocketAddr::from(([10, 0, 0, number as u8], 80)),
         failure_domain: "a".to_owned(),
--- a/crates/notchwalk_standin/src/routed/world.rs
+++ b/crates/notchwalk_standin/src/routed/world.rs
@@ -118,7 +118,7 @@
             let before = start.before(STARTED_BEFORE);
             router.step(before, Event::Configured(site()), &mut out);
             let all = (0..ENGINES).map(record).collect();
-            let change = Event::Servers(ServerChange::Whole(all));
+            let change = Event::Servers(ServerChange::All(all));
             router.step(before, change, &mut out);
             router
         });
@@ -337,12 +337,12 @@
             }
             // Memory is given back when the request is dropped here.
             Effect::Order(_)
-            | Effect::Closed { .. }
-            | Effect::Heard { .. }
+            | Effect::Ejected { .. }
+            | Effect::NewNotice { .. }
             | Effect::DeliverFailure { .. }
             | Effect::Check { .. }
             | Effect::LimitUsedUp { .. }
-            | Effect::Found(_) => {}
+            | Effect::Finding(_) => {}
         }
     }
 
