--- a/crates/notchwalk_relay/src/attempt.rs
+++ b/crates/notchwalk_relay/src/attempt.rs
@@ -101,12 +101,15 @@
         AttemptEnd::Delivered { .. } => "delivered",
         AttemptEnd::NotConnected => "not_connected",
         AttemptEnd::NotSent => "not_sent",
-        AttemptEnd::NotRun { moved: true, .. } => "moved",
+        AttemptEnd::NotRun {
+            address_reused: true,
+            ..
+        } => "moved",
         AttemptEnd::NotRun { .. } => "not_run",
         AttemptEnd::Failed => "failed",
-        AttemptEnd::Silent => "silent",
-        AttemptEnd::Broken => "broken",
-        AttemptEnd::Unusable => "unusable",
+        AttemptEnd::TimedOut => "silent",
+        AttemptEnd::ConnectionLost => "broken",
+        AttemptEnd::InvalidResponse => "unusable",
     }
 }
 
@@ -146,7 +149,11 @@
             () = shell.sleep_until(req.deadline) => return Awaited::TimedOut,
             () = wait_idle_timeout(idle_timeout) => {}
         }
-        if shell.router.borrow().may_try_another(req.key, shell.now()) {
+        if shell
+            .router
+            .borrow()
+            .may_retry_elsewhere(req.key, shell.now())
+        {
             return Awaited::Silent;
         }
         idle_timeout = None;
@@ -165,7 +172,7 @@
     let waited = shell.now().since(req.arrived);
     delivery
         .predicted_first
-        .get_or_insert(waited + to.predicted_first);
+        .get_or_insert(waited + to.predicted_first_event);
     let request = send_and_read_head(shell, req, delivery.last_event, to, exchange);
     let request = request.await;
     let response = match request {
@@ -174,20 +181,22 @@
         Awaited::Done(Err(e)) if e.nothing_sent() => {
             return AttemptOutcome::Ended(AttemptEnd::NotConnected);
         }
-        Awaited::Done(Err(_)) => return AttemptOutcome::Ended(AttemptEnd::Broken),
-        Awaited::Silent => return AttemptOutcome::Ended(AttemptEnd::Silent),
+        Awaited::Done(Err(_)) => return AttemptOutcome::Ended(AttemptEnd::ConnectionLost),
+        Awaited::Silent => return AttemptOutcome::Ended(AttemptEnd::TimedOut),
         Awaited::CallerDisconnected => return AttemptOutcome::CallerDisconnected,
         Awaited::TimedOut => return AttemptOutcome::TimedOut,
     };
     let facts = shell
         .dialect
         .backend_answer(&req.caller.id, response.status, &response.headers);
-    let not_run = |moved| AttemptEnd::NotRun {
+    let not_run = |address_reused| AttemptEnd::NotRun {
         at_fault: facts.at_fault,
-        moved,
+        address_reused,
     };
     match facts.word {
-        AnswerWord::Unusable | AnswerWord::Foreign => AttemptOutcome::Ended(AttemptEnd::Unusable),
+        AnswerWord::Unusable | AnswerWord::Foreign => {
+            AttemptOutcome::Ended(AttemptEnd::InvalidResponse)
+        }
         AnswerWord::NotRun => {
             discard_body(response).await;
             AttemptOutcome::Ended(not_run(false))
@@ -264,7 +273,7 @@
             _ => Err(e.into()),
         }
     };
-    await_server(shell, exchange, req, to.first_silence, send).await
+    await_server(shell, exchange, req, to.first_output_timeout, send).await
 }
 
 /// Reads the response head of this request, skipping responses to others.
@@ -323,7 +332,7 @@
     let body = match await_server(shell, exchange, req, None, read).await {
         Awaited::Done(Ok(whole)) => whole.body,
         Awaited::Done(Err(_)) | Awaited::Silent => {
-            return AttemptOutcome::Ended(AttemptEnd::Broken)
+            return AttemptOutcome::Ended(AttemptEnd::ConnectionLost)
         }
         Awaited::CallerDisconnected => return AttemptOutcome::CallerDisconnected,
         Awaited::TimedOut => return AttemptOutcome::TimedOut,
@@ -338,12 +347,12 @@
     }
     if delivery.head_sent {
         // A complete response can't follow events already delivered.
-        return AttemptOutcome::Ended(AttemptEnd::Unusable);
+        return AttemptOutcome::Ended(AttemptEnd::InvalidResponse);
     }
     exchange.respond(status, headers, &body).await;
     delivery.record_write(shell.now());
     AttemptOutcome::Delivered(AttemptEnd::Delivered {
-        healthy: word == AnswerWord::Success,
+        is_success: word == AnswerWord::Success,
     })
 }
 
@@ -357,7 +366,7 @@
 ) -> AttemptOutcome {
     let status = response.status;
     let headers = end_to_end_headers(&mut response.headers);
-    let mut idle_timeout = to.first_silence;
+    let mut idle_timeout = to.first_output_timeout;
     let mut started = false;
     loop {
         let next = response.next();
@@ -365,11 +374,11 @@
             Awaited::Done(Ok(chunk)) => chunk,
             Awaited::Done(Err(_)) => {
                 delivery.splitter.drop_partial();
-                return AttemptOutcome::Ended(AttemptEnd::Broken);
+                return AttemptOutcome::Ended(AttemptEnd::ConnectionLost);
             }
             Awaited::Silent => {
                 delivery.splitter.drop_partial();
-                return AttemptOutcome::Ended(AttemptEnd::Silent);
+                return AttemptOutcome::Ended(AttemptEnd::TimedOut);
             }
             Awaited::CallerDisconnected => return AttemptOutcome::CallerDisconnected,
             Awaited::TimedOut => return AttemptOutcome::TimedOut,
@@ -384,7 +393,7 @@
         }
         if !started {
             started = true;
-            idle_timeout = to.pause_silence;
+            idle_timeout = to.inter_token_timeout;
             shell.step(Event::Started { request: req.key });
         }
         if write_events(exchange, delivery, status, &headers, &events)
@@ -408,7 +417,7 @@
         return AttemptOutcome::CallerDisconnected;
     }
     response.release();
-    AttemptOutcome::Delivered(AttemptEnd::Delivered { healthy: true })
+    AttemptOutcome::Delivered(AttemptEnd::Delivered { is_success: true })
 }
 
 async fn write_events(
--- a/crates/notchwalk_relay/src/front/accept.rs
+++ b/crates/notchwalk_relay/src/front/accept.rs
@@ -111,7 +111,7 @@
                 .map_or(WorkspaceTag::default(), |(name, _)| WorkspaceTag::of(name)),
             workspace_priority: workspace.as_ref().map_or(0, |(_, priority)| *priority),
             arrived,
-            patience: caller_timeout,
+            caller_timeout,
             deadline,
             prompt_tokens: caller.prompt_tokens,
             answer_tokens: caller
--- a/crates/notchwalk_relay/src/front/mod.rs
+++ b/crates/notchwalk_relay/src/front/mod.rs
@@ -158,7 +158,7 @@
                 return Some(self.time_out(exchange, req, delivery).await);
             }
         };
-        if end == AttemptEnd::Silent {
+        if end == AttemptEnd::TimedOut {
             self.shell.client.forget_idle();
         }
         let label = attempt::end_label(end);
--- a/crates/notchwalk_relay/src/operator.rs
+++ b/crates/notchwalk_relay/src/operator.rs
@@ -69,7 +69,7 @@
             .fleet()
             .iter()
             .map(|(key, server)| {
-                let load = router.board().load(key, now);
+                let load = router.load_view().load(key, now);
                 serde_json::json!({
                     "instance": server.record.instance,
                     "service": server.record.service,
@@ -81,10 +81,10 @@
                     "limit_allowance": server.available_requests(now),
                     "limit_users": server.limit_users(now),
                     "failure_rate": server.failure_rate(now),
-                    "generating": load.writers,
-                    "reading": load.readers,
+                    "generating": load.decoding,
+                    "reading": load.prefilling,
                     "calls": load.calls,
-                    "reading_left_ms": load.reading_ms,
+                    "reading_left_ms": load.remaining_prefill_ms,
                     "context_tokens": load.context_tokens,
                 })
             })
--- a/crates/notchwalk_relay/src/server_words.rs
+++ b/crates/notchwalk_relay/src/server_words.rs
@@ -151,7 +151,7 @@
         ServerNotice::Draining => {
             let router = shell.router.borrow();
             let stage = router.fleet().get(server).map(|known| known.record.stage);
-            let running = router.board().load(server, shell.now()).occupied();
+            let running = router.load_view().load(server, shell.now()).occupied();
             let facts = format!("by_peer={reported_by_peer} record={stage:?} running={running}");
             (LogEventKind::ServerSaysLeaving, facts)
         }
--- a/crates/notchwalk_route/src/board.rs
+++ b/crates/notchwalk_route/src/board.rs
@@ -13,15 +13,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum WorkPhase {
     /// Prefill of its prompt, or of a part of it; it will decode on this server.
-    Reading,
+    #[serde(rename = "Reading")]
+    Prefill,
     /// Decode.
-    Writing,
+    #[serde(rename = "Writing")]
+    Decode,
     /// Prefill of a part of its prompt; it decodes on another server.
-    Helping,
+    #[serde(rename = "Helping")]
+    RemotePrefill,
     /// Memory is reserved for a part of its prompt; it decodes on another server.
-    Holding,
+    #[serde(rename = "Holding")]
+    RemoteCache,
     /// A call to a plain service.
-    Calling,
+    #[serde(rename = "Calling")]
+    Call,
 }
 
 /// A request of a peer on a server, as published to peers.
@@ -34,15 +39,15 @@
     /// Prompt tokens in the server's memory.
     pub context_tokens: u32,
     /// Context tokens that add to the cost of each engine step during its decode.
-    pub pass_tokens: u32,
+    pub step_tokens: u32,
     /// Prefill time on the server, in milliseconds.
-    pub read_ms: u16,
+    pub prefill_ms: u16,
     /// Its inter-token latency objective, in milliseconds.
-    pub pause_ms: u16,
+    pub inter_token_ms: u16,
     /// Time since it was sent, in milliseconds.
     pub age_ms: u16,
     /// Predicted time from its send to the end of its prefill, in milliseconds.
-    pub reading_ms: u16,
+    pub predicted_prefill_ms: u16,
     /// The short id of its workspace.
     pub workspace: u32,
 }
@@ -54,14 +59,14 @@
     pub workspace: WorkspaceTag,
     pub phase: WorkPhase,
     pub context_tokens: f64,
-    pub pass_tokens: f64,
+    pub step_tokens: f64,
     /// Total prefill time on this server, in milliseconds.
-    pub read_ms: f64,
+    pub prefill_ms: f64,
     /// Inter-token latency objective, in milliseconds.
-    pub pause_ms: f64,
+    pub inter_token_ms: f64,
     pub since: Instant,
     /// Predicted end of its prefill.
-    pub read_by: Instant,
+    pub predicted_prefill_end: Instant,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -76,15 +81,15 @@
         /// Fraction of the prefill that counts as remaining after its predicted end, until
         /// the first token is seen.
         const MIN_REMAINING: f64 = 0.15;
-        if !matches!(self.phase, WorkPhase::Reading | WorkPhase::Helping) {
+        if !matches!(self.phase, WorkPhase::Prefill | WorkPhase::RemotePrefill) {
             return 0.0;
         }
-        let total = self.read_by.since(self.since).as_secs_f64();
-        let remaining = self.read_by.since(now).as_secs_f64();
+        let total = self.predicted_prefill_end.since(self.since).as_secs_f64();
+        let remaining = self.predicted_prefill_end.since(now).as_secs_f64();
         if total <= 0.0 {
-            return self.read_ms * MIN_REMAINING;
+            return self.prefill_ms * MIN_REMAINING;
         }
-        self.read_ms * (remaining / total).clamp(MIN_REMAINING, 1.0)
+        self.prefill_ms * (remaining / total).clamp(MIN_REMAINING, 1.0)
     }
 }
 
@@ -92,41 +97,41 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServerLoad {
     /// Requests in decode.
-    pub writers: usize,
+    pub decoding: usize,
     /// Requests in prefill that will decode here.
-    pub readers: usize,
+    pub prefilling: usize,
     /// Memory in use, in tokens.
     pub context_tokens: f64,
     /// Context tokens that add to the cost of each engine step.
-    pub pass_tokens: f64,
+    pub step_tokens: f64,
     /// Remaining prefill time, in milliseconds.
-    pub reading_ms: f64,
+    pub remaining_prefill_ms: f64,
     /// Requests without a tight latency objective that are in prefill and will decode here.
     /// An engine prefills parts for other engines before them.
-    pub own_long_reads: usize,
+    pub own_long_prefills: usize,
     /// Requests with a tight inter-token latency objective.
     pub short: usize,
     /// The tightest inter-token latency objective in decode, in milliseconds; infinite if
     /// there is none.
-    pub tightest_pause_ms: f64,
+    pub tightest_inter_token_ms: f64,
     /// The same for decode and prefill.
-    pub tightest_coming_pause_ms: f64,
+    pub tightest_upcoming_inter_token_ms: f64,
     /// Calls to a plain service.
     pub calls: usize,
     /// Parts of prompts in prefill for other engines.
-    pub helping: usize,
+    pub prefill_parts: usize,
 }
 
 impl ServerLoad {
     /// Returns the number of occupied slots.
     pub fn occupied(&self) -> usize {
-        self.writers + self.readers + self.calls
+        self.decoding + self.prefilling + self.calls
     }
 }
 
 /// The load view of all servers.
 #[derive(Debug, Default)]
-pub struct Board {
+pub struct LoadView {
     work: SecondaryMap<ServerKey, Vec<Work>>,
     /// Time of the last update of each peer.
     peers: HashMap<u32, Instant>,
@@ -140,9 +145,9 @@
 /// duration of a short response.
 const FULL_PREFILL_MS: f64 = 1_000.0;
 /// Inter-token latency objective of requests without one, in milliseconds.
-pub(crate) const NO_PAUSE_MS: f64 = 60_000.0;
+pub(crate) const DEFAULT_INTER_TOKEN_MS: f64 = 60_000.0;
 
-impl Board {
+impl LoadView {
     pub(crate) fn add(&mut self, server: ServerKey, work: Work) {
         if let Some(entry) = self.work.entry(server) {
             entry.or_default().push(work);
@@ -176,7 +181,7 @@
     }
 
     /// Removes all work on a server that no longer exists.
-    pub(crate) fn forget_server(&mut self, server: ServerKey) {
+    pub(crate) fn remove_server(&mut self, server: ServerKey) {
         self.work.remove(server);
         self.changed.retain(|&other| other != server);
     }
@@ -202,11 +207,12 @@
                 workspace: WorkspaceTag::from_number(update.workspace),
                 phase: update.phase,
                 context_tokens: update.context_tokens.into(),
-                pass_tokens: update.pass_tokens.into(),
-                read_ms: update.read_ms.into(),
-                pause_ms: update.pause_ms.into(),
+                step_tokens: update.step_tokens.into(),
+                prefill_ms: update.prefill_ms.into(),
+                inter_token_ms: update.inter_token_ms.into(),
                 since,
-                read_by: since.after(Duration::from_millis(update.reading_ms.into())),
+                predicted_prefill_end: since
+                    .after(Duration::from_millis(update.predicted_prefill_ms.into())),
             };
             if let Some(entry) = self.work.entry(server) {
                 entry.or_default().push(item);
@@ -215,7 +221,7 @@
     }
 
     /// Removes all work of a peer.
-    pub(crate) fn forget_peer(&mut self, peer: u32) {
+    pub(crate) fn remove_peer(&mut self, peer: u32) {
         self.peers.remove(&peer);
         for (_, works) in &mut self.work {
             works.retain(|work| work.owner != Owner::Peer(peer));
@@ -223,7 +229,7 @@
     }
 
     /// Removes peers without an update since `since`.
-    pub(crate) fn forget_silent_peers(&mut self, since: Instant) {
+    pub(crate) fn remove_stale_peers(&mut self, since: Instant) {
         let silent: Vec<u32> = self
             .peers
             .iter()
@@ -231,42 +237,46 @@
             .map(|(&peer, _)| peer)
             .collect();
         for peer in silent {
-            self.forget_peer(peer);
+            self.remove_peer(peer);
         }
     }
 
     /// Returns the total load of a server.
     pub fn load(&self, server: ServerKey, now: Instant) -> ServerLoad {
         let mut load = ServerLoad {
-            tightest_pause_ms: f64::INFINITY,
-            tightest_coming_pause_ms: f64::INFINITY,
+            tightest_inter_token_ms: f64::INFINITY,
+            tightest_upcoming_inter_token_ms: f64::INFINITY,
             ..ServerLoad::default()
         };
         for work in self.work.get(server).into_iter().flatten() {
-            load.reading_ms += work.remaining_prefill_ms(now);
-            let decodes = matches!(work.phase, WorkPhase::Reading | WorkPhase::Writing);
+            load.remaining_prefill_ms += work.remaining_prefill_ms(now);
+            let decodes = matches!(work.phase, WorkPhase::Prefill | WorkPhase::Decode);
             if decodes {
-                let tightest = load.tightest_coming_pause_ms.min(work.pause_ms);
-                load.tightest_coming_pause_ms = tightest;
+                let tightest = load
+                    .tightest_upcoming_inter_token_ms
+                    .min(work.inter_token_ms);
+                load.tightest_upcoming_inter_token_ms = tightest;
             }
-            if decodes && work.pause_ms <= SHORT_INTER_TOKEN_MS {
+            if decodes && work.inter_token_ms <= SHORT_INTER_TOKEN_MS {
                 load.short += 1;
             }
             match work.phase {
-                WorkPhase::Reading => {
-                    load.readers += 1;
-                    load.own_long_reads += usize::from(work.pause_ms > SHORT_INTER_TOKEN_MS);
+                WorkPhase::Prefill => {
+                    load.prefilling += 1;
+                    load.own_long_prefills +=
+                        usize::from(work.inter_token_ms > SHORT_INTER_TOKEN_MS);
                 }
-                WorkPhase::Writing => {
-                    load.writers += 1;
-                    load.tightest_pause_ms = load.tightest_pause_ms.min(work.pause_ms);
+                WorkPhase::Decode => {
+                    load.decoding += 1;
+                    load.tightest_inter_token_ms =
+                        load.tightest_inter_token_ms.min(work.inter_token_ms);
                 }
-                WorkPhase::Helping => load.helping += 1,
-                WorkPhase::Holding => {}
-                WorkPhase::Calling => load.calls += 1,
+                WorkPhase::RemotePrefill => load.prefill_parts += 1,
+                WorkPhase::RemoteCache => {}
+                WorkPhase::Call => load.calls += 1,
             }
             load.context_tokens += work.context_tokens;
-            load.pass_tokens += work.pass_tokens;
+            load.step_tokens += work.step_tokens;
         }
         load
     }
@@ -278,8 +288,8 @@
             let slots = fleet.get(server).map_or(1, |server| server.record.slots);
             for work in works {
                 let slot = match work.phase {
-                    WorkPhase::Reading | WorkPhase::Writing => 1.0 / f64::from(slots.max(1)),
-                    WorkPhase::Helping | WorkPhase::Holding | WorkPhase::Calling => 0.0,
+                    WorkPhase::Prefill | WorkPhase::Decode => 1.0 / f64::from(slots.max(1)),
+                    WorkPhase::RemotePrefill | WorkPhase::RemoteCache | WorkPhase::Call => 0.0,
                 };
                 let prefill = work.remaining_prefill_ms(now) / FULL_PREFILL_MS;
                 shares.add(work.workspace, slot + prefill.min(1.0));
@@ -289,12 +299,12 @@
     }
 
     /// Returns whether the view has ever contained work on a server.
-    pub(crate) fn knows(&self, server: ServerKey) -> bool {
+    pub(crate) fn has_seen(&self, server: ServerKey) -> bool {
         self.work.contains_key(server)
     }
 
     /// Returns the work on a server.
-    pub(crate) fn on(&self, server: ServerKey) -> &[Work] {
+    pub(crate) fn work_on(&self, server: ServerKey) -> &[Work] {
         self.work.get(server).map_or(&[], Vec::as_slice)
     }
 
@@ -317,17 +327,19 @@
 
     /// Returns this node's work on a server for publishing.
     pub fn own_work(&self, server: ServerKey, tag: u32, now: Instant) -> Vec<PeerWork> {
-        let works = self.on(server).iter();
+        let works = self.work_on(server).iter();
         let own = works.filter(|work| matches!(work.owner, Owner::Own(_)));
         own.map(|work| PeerWork {
             server: tag,
             phase: work.phase,
             context_tokens: work.context_tokens as u32,
-            pass_tokens: work.pass_tokens as u32,
-            read_ms: saturating_u16(work.read_ms),
-            pause_ms: saturating_u16(work.pause_ms),
+            step_tokens: work.step_tokens as u32,
+            prefill_ms: saturating_u16(work.prefill_ms),
+            inter_token_ms: saturating_u16(work.inter_token_ms),
             age_ms: saturating_u16(now.since(work.since).as_secs_f64() * 1e3),
-            reading_ms: saturating_u16(work.read_by.since(work.since).as_secs_f64() * 1e3),
+            predicted_prefill_ms: saturating_u16(
+                work.predicted_prefill_end.since(work.since).as_secs_f64() * 1e3,
+            ),
             workspace: work.workspace.number(),
         })
         .collect()
--- a/crates/notchwalk_route/src/effect.rs
+++ b/crates/notchwalk_route/src/effect.rs
@@ -9,7 +9,7 @@
 
 /// A prefill worker: another engine that prefills a part of a prompt.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Helper {
+pub struct PrefillWorker {
     /// Its address.
     pub addr: SocketAddr,
     /// The id of the memory reservation there, if any.
@@ -18,7 +18,7 @@
 
 /// The reason for a placement, for logs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Grounds {
+pub enum PlacementReason {
     /// The server has the lowest expected penalty.
     LeastLoss,
     /// The engines have free capacity, so no other request misses its objective.
@@ -39,23 +39,23 @@
     /// The instance id that is expected at the address.
     pub instance: String,
     /// Engines that prefill parts of the prompt.
-    pub helpers: Vec<Helper>,
+    pub prefill_workers: Vec<PrefillWorker>,
     /// The priority on the server; 0 is the highest.
     pub priority: u8,
     /// The deadline from the timeouts of the caller and the route.
     pub deadline: Instant,
     /// The reason for the placement.
-    pub grounds: Grounds,
+    pub reason: PlacementReason,
     /// How often the request was sent before.
-    pub resent: u32,
+    pub previous_sends: u32,
     /// Predicted time to the first event.
-    pub predicted_first: Duration,
+    pub predicted_first_event: Duration,
     /// Time from the caller's first attempt to the arrival of this one.
-    pub since_first: Duration,
+    pub since_first_attempt: Duration,
     /// Timeout for the first output of the server; `None` waits until the deadline.
-    pub first_silence: Option<Duration>,
+    pub first_output_timeout: Option<Duration>,
     /// Timeout between two events; `None` waits until the deadline.
-    pub pause_silence: Option<Duration>,
+    pub inter_token_timeout: Option<Duration>,
 }
 
 /// Why this node refuses a request.
@@ -100,7 +100,7 @@
     /// Number of tokens to reserve; `None` releases the memory.
     pub tokens: Option<u32>,
     /// Lifetime of the reservation without renewal.
-    pub hold: Duration,
+    pub ttl: Duration,
 }
 
 /// An output of a router.
--- a/crates/notchwalk_route/src/engine_cost.rs
+++ b/crates/notchwalk_route/src/engine_cost.rs
@@ -20,26 +20,26 @@
 
     /// Returns the time to prefill `tokens` of a prompt of `total` tokens: the cost of these
     /// tokens and their share of the attention cost.
-    pub fn read_ms(&self, tokens: f64, total: f64) -> f64 {
+    pub fn prefill_ms(&self, tokens: f64, total: f64) -> f64 {
         if total <= 0.0 {
             return 0.0;
         }
         let pairs_in_millions = total * total / 2.0 / 1e6;
         let pairs_ms = pairs_in_millions * self.parameters.pair_ms_per_million;
-        tokens / self.parameters.read_tokens_per_ms + pairs_ms * tokens / total
+        tokens / self.parameters.prefill_tokens_per_ms + pairs_ms * tokens / total
     }
 
     /// Returns the duration of an engine step without prefill, for `decoding` requests with
     /// `context_tokens` of context in total.
-    pub fn pass_ms(&self, decoding: usize, context_tokens: f64) -> f64 {
+    pub fn engine_step_ms(&self, decoding: usize, context_tokens: f64) -> f64 {
         let p = self.parameters;
         let sequences = decoding as f64 * p.sequence_ms;
         let context = context_tokens / 1_000.0 * p.context_ms_per_k;
-        p.steps_per_pass * (p.step_ms + sequences + context)
+        p.decode_steps_per_engine_step * (p.decode_step_ms + sequences + context)
     }
 
     /// Returns the time that a request adds to each engine step of its decode.
-    pub fn writer_ms(&self, context_tokens: f64) -> f64 {
-        self.pass_ms(1, context_tokens) - self.pass_ms(0, 0.0)
+    pub fn decode_ms_per_step(&self, context_tokens: f64) -> f64 {
+        self.engine_step_ms(1, context_tokens) - self.engine_step_ms(0, 0.0)
     }
 }
--- a/crates/notchwalk_route/src/event.rs
+++ b/crates/notchwalk_route/src/event.rs
@@ -15,7 +15,7 @@
     /// The complete response was delivered.
     Delivered {
         /// Whether the response is a success; false for an error of the server itself.
-        healthy: bool,
+        is_success: bool,
     },
     /// The connection failed, so the request was not sent.
     NotConnected,
@@ -26,17 +26,17 @@
         /// The server at fault, if it is another one.
         at_fault: Option<SocketAddr>,
         /// Whether the address now belongs to another instance.
-        moved: bool,
+        address_reused: bool,
     },
     /// The server responded with an error of its own, which is retained and can be
     /// delivered. The request counts as run.
     Failed,
     /// The server sent nothing within the timeout. The request may have run.
-    Silent,
+    TimedOut,
     /// The connection was lost. The request may have run, and the server may have stopped.
-    Broken,
+    ConnectionLost,
     /// The server's response was invalid. The request may have run.
-    Unusable,
+    InvalidResponse,
 }
 
 /// A failed reservation on an engine.
--- a/crates/notchwalk_route/src/first_try.rs
+++ b/crates/notchwalk_route/src/first_try.rs
@@ -15,7 +15,7 @@
 
 /// The recent caller timeouts of each route.
 #[derive(Debug, Default)]
-pub(crate) struct FirstTries {
+pub(crate) struct FirstAttempts {
     by_route: HashMap<String, RecentTimeouts>,
 }
 
@@ -26,9 +26,9 @@
     next: usize,
 }
 
-impl FirstTries {
+impl FirstAttempts {
     /// Records a caller's timeout and returns the estimated time since its first attempt.
-    pub fn since_first(&mut self, route: &str, timeout: Duration) -> Duration {
+    pub fn since_first_attempt(&mut self, route: &str, timeout: Duration) -> Duration {
         if !self.by_route.contains_key(route) {
             self.by_route
                 .insert(route.to_owned(), RecentTimeouts::default());
--- a/crates/notchwalk_route/src/lib.rs
+++ b/crates/notchwalk_route/src/lib.rs
@@ -42,8 +42,8 @@
 
 pub mod prelude;
 
-pub use board::{Board, PeerWork, WorkPhase};
-pub use effect::{Assignment, Effect, Grounds, Helper, Refusal, ReservationOrder};
+pub use board::{LoadView, PeerWork, WorkPhase};
+pub use effect::{Assignment, Effect, PlacementReason, PrefillWorker, Refusal, ReservationOrder};
 pub use engine_cost::EngineCost;
 pub use event::{AttemptEnd, Event, FailedReservation};
 pub use fleet::{
--- a/crates/notchwalk_route/src/placement/call.rs
+++ b/crates/notchwalk_route/src/placement/call.rs
@@ -3,14 +3,14 @@
 use notchwalk_core::Instant;
 
 use super::{Plan, PlannedServer};
-use crate::{Board, Fleet, Grounds, ServerKey};
+use crate::{Fleet, LoadView, PlacementReason, ServerKey};
 
 /// Chooses the server of a plain service with the lowest ratio of running requests to
 /// slots. Servers in the local failure domain win ties. A request that may crash its server
 /// also counts the requests that the crash would affect.
 pub(crate) fn place_call(
     fleet: &Fleet,
-    load_view: &Board,
+    load_view: &LoadView,
     service: &str,
     local_domain: &str,
     excluded: &[ServerKey],
@@ -54,6 +54,6 @@
         ttft_ms: 0.0,
         loss_ms: 0.0,
         value_ms: 0.0,
-        grounds: Grounds::LeastLoss,
+        reason: PlacementReason::LeastLoss,
     })
 }
--- a/crates/notchwalk_route/src/placement/long.rs
+++ b/crates/notchwalk_route/src/placement/long.rs
@@ -5,7 +5,7 @@
     late_loss_fraction, short::LATENCY_WEIGHT, Demand, EnginePlacement, Plan, View,
     MAX_ENGINES_PER_REQUEST, RESERVATION_MARGIN,
 };
-use crate::{Grounds, ServerKey};
+use crate::{PlacementReason, ServerKey};
 
 /// Inter-token objective assumed for short requests that have not started decoding, in
 /// milliseconds.
@@ -83,7 +83,9 @@
         let mut candidates = self.candidates(service, excluded);
         candidates.sort_by(|a, b| {
             let busy = |candidate: &View| {
-                candidate.start_delay_ms + candidate.load.reading_ms + candidate.failure_penalty_ms
+                candidate.start_delay_ms
+                    + candidate.load.remaining_prefill_ms
+                    + candidate.failure_penalty_ms
             };
             let order = a.in_short_pool.cmp(&b.in_short_pool);
             order.then(busy(a).total_cmp(&busy(b)))
@@ -91,7 +93,7 @@
         let limit = self.max_engines(demand).min(candidates.len());
         let mut best: Option<Plan> = None;
         for k in 1..=limit {
-            let segment_ms = cost.read_ms(demand.prompt / k as f64, demand.prompt);
+            let segment_ms = cost.prefill_ms(demand.prompt / k as f64, demand.prompt);
             let segment_tokens = demand.prompt / k as f64;
             let memory = self.memory_demand(demand, k);
             let Some(decoder) =
@@ -113,7 +115,8 @@
             let mut ttft_ms = self.ttft_ms(decoder, segment_tokens, segment_ms);
             let mut loss_ms = 0.0;
             for candidate in &chosen {
-                let end_ms = candidate.start_delay_ms + candidate.load.reading_ms + segment_ms;
+                let end_ms =
+                    candidate.start_delay_ms + candidate.load.remaining_prefill_ms + segment_ms;
                 ttft_ms = ttft_ms.max(end_ms + decoder.engine_step_ms);
                 loss_ms += EACH_PART_MS + candidate.failure_penalty_ms;
                 if candidate.in_short_pool {
@@ -127,7 +130,7 @@
             best = Some(Plan {
                 reserve_tokens: memory.reserve_tokens,
                 loss_ms,
-                grounds: Grounds::Room,
+                reason: PlacementReason::Room,
                 ..self.split_plan(&chosen, decoder.key, demand, segment_ms, ttft_ms)
             });
         }
@@ -157,7 +160,7 @@
             };
             let ttft_ms = self.ttft_ms(candidate, segment_tokens, segment_ms);
             // Queued segments for other engines are prefilled first.
-            let cost_ms = ttft_ms + candidate.load.reading_ms + new_engine_penalty_ms;
+            let cost_ms = ttft_ms + candidate.load.remaining_prefill_ms + new_engine_penalty_ms;
             if best.is_none_or(|(lowest, _)| cost_ms < lowest) {
                 best = Some((cost_ms, candidate));
             }
@@ -168,8 +171,8 @@
     /// Returns the time to first token of a long prompt on idle engines, in milliseconds.
     pub fn min_ttft_ms(&self, demand: &Demand) -> f64 {
         let limit = self.max_engines(demand).min(EXPECTED_FREE_ENGINES) as f64;
-        let segment_ms = self.cost().read_ms(demand.prompt / limit, demand.prompt);
-        segment_ms + self.cost().pass_ms(1, demand.prompt)
+        let segment_ms = self.cost().prefill_ms(demand.prompt / limit, demand.prompt);
+        segment_ms + self.cost().engine_step_ms(1, demand.prompt)
     }
 
     /// Chooses one engine that serves a late long prompt within `limit_ms`: the one with
@@ -192,9 +195,9 @@
             if ttft_ms > limit_ms || !self.has_memory(candidate, tokens) {
                 continue;
             }
-            let long = candidate.load.writers + candidate.load.own_long_reads;
+            let long = candidate.load.decoding + candidate.load.own_long_prefills;
             let disturbance = (candidate.load.short, long);
-            let busy_ms = candidate.load.reading_ms
+            let busy_ms = candidate.load.remaining_prefill_ms
                 + candidate.failure_penalty_ms
                 + self.crash_penalty_ms(candidate, demand);
             let order = (disturbance, busy_ms);
@@ -203,7 +206,7 @@
             }
             let plan = Plan {
                 loss_ms: self.penalty_ms(candidate, segment_ms),
-                grounds: Grounds::Late,
+                reason: PlacementReason::Late,
                 ..self.single_engine_plan(candidate, demand, segment_ms, ttft_ms)
             };
             best = Some((disturbance, busy_ms, plan));
@@ -225,7 +228,7 @@
         let mut candidates = self.candidates(service, excluded);
         candidates.retain(|candidate| !candidate.in_short_pool && candidate.can_prefill());
         let cost = self.cost();
-        let sample_segment_ms = cost.read_ms(
+        let sample_segment_ms = cost.prefill_ms(
             demand.prompt / MAX_ENGINES_PER_REQUEST as f64,
             demand.prompt,
         );
@@ -233,8 +236,9 @@
             self.penalty_ms(candidate, sample_segment_ms) + candidate.failure_penalty_ms
         };
         candidates.sort_by(|a, b| {
-            let busy =
-                |candidate: &View| candidate.load.reading_ms + candidate.load.context_tokens / 1e3;
+            let busy = |candidate: &View| {
+                candidate.load.remaining_prefill_ms + candidate.load.context_tokens / 1e3
+            };
             penalty(a)
                 .total_cmp(&penalty(b))
                 .then(busy(a).total_cmp(&busy(b)))
@@ -243,7 +247,7 @@
         let limit = self.max_engines(demand).min(candidates.len() - spare);
         let mut best: Option<Plan> = None;
         for k in 2..=limit {
-            let segment_ms = cost.read_ms(demand.prompt / k as f64, demand.prompt);
+            let segment_ms = cost.prefill_ms(demand.prompt / k as f64, demand.prompt);
             let memory = self.memory_demand(demand, k);
             let Some((decoder, chosen)) = self.select_with_memory(&candidates, &memory, k) else {
                 continue;
@@ -266,7 +270,7 @@
             best = Some(Plan {
                 reserve_tokens: memory.reserve_tokens,
                 loss_ms,
-                grounds: Grounds::Late,
+                reason: PlacementReason::Late,
                 ..self.split_plan(&chosen, decoder, demand, segment_ms, ttft_ms)
             });
         }
@@ -293,15 +297,21 @@
     /// Returns the prefill time that fits into an engine's next step without making its
     /// requests late, in milliseconds.
     fn prefill_headroom_ms(&self, candidate: &View) -> f64 {
-        let busy = candidate.engine_step_ms + candidate.load.reading_ms;
+        let busy = candidate.engine_step_ms + candidate.load.remaining_prefill_ms;
         if candidate.in_short_pool || candidate.load.short > 0 {
-            let inter_token_ms = candidate.load.tightest_pause_ms.min(DEFAULT_INTER_TOKEN_MS);
+            let inter_token_ms = candidate
+                .load
+                .tightest_inter_token_ms
+                .min(DEFAULT_INTER_TOKEN_MS);
             return (STEP_FRACTION * inter_token_ms - busy).min(THINNEST_MS);
         }
-        if candidate.load.writers == 0 && candidate.load.own_long_reads == 0 {
-            return LONGEST_PART_MS - candidate.load.reading_ms;
+        if candidate.load.decoding == 0 && candidate.load.own_long_prefills == 0 {
+            return LONGEST_PART_MS - candidate.load.remaining_prefill_ms;
         }
-        let inter_token_ms = candidate.load.tightest_coming_pause_ms.min(MAX_STEP_MS);
+        let inter_token_ms = candidate
+            .load
+            .tightest_upcoming_inter_token_ms
+            .min(MAX_STEP_MS);
         LONG_PAUSE_SHARE * inter_token_ms - busy
     }
 }
--- a/crates/notchwalk_route/src/placement/mod.rs
+++ b/crates/notchwalk_route/src/placement/mod.rs
@@ -15,8 +15,8 @@
 use notchwalk_core::Instant;
 
 use crate::{
-    board::ServerLoad, engine_cost::EngineCost, request::Request, Board, EngineParameters, Fleet,
-    Grounds, ServerKey,
+    board::ServerLoad, engine_cost::EngineCost, request::Request, EngineParameters, Fleet,
+    LoadView, PlacementReason, ServerKey,
 };
 
 pub(crate) use call::place_call;
@@ -83,7 +83,7 @@
     /// Value of the request, in milliseconds of engine time.
     pub value_ms: f64,
     /// Reason for the choice, for logs.
-    pub grounds: Grounds,
+    pub reason: PlacementReason,
 }
 
 /// What a request needs, in the units of the cost model.
@@ -116,8 +116,8 @@
             prompt: f64::from(facts.prompt_tokens),
             answer: f64::from(facts.answer_tokens),
             objective_ms: ms_until(request.objective_at(), now).max(1.0),
-            caller_timeout_ms: ms_until(request.patience_end(), now).max(1.0),
-            worker_failures: request.helpers_failed,
+            caller_timeout_ms: ms_until(request.caller_timeout_at(), now).max(1.0),
+            worker_failures: request.prefill_worker_failures,
             crash_risk,
         }
     }
@@ -144,7 +144,9 @@
     fn can_prefill(&self) -> bool {
         /// Keeps the engine busy until its next segment, without delaying many requests.
         const QUEUED_MS: f64 = 150.0;
-        !self.has_low_limit && self.load.own_long_reads == 0 && self.load.reading_ms <= QUEUED_MS
+        !self.has_low_limit
+            && self.load.own_long_prefills == 0
+            && self.load.remaining_prefill_ms <= QUEUED_MS
     }
 }
 
@@ -152,7 +154,7 @@
 pub(crate) struct EnginePlacement<'a> {
     pub parameters: &'a EngineParameters,
     pub fleet: &'a Fleet,
-    pub load_view: &'a Board,
+    pub load_view: &'a LoadView,
     pub now: Instant,
     /// Whether the load caused by peers is unknown because this node has just started.
     pub peer_load_unknown: bool,
@@ -213,7 +215,7 @@
 
     /// Returns the prefill time of a prompt on one engine, in milliseconds.
     pub fn prefill_ms(&self, demand: &Demand) -> f64 {
-        self.cost().read_ms(demand.prompt, demand.prompt)
+        self.cost().prefill_ms(demand.prompt, demand.prompt)
     }
 
     fn candidates(&self, service: &str, excluded: &[ServerKey]) -> Vec<View> {
@@ -229,10 +231,10 @@
             if !server.is_available(self.now) || excluded.contains(&key) {
                 continue;
             }
-            let engine_step_ms = self.cost().pass_ms(load.writers, load.pass_tokens);
-            let start_delay_ms = match load.writers {
+            let engine_step_ms = self.cost().engine_step_ms(load.decoding, load.step_tokens);
+            let start_delay_ms = match load.decoding {
                 0 => 0.0,
-                _ => (engine_step_ms + load.reading_ms) / 2.0,
+                _ => (engine_step_ms + load.remaining_prefill_ms) / 2.0,
             };
             candidates.push(View {
                 key,
@@ -254,7 +256,7 @@
         // join it last.
         order.sort_by(|&a, &b| {
             let affinity = |candidate: &View| {
-                candidate.load.short as f64 * SHORT_SUITS_MS - candidate.load.reading_ms
+                candidate.load.short as f64 * SHORT_SUITS_MS - candidate.load.remaining_prefill_ms
             };
             affinity(&candidates[b]).total_cmp(&affinity(&candidates[a]))
         });
@@ -267,13 +269,13 @@
     /// Returns the expected loss of an engine's other requests if its next step takes on
     /// `segment_ms` more prefill.
     fn penalty_ms(&self, candidate: &View, segment_ms: f64) -> f64 {
-        let before = candidate.engine_step_ms + candidate.load.reading_ms;
+        let before = candidate.engine_step_ms + candidate.load.remaining_prefill_ms;
         let after = before + segment_ms;
         let mut loss = 0.0;
-        for work in self.load_view.on(candidate.key) {
+        for work in self.load_view.work_on(candidate.key) {
             let allowed = match work.phase {
-                crate::WorkPhase::Writing => work.pause_ms,
-                crate::WorkPhase::Reading => work.pause_ms * 1.2,
+                crate::WorkPhase::Decode => work.inter_token_ms,
+                crate::WorkPhase::Prefill => work.inter_token_ms * 1.2,
                 _ => continue,
             };
             let added = late_loss_fraction(after, allowed) - late_loss_fraction(before, allowed);
@@ -291,16 +293,16 @@
         if demand.crash_risk <= 0.0 {
             return 0.0;
         }
-        let works = self.load_view.on(candidate.key).iter();
+        let works = self.load_view.work_on(candidate.key).iter();
         let value = works.map(|work| value_ms(work.context_tokens, DEFAULT_ANSWER_TOKENS));
         demand.crash_risk * LATE_LOSS_FRACTION * value.sum::<f64>()
     }
 
     fn ttft_ms(&self, candidate: &View, segment_tokens: f64, segment_ms: f64) -> f64 {
         let load = &candidate.load;
-        let writers = load.writers + load.readers + 1;
-        let context = load.pass_tokens + segment_tokens;
-        let step_ms = self.cost().pass_ms(writers, context);
+        let decoding = load.decoding + load.prefilling + 1;
+        let context = load.step_tokens + segment_tokens;
+        let step_ms = self.cost().engine_step_ms(decoding, context);
         // Requests beyond the slots are queued by the engine.
         let excess_requests = (load.occupied() + 1) as f64 - f64::from(self.parameters.slots);
         let queued = excess_requests.max(0.0) / f64::from(self.parameters.slots)
@@ -308,7 +310,7 @@
             * step_ms;
         DISPATCH_LATENCY_MS
             + candidate.start_delay_ms
-            + load.reading_ms
+            + load.remaining_prefill_ms
             + segment_ms
             + step_ms
             + queued
@@ -328,7 +330,7 @@
             server: candidate.key,
             prefill_end_ms: DISPATCH_LATENCY_MS
                 + candidate.start_delay_ms
-                + candidate.load.reading_ms
+                + candidate.load.remaining_prefill_ms
                 + segment_ms,
         }
     }
@@ -349,7 +351,7 @@
             ttft_ms,
             loss_ms: 0.0,
             value_ms: demand.value_ms(),
-            grounds: Grounds::LeastLoss,
+            reason: PlacementReason::LeastLoss,
         }
     }
 
@@ -371,7 +373,7 @@
             ttft_ms,
             loss_ms: 0.0,
             value_ms: demand.value_ms(),
-            grounds: Grounds::LeastLoss,
+            reason: PlacementReason::LeastLoss,
         }
     }
 
--- a/crates/notchwalk_route/src/placement/short.rs
+++ b/crates/notchwalk_route/src/placement/short.rs
@@ -1,7 +1,7 @@
 //! Placement by least expected loss: short requests, and long ones that can't wait.
 
 use super::{late_loss_fraction, Demand, EnginePlacement, Plan, View, INSIDE_POOL_MS};
-use crate::{Grounds, ServerKey};
+use crate::{PlacementReason, ServerKey};
 
 /// Loss per millisecond of time to first token, also within the objective.
 pub(super) const LATENCY_WEIGHT: f64 = 0.05;
@@ -46,14 +46,14 @@
         demand: &Demand,
         excluded: &[ServerKey],
     ) -> Option<Plan> {
-        let segment_ms = self.cost().read_ms(demand.prompt, demand.prompt);
+        let segment_ms = self.cost().prefill_ms(demand.prompt, demand.prompt);
         let mut best: Option<Plan> = None;
         for candidate in &self.candidates(service, excluded) {
             let load = &candidate.load;
-            let engine_step_ms = candidate.engine_step_ms + load.reading_ms + segment_ms;
+            let engine_step_ms = candidate.engine_step_ms + load.remaining_prefill_ms + segment_ms;
             let is_unsuitable = load.occupied() as f64 >= self.short_per_engine()
-                || engine_step_ms > SPARE_STEP_FRACTION * load.tightest_coming_pause_ms
-                || load.own_long_reads > 0
+                || engine_step_ms > SPARE_STEP_FRACTION * load.tightest_upcoming_inter_token_ms
+                || load.own_long_prefills > 0
                 || !self.memory_fits(candidate, demand);
             if is_unsuitable {
                 continue;
@@ -66,7 +66,7 @@
             }
             best = Some(Plan {
                 loss_ms,
-                grounds: Grounds::Late,
+                reason: PlacementReason::Late,
                 ..self.single_engine_plan(candidate, demand, segment_ms, ttft_ms)
             });
         }
@@ -75,7 +75,7 @@
 
     pub(super) fn place_on_one(&self, candidates: &[View], demand: &Demand) -> Option<Plan> {
         let value_ms = demand.value_ms();
-        let segment_ms = self.cost().read_ms(demand.prompt, demand.prompt);
+        let segment_ms = self.cost().prefill_ms(demand.prompt, demand.prompt);
         let is_short = demand.prompt <= MAX_UNSPLIT_TOKENS * 2.0;
         let mut best: Option<Plan> = None;
         for candidate in candidates {
@@ -113,12 +113,12 @@
         let cost = self.cost();
         let value_ms = demand.value_ms();
         // Prefer engines on which a long segment causes the least loss.
-        let sample_segment_ms = cost.read_ms(demand.prompt / 6.0, demand.prompt);
+        let sample_segment_ms = cost.prefill_ms(demand.prompt / 6.0, demand.prompt);
         let mut order: Vec<(f64, View)> = Vec::with_capacity(candidates.len());
         candidates.retain(View::can_prefill);
         for candidate in candidates {
             let pool_penalty_ms = if candidate.in_short_pool { 150.0 } else { 0.0 };
-            let delay_ms = candidate.start_delay_ms + candidate.load.reading_ms;
+            let delay_ms = candidate.start_delay_ms + candidate.load.remaining_prefill_ms;
             let key = self.penalty_ms(&candidate, sample_segment_ms)
                 + delay_ms
                 + pool_penalty_ms
@@ -129,7 +129,7 @@
         let limit = self.max_engines(demand).min(order.len());
         let mut best: Option<Plan> = None;
         for k in 2..=limit {
-            let segment_ms = cost.read_ms(demand.prompt / k as f64, demand.prompt);
+            let segment_ms = cost.prefill_ms(demand.prompt / k as f64, demand.prompt);
             let mut loss_ms = 0.0;
             let mut ttft_ms: f64 = 0.0;
             for (_, candidate) in &order[..k] {
--- a/crates/notchwalk_route/src/request.rs
+++ b/crates/notchwalk_route/src/request.rs
@@ -35,7 +35,7 @@
     /// When its first byte arrived.
     pub arrived: Instant,
     /// The timeout that its caller announced.
-    pub patience: Duration,
+    pub caller_timeout: Duration,
     /// The deadline from the timeouts of its caller and its route.
     pub deadline: Instant,
     /// Number of prompt tokens; 0 for a plain service.
@@ -49,68 +49,68 @@
 pub(crate) struct Request {
     pub facts: RequestFacts,
     /// Estimated time of its caller's first attempt.
-    pub first_tried: Instant,
+    pub first_attempt_at: Instant,
     /// Its service, chosen from those of the route.
     pub service: String,
     /// Servers that it was sent to.
-    pub tried: Vec<ServerKey>,
+    pub attempted: Vec<ServerKey>,
     /// Number of servers that may have started it.
-    pub ran_on: u32,
+    pub started_on: u32,
     /// Number of sends, refused ones included.
     pub sends: u32,
     /// Number of sends that failed because of a prefill worker.
-    pub helpers_failed: u32,
+    pub prefill_worker_failures: u32,
     /// The server that it is on.
-    pub at: Option<ServerKey>,
+    pub server: Option<ServerKey>,
     /// Servers that prefill parts of its prompt.
-    pub helpers: Vec<ServerKey>,
+    pub prefill_workers: Vec<ServerKey>,
     /// The assignment to send once its memory is reserved.
-    pub reserving: Option<Assignment>,
+    pub pending_assignment: Option<Assignment>,
     /// Whether it holds memory reservations.
-    pub holds: bool,
+    pub holds_reservations: bool,
     /// Predicted time of the first event.
-    pub predicted_first: Instant,
+    pub predicted_first_event: Instant,
     /// Time of the last send.
     pub sent_at: Instant,
     /// Start of the current wait to be sent.
-    pub waits_since: Instant,
+    pub waiting_since: Instant,
     /// Whether an event of its stream has been delivered.
     pub started: bool,
 }
 
 impl Request {
-    pub fn new(facts: RequestFacts, since_first: Duration, service: String) -> Self {
+    pub fn new(facts: RequestFacts, since_first_attempt: Duration, service: String) -> Self {
         Self {
-            first_tried: facts.arrived.before(since_first),
+            first_attempt_at: facts.arrived.before(since_first_attempt),
             sent_at: facts.arrived,
-            waits_since: facts.arrived,
-            predicted_first: facts.arrived,
+            waiting_since: facts.arrived,
+            predicted_first_event: facts.arrived,
             facts,
             service,
-            tried: Vec::new(),
-            ran_on: 0,
+            attempted: Vec::new(),
+            started_on: 0,
             sends: 0,
-            helpers_failed: 0,
-            at: None,
-            helpers: Vec::new(),
-            reserving: None,
-            holds: false,
+            prefill_worker_failures: 0,
+            server: None,
+            prefill_workers: Vec::new(),
+            pending_assignment: None,
+            holds_reservations: false,
             started: false,
         }
     }
 
     /// Returns whether the request may run more than once.
     pub fn may_repeat(&self) -> bool {
-        self.facts.route.repeatability != Repeatability::Once
+        self.facts.route.repeatability != Repeatability::AtMostOnce
     }
 
     /// Returns when its latency objective ends, counted from the first attempt.
     pub fn objective_at(&self) -> Instant {
-        self.first_tried.after(self.facts.route.objective)
+        self.first_attempt_at.after(self.facts.route.objective)
     }
 
     /// Returns when its caller aborts if no event has been delivered by then.
-    pub fn patience_end(&self) -> Instant {
+    pub fn caller_timeout_at(&self) -> Instant {
         let route = &self.facts.route;
         if !route.streaming || self.started {
             return self.facts.deadline;
@@ -122,7 +122,7 @@
     /// Returns the time without output after which its caller aborts a stream.
     fn stream_timeout(&self) -> Duration {
         let route = &self.facts.route;
-        let inter_token = route.pause_objective.unwrap_or_default();
+        let inter_token = route.inter_token_objective.unwrap_or_default();
         MIN_STREAM_TIMEOUT
             .max(route.objective * STREAM_TIMEOUT_PER_OBJECTIVE)
             .max(inter_token * STREAM_TIMEOUT_PER_INTER_TOKEN)
@@ -130,18 +130,18 @@
 
     /// Returns when its caller aborts. The timeout of a started stream runs from its last
     /// event.
-    pub fn gives_up_at(&self) -> Instant {
+    pub fn caller_aborts_at(&self) -> Instant {
         match self.started {
             true => self
                 .facts
                 .deadline
-                .min(self.waits_since.after(self.stream_timeout())),
-            false => self.patience_end(),
+                .min(self.waiting_since.after(self.stream_timeout())),
+            false => self.caller_timeout_at(),
         }
     }
 
     /// Returns the time until its deadline.
-    pub fn left(&self, now: Instant) -> Duration {
+    pub fn time_left(&self, now: Instant) -> Duration {
         self.facts.deadline.since(now)
     }
 }
--- a/crates/notchwalk_route/src/reservations.rs
+++ b/crates/notchwalk_route/src/reservations.rs
@@ -1,9 +1,9 @@
 //! Memory reservations on engines for prompts that exceed one engine.
 //!
-//! A reservation expires after [`HOLD`] unless it is renewed, which frees the memory of a
-//! crashed node. A request reserves on all of its engines or on none, in the order of their
-//! addresses, and releases its reservations when it ends. An order without a response may
-//! still be carried out late, so its release is repeated for a while.
+//! A reservation expires after [`RESERVATION_TTL`] unless it is renewed, which frees the
+//! memory of a crashed node. A request reserves on all of its engines or on none, in the
+//! order of their addresses, and releases its reservations when it ends. An order without a
+//! response may still be carried out late, so its release is repeated for a while.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -13,7 +13,7 @@
 
 /// Lifetime of a reservation without renewal. The memory of a crashed node must be free
 /// within four seconds.
-pub(crate) const HOLD: Duration = Duration::from_millis(3_400);
+pub(crate) const RESERVATION_TTL: Duration = Duration::from_millis(3_400);
 /// Interval between renewals. One renewal may be lost without the reservation expiring.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(1_500);
 /// Interval between repeated releases.
@@ -49,13 +49,13 @@
 
 impl Reservations {
     /// Adds reservations, which are renewed from now on.
-    pub fn hold(&mut self, request: RequestKey, orders: &[ReservationOrder], now: Instant) {
+    pub fn add(&mut self, request: RequestKey, orders: &[ReservationOrder], now: Instant) {
         for order in orders {
             self.active.push(Reservation {
                 request,
                 order: order.clone(),
                 renew_at: now.after(RENEWAL_INTERVAL),
-                expires_at: now.after(HOLD),
+                expires_at: now.after(RESERVATION_TTL),
                 is_unanswered: false,
             });
         }
@@ -101,7 +101,7 @@
     }
 
     /// Ends the reservations of a request; returns the orders that release them.
-    pub fn give_back(&mut self, request: RequestKey, now: Instant) -> Vec<ReservationOrder> {
+    pub fn release(&mut self, request: RequestKey, now: Instant) -> Vec<ReservationOrder> {
         let (ended, active) = std::mem::take(&mut self.active)
             .into_iter()
             .partition(|reservation| reservation.request == request);
@@ -127,7 +127,7 @@
 
     /// Removes the reservations on a restarted engine: a renewal would reserve memory there
     /// for a request that no longer uses it.
-    pub fn forget_at(&mut self, addr: SocketAddr) {
+    pub fn remove_at(&mut self, addr: SocketAddr) {
         self.active
             .retain(|reservation| reservation.order.addr != addr);
     }
@@ -142,7 +142,7 @@
                 continue;
             }
             reservation.renew_at = now.after(RENEWAL_INTERVAL);
-            reservation.expires_at = now.after(HOLD);
+            reservation.expires_at = now.after(RESERVATION_TTL);
             due.push(reservation.order.clone());
         }
         for release in &mut self.releases {
--- a/crates/notchwalk_route/src/retry_budget.rs
+++ b/crates/notchwalk_route/src/retry_budget.rs
@@ -60,13 +60,13 @@
     }
 
     /// Marks the start of serving; further calls have no effect.
-    pub fn begin(&mut self, now: Instant) {
+    pub fn start(&mut self, now: Instant) {
         self.started_at.get_or_insert(now);
     }
 
     /// Records the first attempt of a request.
     pub fn record_first_attempt(&mut self, now: Instant) {
-        self.begin(now);
+        self.start(now);
         self.remove_expired(now);
         self.attempts.push_back((now, false));
         self.first_attempts += 1;
@@ -87,7 +87,7 @@
     }
 
     /// Returns whether another retry is allowed now. The slack is divided by `nodes`.
-    pub fn has_left(&self, now: Instant, nodes: Option<u32>) -> bool {
+    pub fn allows_retry(&self, now: Instant, nodes: Option<u32>) -> bool {
         let window_start = now.before(self.window);
         let expired = self
             .attempts
@@ -103,9 +103,9 @@
 
     /// Takes one retry from the budget; returns whether it allows one.
     pub fn take(&mut self, now: Instant, nodes: Option<u32>) -> bool {
-        self.begin(now);
+        self.start(now);
         self.remove_expired(now);
-        if !self.has_left(now, nodes) {
+        if !self.allows_retry(now, nodes) {
             return false;
         }
         self.attempts.push_back((now, true));
--- a/crates/notchwalk_route/src/router/ending.rs
+++ b/crates/notchwalk_route/src/router/ending.rs
@@ -26,16 +26,17 @@
             return;
         };
         request.started = true;
-        let Some(server) = request.at else {
+        let Some(server) = request.server else {
             return;
         };
-        self.load_view.set_phase(server, key, WorkPhase::Writing);
-        if request.holds {
-            for &worker in &request.helpers {
-                self.load_view.set_phase(worker, key, WorkPhase::Holding);
+        self.load_view.set_phase(server, key, WorkPhase::Decode);
+        if request.holds_reservations {
+            for &worker in &request.prefill_workers {
+                self.load_view
+                    .set_phase(worker, key, WorkPhase::RemoteCache);
             }
         } else {
-            for worker in std::mem::take(&mut request.helpers) {
+            for worker in std::mem::take(&mut request.prefill_workers) {
                 self.load_view.remove(worker, key);
             }
         }
@@ -47,8 +48,8 @@
         let Some(Some(request)) = self.requests.get_mut(key) else {
             return;
         };
-        let helpers = std::mem::take(&mut request.helpers);
-        for server in request.at.take().into_iter().chain(helpers) {
+        let workers = std::mem::take(&mut request.prefill_workers);
+        for server in request.server.take().into_iter().chain(workers) {
             self.load_view.remove(server, key);
         }
     }
@@ -72,7 +73,7 @@
         out: &mut Vec<Effect>,
     ) {
         let request = self.requests.get(key).and_then(Option::as_ref);
-        let may_have_run = request.is_some_and(|request| request.ran_on > 0);
+        let may_have_run = request.is_some_and(|request| request.started_on > 0);
         let reason = match reason.has_not_run() && may_have_run {
             true => Refusal::Unknown,
             false => reason,
@@ -124,12 +125,12 @@
         let Some(Some(request)) = self.requests.get_mut(key) else {
             return;
         };
-        request.waits_since = now;
+        request.waiting_since = now;
         self.record_content_outcome(key, end, now);
         let Some(Some(request)) = self.requests.get_mut(key) else {
             return;
         };
-        let server = request.at;
+        let server = request.server;
         // Don't choose a prefill worker that rejected its segment again.
         if let AttemptEnd::NotRun {
             at_fault: Some(addr),
@@ -138,15 +139,18 @@
         {
             let at_fault = self.fleet.by_addr(addr);
             if at_fault != server {
-                request.helpers_failed += 1;
+                request.prefill_worker_failures += 1;
             }
-            request.tried.extend(at_fault);
+            request.attempted.extend(at_fault);
         }
         if matches!(
             end,
-            AttemptEnd::Broken | AttemptEnd::Unusable | AttemptEnd::Failed | AttemptEnd::Silent
+            AttemptEnd::ConnectionLost
+                | AttemptEnd::InvalidResponse
+                | AttemptEnd::Failed
+                | AttemptEnd::TimedOut
         ) {
-            request.ran_on += 1;
+            request.started_on += 1;
         }
         if matches!(end, AttemptEnd::NotConnected | AttemptEnd::NotSent) {
             self.roll_back_sends(key, now);
@@ -175,10 +179,10 @@
             return;
         };
         let at_fault = match end {
-            AttemptEnd::Delivered { healthy: true } => {
+            AttemptEnd::Delivered { is_success: true } => {
                 return self.fleet.record_success(server, now)
             }
-            AttemptEnd::Delivered { healthy: false } => return,
+            AttemptEnd::Delivered { is_success: false } => return,
             AttemptEnd::NotRun {
                 at_fault: Some(addr),
                 ..
@@ -194,7 +198,10 @@
                     None => at_fault,
                 }
             }
-            AttemptEnd::NotRun { moved: true, .. } => Some(server),
+            AttemptEnd::NotRun {
+                address_reused: true,
+                ..
+            } => Some(server),
             AttemptEnd::NotRun { .. } => return,
             AttemptEnd::NotSent => return,
             AttemptEnd::Failed => None,
@@ -202,12 +209,12 @@
                 self.fleet.record_unreachable(server, now);
                 None
             }
-            AttemptEnd::Broken | AttemptEnd::Unusable => Some(server),
-            AttemptEnd::Silent => {
-                if let Some(pause) = self.fleet.record_timeout(server, now) {
+            AttemptEnd::ConnectionLost | AttemptEnd::InvalidResponse => Some(server),
+            AttemptEnd::TimedOut => {
+                if let Some(inter_token) = self.fleet.record_timeout(server, now) {
                     out.push(Effect::Ejected {
                         server,
-                        duration: pause,
+                        duration: inter_token,
                     });
                 }
                 None
@@ -216,10 +223,10 @@
         let Some(at_fault) = at_fault else {
             return;
         };
-        if let Some(pause) = self.fleet.record_failure(at_fault, now) {
+        if let Some(inter_token) = self.fleet.record_failure(at_fault, now) {
             out.push(Effect::Ejected {
                 server: at_fault,
-                duration: pause,
+                duration: inter_token,
             });
         }
     }
@@ -229,13 +236,15 @@
             return false;
         };
         let attempts = request.facts.route.max_attempts;
-        if request.left(now) < MIN_TIME_LEFT || request.sends >= attempts * MAX_SENDS_PER_ATTEMPT {
+        if request.time_left(now) < MIN_TIME_LEFT
+            || request.sends >= attempts * MAX_SENDS_PER_ATTEMPT
+        {
             return false;
         }
-        if request.ran_on > 0 && !request.may_repeat() {
+        if request.started_on > 0 && !request.may_repeat() {
             return false;
         }
-        if request.ran_on >= attempts {
+        if request.started_on >= attempts {
             return false;
         }
         // The attempt put no load on a server.
--- a/crates/notchwalk_route/src/router/limits.rs
+++ b/crates/notchwalk_route/src/router/limits.rs
@@ -62,7 +62,7 @@
         let Some(Some(request)) = self.requests.get(key) else {
             return;
         };
-        for &server in request.helpers.iter().chain(&request.at) {
+        for &server in request.prefill_workers.iter().chain(&request.server) {
             self.fleet.roll_back_message(server, now);
         }
     }
@@ -81,11 +81,11 @@
     ) -> bool {
         let queued_before = ahead.count(&request.service);
         let wait = self.limited_wait(&request.service, first_send, queued_before, now);
-        let is_caller_retry = request.first_tried < request.facts.arrived;
+        let is_caller_retry = request.first_attempt_at < request.facts.arrived;
         let is_late = is_caller_retry || request.sends > 0 || now >= request.objective_at();
         let allowed = match is_late {
             true => request
-                .gives_up_at()
+                .caller_aborts_at()
                 .since(now)
                 .mul_f64(MAX_LATE_WAIT_FRACTION),
             false => request.objective_at().since(now),
--- a/crates/notchwalk_route/src/router/mod.rs
+++ b/crates/notchwalk_route/src/router/mod.rs
@@ -26,10 +26,10 @@
 use slotmap::SlotMap;
 
 use crate::{
-    first_try::FirstTries, placement::EnginePlacement, request::Request,
-    reservations::Reservations, shares::Shares, wait_queue::WaitQueue, Board, Effect, Event, Fleet,
-    LimitUpdate, RequestKey, RetryBudget, RouteTable, ServerChange, ServerKey, ServerNotice,
-    Service, SiteConfig,
+    first_try::FirstAttempts, placement::EnginePlacement, request::Request,
+    reservations::Reservations, shares::Shares, wait_queue::WaitQueue, Effect, Event, Fleet,
+    LimitUpdate, LoadView, RequestKey, RetryBudget, RouteTable, ServerChange, ServerKey,
+    ServerNotice, Service, SiteConfig,
 };
 
 /// Time after which the work reported by a silent peer expires, if the driver has not
@@ -66,7 +66,7 @@
     version: u64,
     configured_at: Option<Instant>,
     fleet: Fleet,
-    load_view: Board,
+    load_view: LoadView,
     retry_budget: RetryBudget,
     /// Number of nodes that share fleet-wide allowances, if known.
     node_count: Option<u32>,
@@ -76,7 +76,7 @@
     /// Usage by workspace as of `shares_updated_at`.
     shares: Shares,
     shares_updated_at: Instant,
-    first_attempts: FirstTries,
+    first_attempts: FirstAttempts,
     quarantine: Quarantine,
     reservation_number: u64,
     draining_from: Option<Instant>,
@@ -99,14 +99,14 @@
             version: 0,
             configured_at: None,
             fleet: Fleet::default(),
-            load_view: Board::default(),
+            load_view: LoadView::default(),
             node_count: None,
             requests: SlotMap::with_key(),
             reservations: Reservations::default(),
             queue: WaitQueue::default(),
             shares: Shares::default(),
             shares_updated_at: Instant::ZERO,
-            first_attempts: FirstTries::default(),
+            first_attempts: FirstAttempts::default(),
             quarantine: Quarantine::default(),
             reservation_number: 0,
             draining_from: None,
@@ -140,7 +140,7 @@
     }
 
     /// Returns the load view: the work on all servers, as far as it is known.
-    pub fn board(&self) -> &Board {
+    pub fn load_view(&self) -> &LoadView {
         &self.load_view
     }
 
@@ -161,7 +161,7 @@
     /// work are left out, since there is no state to correct.
     pub fn all_own_work(&self, now: Instant) -> (Vec<u32>, Vec<crate::PeerWork>) {
         let servers = self.fleet.iter().map(|(key, _)| key);
-        self.own_work(servers.filter(|&key| self.load_view.knows(key)), now)
+        self.own_work(servers.filter(|&key| self.load_view.has_seen(key)), now)
     }
 
     fn own_work(
@@ -187,14 +187,14 @@
 
     /// Returns whether a request could be sent to another server if its current attempt
     /// were cancelled now.
-    pub fn may_try_another(&self, key: RequestKey, now: Instant) -> bool {
+    pub fn may_retry_elsewhere(&self, key: RequestKey, now: Instant) -> bool {
         let Some(Some(request)) = self.requests.get(key) else {
             return false;
         };
         request.may_repeat()
-            && request.ran_on + 1 < request.facts.route.max_attempts
-            && request.left(now) >= MIN_TIME_LEFT
-            && self.retry_budget.has_left(now, self.node_count)
+            && request.started_on + 1 < request.facts.route.max_attempts
+            && request.time_left(now) >= MIN_TIME_LEFT
+            && self.retry_budget.allows_retry(now, self.node_count)
             && self.has_alternative(request, now)
     }
 
@@ -242,7 +242,7 @@
                 work,
             } => self.apply_peer_work(peer, &servers, work, now),
             Event::PeerUnreachable { peer } => {
-                self.load_view.forget_peer(peer);
+                self.load_view.remove_peer(peer);
                 self.fleet.remove_peer_sends(peer);
                 self.quarantine.remove_peer(peer);
             }
@@ -283,7 +283,7 @@
     }
 
     fn configure(&mut self, site: &SiteConfig, now: Instant) {
-        self.retry_budget.begin(now);
+        self.retry_budget.start(now);
         if site.version < self.version {
             return;
         }
@@ -299,9 +299,9 @@
 
     fn apply_server_change(&mut self, change: ServerChange, now: Instant, out: &mut Vec<Effect>) {
         for removed in self.fleet.apply(change, now) {
-            self.load_view.forget_server(removed.key);
-            if let Some(life) = self.fleet.ended_incarnation(removed.key) {
-                self.reservations.forget_at(life.addr);
+            self.load_view.remove_server(removed.key);
+            if let Some(ended) = self.fleet.ended_incarnation(removed.key) {
+                self.reservations.remove_at(ended.addr);
             }
             // The end of a draining server is no evidence about a request.
             if !removed.was_draining {
@@ -339,8 +339,7 @@
     }
 
     fn tick(&mut self, now: Instant, out: &mut Vec<Effect>) {
-        self.load_view
-            .forget_silent_peers(now.before(PEER_WORK_TTL));
+        self.load_view.remove_stale_peers(now.before(PEER_WORK_TTL));
         self.quarantine.tick(now);
         self.probe_servers(now, out);
         self.fleet.remove_ended_limits(now);
--- a/crates/notchwalk_route/src/router/reserving.rs
+++ b/crates/notchwalk_route/src/router/reserving.rs
@@ -4,8 +4,8 @@
 
 use super::Router;
 use crate::{
-    reservations::HOLD, wait_queue::QueuedRequest, Assignment, Effect, FailedReservation, Helper,
-    RequestKey, ReservationOrder, ServerKey,
+    reservations::RESERVATION_TTL, wait_queue::QueuedRequest, Assignment, Effect,
+    FailedReservation, PrefillWorker, RequestKey, ReservationOrder, ServerKey,
 };
 
 impl Router {
@@ -24,28 +24,28 @@
             self.config.name, self.config.seed, self.reservation_number
         );
         // The decoding engine holds a segment too.
-        let decoder = Helper {
+        let decoder = PrefillWorker {
             addr: assignment.addr,
             reservation: None,
         };
-        assignment.helpers.push(decoder);
-        let mut orders = Vec::with_capacity(assignment.helpers.len());
-        for helper in &mut assignment.helpers {
-            helper.reservation = Some(id.clone());
+        assignment.prefill_workers.push(decoder);
+        let mut orders = Vec::with_capacity(assignment.prefill_workers.len());
+        for worker in &mut assignment.prefill_workers {
+            worker.reservation = Some(id.clone());
             orders.push(ReservationOrder {
-                addr: helper.addr,
+                addr: worker.addr,
                 id: id.clone(),
                 tokens: Some(tokens),
-                hold: HOLD,
+                ttl: RESERVATION_TTL,
             });
         }
-        self.reservations.hold(key, &orders, now);
+        self.reservations.add(key, &orders, now);
         for order in &orders {
             self.count_order(order, now);
         }
         if let Some(Some(request)) = self.requests.get_mut(key) {
-            request.reserving = Some(assignment);
-            request.holds = true;
+            request.pending_assignment = Some(assignment);
+            request.holds_reservations = true;
         }
         out.push(Effect::Reserve {
             request: key,
@@ -64,12 +64,12 @@
             // The caller disconnected and the memory was released.
             return;
         };
-        let Some(assignment) = request.reserving.take() else {
+        let Some(assignment) = request.pending_assignment.take() else {
             return;
         };
         // A server may have announced draining or backoff in the meantime.
         let fleet = &self.fleet;
-        let servers = request.helpers.iter().chain(&request.at);
+        let servers = request.prefill_workers.iter().chain(&request.server);
         let is_ready = |&key: &ServerKey| {
             fleet
                 .get(key)
@@ -83,16 +83,18 @@
             return;
         }
         // No server received the request. Retry with other engines.
-        for &server in request.helpers.iter().chain(&request.at) {
+        for &server in request.prefill_workers.iter().chain(&request.server) {
             self.fleet.roll_back_message(server, now);
         }
         request.sends -= 1;
-        request.tried.retain(|server| Some(*server) != request.at);
+        request
+            .attempted
+            .retain(|server| Some(*server) != request.server);
         for engine in failed {
             let Some(server) = self.fleet.by_addr(engine.addr) else {
                 continue;
             };
-            request.tried.push(server);
+            request.attempted.push(server);
             if engine.unreachable {
                 self.fleet.record_unreachable(server, now);
             }
@@ -123,8 +125,9 @@
     ) {
         let requests = self.requests.iter();
         let requests = requests.filter_map(|(key, request)| Some((key, request.as_ref()?)));
-        let unstarted = requests
-            .filter(|(_, request)| request.holds && !request.started && request.at == Some(server));
+        let unstarted = requests.filter(|(_, request)| {
+            request.holds_reservations && !request.started && request.server == Some(server)
+        });
         let unstarted: Vec<RequestKey> = unstarted.map(|(key, _)| key).collect();
         for key in unstarted {
             self.release_reservations(key, now, out);
@@ -137,7 +140,7 @@
         now: Instant,
         out: &mut Vec<Effect>,
     ) {
-        for order in self.reservations.give_back(key, now) {
+        for order in self.reservations.release(key, now) {
             self.send_order(order, now, out);
         }
     }
--- a/crates/notchwalk_route/src/router/sending.rs
+++ b/crates/notchwalk_route/src/router/sending.rs
@@ -7,10 +7,10 @@
 
 use super::{after_ms, Router};
 use crate::{
-    board::{Owner, Work, NO_PAUSE_MS},
+    board::{Owner, Work, DEFAULT_INTER_TOKEN_MS},
     placement::{place_call, Demand, Plan},
     request::Request,
-    Assignment, Effect, Helper, Refusal, RequestFacts, RequestKey, WorkPhase,
+    Assignment, Effect, PrefillWorker, Refusal, RequestFacts, RequestKey, WorkPhase,
 };
 
 /// Default priorities on the server, 0 first.
@@ -29,8 +29,10 @@
     ) {
         let service = self.choose_service(&facts);
         let route = &facts.route.name;
-        let since_first = self.first_attempts.since_first(route, facts.patience);
-        let request = Request::new(facts, since_first, service);
+        let since_first_attempt = self
+            .first_attempts
+            .since_first_attempt(route, facts.caller_timeout);
+        let request = Request::new(facts, since_first_attempt, service);
         if let Some(slot) = self.requests.get_mut(key) {
             *slot = Some(request);
         }
@@ -81,13 +83,13 @@
                 load_view,
                 &request.service,
                 local_domain,
-                &request.tried,
+                &request.attempted,
                 risk,
                 now,
             );
         };
         let demand = self.demand(request, now);
-        placement.place(&request.service, &demand, &request.tried)
+        placement.place(&request.service, &demand, &request.attempted)
     }
 
     pub(super) fn send_planned(
@@ -132,11 +134,11 @@
         let request = self.requests.get_mut(key)?.as_mut()?;
         let server = self.fleet.get(plan.primary.server)?;
         debug_assert!(
-            request.ran_on == 0 || request.may_repeat(),
+            request.started_on == 0 || request.may_repeat(),
             "non-repeatable request sent again after it may have run"
         );
         debug_assert!(
-            request.ran_on < request.facts.route.max_attempts.max(1),
+            request.started_on < request.facts.route.max_attempts.max(1),
             "request sent to more servers than its route allows"
         );
         debug_assert!(
@@ -146,73 +148,75 @@
         self.quarantine.record_send(request.facts.content, now);
         let is_engine = request.facts.prompt_tokens > 0;
         request.sent_at = now;
-        request.predicted_first = after_ms(now, plan.ttft_ms);
-        request.at = Some(plan.primary.server);
-        request.helpers = plan
+        request.predicted_first_event = after_ms(now, plan.ttft_ms);
+        request.server = Some(plan.primary.server);
+        request.prefill_workers = plan
             .prefill_workers
             .iter()
             .map(|worker| worker.server)
             .collect();
-        request.tried.push(plan.primary.server);
+        request.attempted.push(plan.primary.server);
         request.started = false;
         request.sends += 1;
-        let pause = request.facts.route.pause_objective;
-        let pause_ms = pause.map_or(NO_PAUSE_MS, |pause| pause.as_secs_f64() * 1e3);
+        let inter_token = request.facts.route.inter_token_objective;
+        let inter_token_ms = inter_token.map_or(DEFAULT_INTER_TOKEN_MS, |inter_token| {
+            inter_token.as_secs_f64() * 1e3
+        });
         let prompt = f64::from(request.facts.prompt_tokens);
         let reserved = plan.reserve_tokens.map(f64::from);
-        request.holds = false;
+        request.holds_reservations = false;
         let work = Work {
             owner: Owner::Own(key),
             workspace: request.facts.workspace,
             phase: if is_engine {
-                WorkPhase::Reading
+                WorkPhase::Prefill
             } else {
-                WorkPhase::Calling
+                WorkPhase::Call
             },
             context_tokens: reserved.unwrap_or(prompt),
-            pass_tokens: prompt / (plan.prefill_workers.len() + 1) as f64,
-            read_ms: plan.segment_ms,
-            pause_ms,
+            step_tokens: prompt / (plan.prefill_workers.len() + 1) as f64,
+            prefill_ms: plan.segment_ms,
+            inter_token_ms,
             since: now,
-            read_by: after_ms(now, plan.primary.prefill_end_ms),
+            predicted_prefill_end: after_ms(now, plan.primary.prefill_end_ms),
         };
         let assignment = Assignment {
             server: plan.primary.server,
             addr: server.record.addr,
             instance: server.record.instance.clone(),
-            helpers: Vec::new(),
+            prefill_workers: Vec::new(),
             priority: priority(&request.facts),
             deadline: request.facts.deadline,
-            grounds: plan.grounds,
-            resent: request.sends - 1,
-            predicted_first: request.predicted_first.since(now),
-            since_first: request.facts.arrived.since(request.first_tried),
-            first_silence: first_event_timeout(request, now),
-            pause_silence: inter_token_timeout(request),
+            reason: plan.reason,
+            previous_sends: request.sends - 1,
+            predicted_first_event: request.predicted_first_event.since(now),
+            since_first_attempt: request.facts.arrived.since(request.first_attempt_at),
+            first_output_timeout: first_event_timeout(request, now),
+            inter_token_timeout: inter_token_timeout(request),
         };
         self.load_view.add(plan.primary.server, work);
         self.fleet.record_send(plan.primary.server, now);
-        let mut helpers = Vec::with_capacity(plan.prefill_workers.len());
+        let mut workers = Vec::with_capacity(plan.prefill_workers.len());
         for worker in &plan.prefill_workers {
             let Some(server) = self.fleet.get(worker.server) else {
                 continue;
             };
-            helpers.push(Helper {
+            workers.push(PrefillWorker {
                 addr: server.record.addr,
                 reservation: None,
             });
             let segment = Work {
-                phase: WorkPhase::Helping,
+                phase: WorkPhase::RemotePrefill,
                 context_tokens: reserved.unwrap_or(0.0),
-                pass_tokens: reserved.map_or(0.0, |_| work.pass_tokens),
-                read_by: after_ms(now, worker.prefill_end_ms),
+                step_tokens: reserved.map_or(0.0, |_| work.step_tokens),
+                predicted_prefill_end: after_ms(now, worker.prefill_end_ms),
                 ..work
             };
             self.load_view.add(worker.server, segment);
             self.fleet.count_message(worker.server, now);
         }
         Some(Assignment {
-            helpers,
+            prefill_workers: workers,
             ..assignment
         })
     }
@@ -250,7 +254,7 @@
         true => min_timeout * 2,
         false => min_timeout,
     };
-    Some((request.predicted_first.since(now) * 2).max(min_timeout))
+    Some((request.predicted_first_event.since(now) * 2).max(min_timeout))
 }
 
 /// Returns how long a stream may stall before it is resumed on another server.
@@ -260,6 +264,6 @@
     if !request.may_repeat() {
         return None;
     }
-    let pause = request.facts.route.pause_objective?;
-    Some((pause * 4).max(MIN_TIMEOUT))
+    let inter_token = request.facts.route.inter_token_objective?;
+    Some((inter_token * 4).max(MIN_TIMEOUT))
 }
--- a/crates/notchwalk_route/src/router/suspects.rs
+++ b/crates/notchwalk_route/src/router/suspects.rs
@@ -42,7 +42,7 @@
             Verdict::Quarantined { .. } => ContentCheck::Refuse(Refusal::Quarantined),
             Verdict::Held => ContentCheck::Refuse(Refusal::Suspected),
             Verdict::RunningElsewhere
-                if now.since(request.waits_since) < MAX_WAIT_FOR_OTHER_RUN =>
+                if now.since(request.waiting_since) < MAX_WAIT_FOR_OTHER_RUN =>
             {
                 ContentCheck::Wait
             }
@@ -82,7 +82,7 @@
             return;
         };
         let (content, sent_at) = (request.facts.content, request.sent_at);
-        let Some(server) = request.at else {
+        let Some(server) = request.server else {
             return;
         };
         let tag = self.tag(server);
@@ -90,20 +90,26 @@
             end,
             AttemptEnd::Delivered { .. }
                 | AttemptEnd::Failed
-                | AttemptEnd::Unusable
+                | AttemptEnd::InvalidResponse
                 | AttemptEnd::NotRun {
                     at_fault: None,
-                    moved: false
+                    address_reused: false
                 }
         );
         if let Some(tag) = tag.filter(|_| answered) {
             self.quarantine.record_server_alive(tag, sent_at, now);
         }
         match end {
-            AttemptEnd::Delivered { healthy: true } => self.quarantine.record_success(content, now),
-            AttemptEnd::Broken => self.record_crash(key, server, false, now),
-            AttemptEnd::Silent => self.record_crash(key, server, true, now),
-            AttemptEnd::NotConnected | AttemptEnd::NotRun { moved: true, .. } => {
+            AttemptEnd::Delivered { is_success: true } => {
+                self.quarantine.record_success(content, now)
+            }
+            AttemptEnd::ConnectionLost => self.record_crash(key, server, false, now),
+            AttemptEnd::TimedOut => self.record_crash(key, server, true, now),
+            AttemptEnd::NotConnected
+            | AttemptEnd::NotRun {
+                address_reused: true,
+                ..
+            } => {
                 self.quarantine.record_run_ended(content);
                 if let Some(tag) = tag {
                     self.quarantine.record_server_ended(tag, true, now);
@@ -136,12 +142,12 @@
             return;
         };
         let content = request.facts.content;
-        let servers = std::iter::once(&server).chain(&request.helpers);
+        let servers = std::iter::once(&server).chain(&request.prefill_workers);
         let tags: Vec<u32> = servers.filter_map(|&key| self.crashed_tag(key)).collect();
         if tags.is_empty() {
             return self.quarantine.record_run_ended(content);
         }
-        let others = self.load_view.on(server).len().saturating_sub(1);
+        let others = self.load_view.work_on(server).len().saturating_sub(1);
         let others = u16::try_from(others).unwrap_or(u16::MAX);
         self.quarantine
             .record_broken_connection(content, &tags, others, silent, now);
@@ -150,7 +156,7 @@
     /// Returns the short id of a server that may have crashed.
     fn crashed_tag(&self, server: ServerKey) -> Option<u32> {
         let Some(known) = self.fleet.get(server) else {
-            return self.fleet.ended_incarnation(server).map(|life| life.tag);
+            return self.fleet.ended_incarnation(server).map(|ended| ended.tag);
         };
         (!known.is_draining()).then_some(known.tag)
     }
@@ -176,7 +182,8 @@
         let servers = self.fleet.servers_in_use(&request.service, now).iter();
         let is_eligible = |key: &&ServerKey| {
             let server = self.fleet.get(**key);
-            server.is_some_and(|server| server.is_available(now)) && !request.tried.contains(key)
+            server.is_some_and(|server| server.is_available(now))
+                && !request.attempted.contains(key)
         };
         let mut servers: Vec<ServerKey> = servers.filter(is_eligible).copied().collect();
         servers.sort_by_key(|&key| {
@@ -188,7 +195,7 @@
             .min(servers.len());
         let others = servers.split_off(candidates);
         if let Some(Some(request)) = self.requests.get_mut(key) {
-            request.tried.extend(others);
+            request.attempted.extend(others);
         }
     }
 
@@ -214,7 +221,7 @@
     fn is_running(&self, content: Fingerprint) -> bool {
         let requests = self.requests.values().flatten();
         let mut same = requests.filter(|request| request.facts.content == content);
-        same.any(|request| request.at.is_some())
+        same.any(|request| request.server.is_some())
     }
 
     /// Removes a request whose caller disconnected or timed out.
@@ -227,10 +234,10 @@
         let Some(Some(request)) = self.requests.get(key) else {
             return self.remove_request(key, now, out);
         };
-        if request.at.is_some() {
+        if request.server.is_some() {
             self.quarantine.record_run_ended(request.facts.content);
         }
-        if request.reserving.is_some() {
+        if request.pending_assignment.is_some() {
             self.roll_back_sends(key, now);
         }
         self.remove_request(key, now, out);
--- a/crates/notchwalk_route/src/router/waiting.rs
+++ b/crates/notchwalk_route/src/router/waiting.rs
@@ -14,7 +14,7 @@
     placement::{Demand, EnginePlacement, Plan},
     request::Request,
     wait_queue::QueuedRequest,
-    Availability, Effect, Grounds, Refusal, RequestKey,
+    Availability, Effect, PlacementReason, Refusal, RequestKey,
 };
 
 /// Limit on the loss caused to others by a late long prompt, as a fraction of its value.
@@ -99,7 +99,7 @@
         // Don't queue a request if all servers are draining or requested a backoff.
         match self
             .fleet
-            .availability(&request.service, &request.tried, now)
+            .availability(&request.service, &request.attempted, now)
         {
             Availability::Now => {}
             Availability::WithinLimits(first) => {
@@ -144,7 +144,7 @@
         if request.started || !(is_late || is_over_share) {
             return Decision::Send(plan);
         }
-        let spare = placement.place_spare(&request.service, demand, &request.tried);
+        let spare = placement.place_spare(&request.service, demand, &request.attempted);
         if spare.is_some() {
             return Decision::Send(spare);
         }
@@ -196,7 +196,7 @@
         placement: &EnginePlacement<'_>,
         demand: &Demand,
     ) -> Option<Plan> {
-        let (service, excluded) = (&request.service, &request.tried);
+        let (service, excluded) = (&request.service, &request.attempted);
         let left_ms = demand.objective_ms;
         let with_headroom = placement.place_long(service, demand, excluded);
         let with_headroom = with_headroom.filter(|plan| plan.ttft_ms <= left_ms);
@@ -218,7 +218,7 @@
         demand: &Demand,
         now: Instant,
     ) -> Decision {
-        let (service, excluded) = (&request.service, &request.tried);
+        let (service, excluded) = (&request.service, &request.attempted);
         let limit_ms = self.caller_timeout_ms(request, now);
         let exceeds = placement.exceeds_engine(demand);
         let plan = match exceeds {
@@ -251,7 +251,7 @@
         const WORTH_SHARE: f64 = 0.3;
         let left_ms = request.objective_at().since(now).as_secs_f64() * 1e3;
         let mut plan = self.plan(request, now)?;
-        plan.grounds = Grounds::Urgent;
+        plan.reason = PlacementReason::Urgent;
         let is_worthwhile = plan.loss_ms <= WORTH_SHARE * plan.value_ms;
         (plan.ttft_ms <= left_ms && is_worthwhile).then_some(plan)
     }
@@ -260,8 +260,8 @@
     /// milliseconds.
     fn caller_timeout_ms(&self, request: &Request, now: Instant) -> f64 {
         let route = &request.facts.route;
-        let decode_time = route.pause_objective.unwrap_or_default() * LATE_DECODE_INTERVALS;
-        let end = request.patience_end();
+        let decode_time = route.inter_token_objective.unwrap_or_default() * LATE_DECODE_INTERVALS;
+        let end = request.caller_timeout_at();
         let end = end.min(request.facts.deadline.before(decode_time));
         end.since(now).as_secs_f64() * 1e3
     }
--- a/crates/notchwalk_route/src/routes.rs
+++ b/crates/notchwalk_route/src/routes.rs
@@ -64,7 +64,7 @@
             return RouteLookup::NoRoute;
         };
         let workspace = key.and_then(|key| self.by_key.get(key)).cloned();
-        if workspace.is_none() && self.requires_keys && !route.open {
+        if workspace.is_none() && self.requires_keys && !route.is_public {
             return RouteLookup::NoKey;
         }
         RouteLookup::Found {
--- a/crates/notchwalk_route/src/site.rs
+++ b/crates/notchwalk_route/src/site.rs
@@ -23,7 +23,7 @@
     /// It may run any number of times.
     Idempotent,
     /// It may run at most once.
-    Once,
+    AtMostOnce,
     /// It is a stream that may be resumed after the last delivered event.
     Resumable,
 }
@@ -47,13 +47,13 @@
     /// response.
     pub objective: Duration,
     /// Inter-token latency objective: the maximum time between two events.
-    pub pause_objective: Option<Duration>,
+    pub inter_token_objective: Option<Duration>,
     /// Priority; 0 is the highest.
     pub priority: u8,
     /// Maximum number of servers that a request may be sent to.
     pub max_attempts: u32,
     /// Whether callers need no key.
-    pub open: bool,
+    pub is_public: bool,
     /// The services and their weights.
     pub backends: Vec<Backend>,
 }
@@ -86,15 +86,15 @@
     /// Memory capacity, in context tokens.
     pub memory_tokens: u64,
     /// Token steps per engine step while any request decodes.
-    pub steps_per_pass: f64,
+    pub decode_steps_per_engine_step: f64,
     /// Base duration of a token step, in milliseconds.
-    pub step_ms: f64,
+    pub decode_step_ms: f64,
     /// Time added to a token step per decoding request, in milliseconds.
     pub sequence_ms: f64,
     /// Time added to a token step per 1,000 context tokens, in milliseconds.
     pub context_ms_per_k: f64,
     /// Prefill throughput, in prompt tokens per millisecond.
-    pub read_tokens_per_ms: f64,
+    pub prefill_tokens_per_ms: f64,
     /// Attention cost of prefill, in milliseconds per million pairs of a prompt token and an
     /// earlier one.
     pub pair_ms_per_million: f64,
--- a/crates/notchwalk_route/tests/decisions/common.rs
+++ b/crates/notchwalk_route/tests/decisions/common.rs
@@ -18,11 +18,11 @@
     EngineParameters {
         slots: 16,
         memory_tokens: 315_000,
-        steps_per_pass: 51.0,
-        step_ms: 0.85,
+        decode_steps_per_engine_step: 51.0,
+        decode_step_ms: 0.85,
         sequence_ms: 0.00425,
         context_ms_per_k: 0.00285,
-        read_tokens_per_ms: 177.0,
+        prefill_tokens_per_ms: 177.0,
         pair_ms_per_million: 0.184,
         chunk_tokens: 2_048,
         hop_ms: 0.05,
@@ -39,10 +39,10 @@
         repeatability,
         timeout: Duration::from_secs(10),
         objective: Duration::from_millis(300),
-        pause_objective: streaming.then_some(Duration::from_millis(250)),
+        inter_token_objective: streaming.then_some(Duration::from_millis(250)),
         priority: 1,
         max_attempts: 2,
-        open: false,
+        is_public: false,
         backends: vec![Backend {
             service: service.to_owned(),
             weight: 1,
@@ -53,7 +53,7 @@
 pub fn site() -> SiteConfig {
     let long = Route {
         objective: Duration::from_secs(3),
-        pause_objective: Some(Duration::from_secs(1)),
+        inter_token_objective: Some(Duration::from_secs(1)),
         timeout: Duration::from_secs(15),
         ..route("/long/", ENGINES, Repeatability::Resumable)
     };
@@ -68,7 +68,7 @@
             route("/short/", ENGINES, Repeatability::Resumable),
             route("/short/special/", DESK, Repeatability::Idempotent),
             long,
-            route("/once/", DESK, Repeatability::Once),
+            route("/once/", DESK, Repeatability::AtMostOnce),
             route("/again/", DESK, Repeatability::Idempotent),
         ],
         services: vec![service(ENGINES, Some(parameters())), service(DESK, None)],
@@ -180,23 +180,23 @@
         self.arrive_again(path, prompt_tokens, Duration::ZERO)
     }
 
-    /// Sends a request of a caller whose first attempt was `since_first` ago.
+    /// Sends a request of a caller whose first attempt was `since_first_attempt` ago.
     pub fn arrive_again(
         &mut self,
         path: &str,
         prompt_tokens: u32,
-        since_first: Duration,
+        since_first_attempt: Duration,
     ) -> RequestKey {
         let route = self.route(path);
-        let patience = route.timeout - since_first;
+        let caller_timeout = route.timeout - since_first_attempt;
         self.arrivals += 1;
         let default_content = content(&self.arrivals.to_string());
         let facts = RequestFacts {
             workspace: self.workspace,
             workspace_priority: 0,
             arrived: self.now,
-            patience,
-            deadline: self.now.after(patience),
+            caller_timeout,
+            deadline: self.now.after(caller_timeout),
             prompt_tokens,
             answer_tokens: 800,
             route,
--- a/crates/notchwalk_route/tests/decisions/leaving.rs
+++ b/crates/notchwalk_route/tests/decisions/leaving.rs
@@ -90,7 +90,7 @@
     rig.step(Event::Started { request: served });
     rig.pass(Duration::from_millis(800));
     for request in waiting {
-        rig.end(request, AttemptEnd::Silent);
+        rig.end(request, AttemptEnd::TimedOut);
     }
     let is_ejection = |effect: &Effect| matches!(effect, Effect::Ejected { .. });
     assert!(!rig.effects.iter().any(is_ejection));
@@ -102,7 +102,7 @@
     let requests: Vec<_> = (0..3).map(|_| rig.arrive("/short/", 3_000)).collect();
     rig.pass(Duration::from_millis(1_600));
     for request in requests {
-        rig.end(request, AttemptEnd::Silent);
+        rig.end(request, AttemptEnd::TimedOut);
     }
     let is_ejection = |effect: &Effect| matches!(effect, Effect::Ejected { .. });
     assert!(rig.effects.iter().any(is_ejection));
--- a/crates/notchwalk_route/tests/decisions/limits.rs
+++ b/crates/notchwalk_route/tests/decisions/limits.rs
@@ -50,7 +50,7 @@
 fn spend(rig: &mut Rig, path: &str, tokens: u32, servers: usize) {
     for _ in 0..servers {
         let request = rig.arrive(path, tokens);
-        rig.end(request, AttemptEnd::Delivered { healthy: true });
+        rig.end(request, AttemptEnd::Delivered { is_success: true });
     }
     assert_eq!(rig.sends().len(), servers);
 }
@@ -100,7 +100,7 @@
         rig.step(Event::Started { request });
     }
     let failed_at = rig.now;
-    rig.end(request, AttemptEnd::Broken);
+    rig.end(request, AttemptEnd::ConnectionLost);
     while rig.sends().is_empty() {
         assert!(
             rig.now.since(failed_at) < 5 * SECOND,
@@ -133,12 +133,12 @@
     rig.pass(5 * SECOND);
     rig.arrive("/long/", 154_000);
     let to = rig.only_send();
-    assert!(!to.helpers.is_empty(), "the prompt is not split");
+    assert!(!to.prefill_workers.is_empty(), "the prompt is not split");
     let limited: Vec<_> = (0..12).map(|n| record(ENGINES, n).addr).collect();
     assert!(to
-        .helpers
+        .prefill_workers
         .iter()
-        .all(|helper| !limited.contains(&helper.addr)));
+        .all(|worker| !limited.contains(&worker.addr)));
 }
 
 #[test]
@@ -387,7 +387,7 @@
             .filter(|(_, to)| to.instance == "desk-0")
             .count();
         for request in calls {
-            rig.end(request, AttemptEnd::Delivered { healthy: true });
+            rig.end(request, AttemptEnd::Delivered { is_success: true });
         }
     }
     assert!((2..=3).contains(&probes), "{probes} probes in 15 s");
@@ -450,13 +450,13 @@
             let failed = to.server == server;
             probes += usize::from(failed);
             let end = match failed {
-                true => AttemptEnd::Broken,
-                false => AttemptEnd::Delivered { healthy: true },
+                true => AttemptEnd::ConnectionLost,
+                false => AttemptEnd::Delivered { is_success: true },
             };
             rig.end(request, end);
         }
         for request in calls {
-            rig.end(request, AttemptEnd::Delivered { healthy: true });
+            rig.end(request, AttemptEnd::Delivered { is_success: true });
         }
         rig.sends();
     }
@@ -517,7 +517,7 @@
             .filter(|(_, to)| to.instance == "desk-0")
             .count();
         for request in calls {
-            rig.end(request, AttemptEnd::Delivered { healthy: true });
+            rig.end(request, AttemptEnd::Delivered { is_success: true });
         }
     }
     // Of 180 in 6 s.
@@ -532,7 +532,7 @@
     for _ in 0..800 {
         rig.pass(Duration::from_millis(15));
         let request = rig.arrive("/again/", 0);
-        rig.end(request, AttemptEnd::Delivered { healthy: true });
+        rig.end(request, AttemptEnd::Delivered { is_success: true });
     }
     let server = key(&rig, DESK, 0);
     let reports = rig.effects.iter();
--- a/crates/notchwalk_route/tests/decisions/placement.rs
+++ b/crates/notchwalk_route/tests/decisions/placement.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use notchwalk_route::{Assignment, AttemptEnd, Event, Grounds, RequestKey};
+use notchwalk_route::{Assignment, AttemptEnd, Event, PlacementReason, RequestKey};
 
 use crate::common::{tally, Rig};
 
-const DELIVERED: AttemptEnd = AttemptEnd::Delivered { healthy: true };
+const DELIVERED: AttemptEnd = AttemptEnd::Delivered { is_success: true };
 
 #[test]
 fn short_requests_do_not_exceed_engine_slots() {
@@ -35,16 +35,23 @@
     let mut rig = Rig::new();
     rig.arrive("/long/", 150_000);
     let to = rig.only_send();
-    assert!(to.helpers.len() >= 4, "{}", to.helpers.len());
-    assert_eq!(to.grounds, Grounds::Room);
-    assert!(to.helpers.iter().all(|helper| helper.addr != to.addr));
+    assert!(
+        to.prefill_workers.len() >= 4,
+        "{}",
+        to.prefill_workers.len()
+    );
+    assert_eq!(to.reason, PlacementReason::Room);
+    assert!(to
+        .prefill_workers
+        .iter()
+        .all(|worker| worker.addr != to.addr));
 }
 
 #[test]
 fn short_prompt_is_not_split() {
     let mut rig = Rig::new();
     rig.arrive("/short/", 5_000);
-    assert!(rig.only_send().helpers.is_empty());
+    assert!(rig.only_send().prefill_workers.is_empty());
 }
 
 #[test]
@@ -113,7 +120,7 @@
     first.tell(&mut second, 1);
     let occupied = |rig: &Rig| -> usize {
         let servers = rig.router.fleet().iter();
-        let loads = servers.map(|(key, _)| rig.router.board().load(key, rig.now).occupied());
+        let loads = servers.map(|(key, _)| rig.router.load_view().load(key, rig.now).occupied());
         loads.sum()
     };
     let sent = first.sends().len();
@@ -157,9 +164,9 @@
     rig.end(short, DELIVERED);
     rig.step(Event::Abandoned { request: long });
     for (key, server) in rig.router.fleet().iter() {
-        let load = rig.router.board().load(key, rig.now);
+        let load = rig.router.load_view().load(key, rig.now);
         assert_eq!(
-            load.occupied() + load.helping,
+            load.occupied() + load.prefill_parts,
             0,
             "{}",
             server.record.instance
@@ -214,8 +221,12 @@
     }
     assert_eq!(sends.len(), 1);
     let to = &sends[0].1;
-    assert_eq!(to.grounds, Grounds::Late);
-    assert!(to.helpers.len() <= 2, "{}", to.helpers.len());
+    assert_eq!(to.reason, PlacementReason::Late);
+    assert!(
+        to.prefill_workers.len() <= 2,
+        "{}",
+        to.prefill_workers.len()
+    );
 }
 
 /// Engines prefill the newest segment first, so further segments would delay the first
@@ -225,13 +236,20 @@
     let mut rig = Rig::named("entry-1", 18);
     rig.arrive("/long/", 250_000);
     let first = rig.only_send();
-    let prefilling: Vec<_> = first.helpers.iter().map(|helper| helper.addr).collect();
+    let prefilling: Vec<_> = first
+        .prefill_workers
+        .iter()
+        .map(|worker| worker.addr)
+        .collect();
     for tokens in [120_000, 150_000, 90_000, 200_000] {
         rig.arrive("/long/", tokens);
     }
     for (_, to) in rig.sends() {
-        let mut helpers = to.helpers.iter();
-        assert!(!helpers.any(|helper| prefilling.contains(&helper.addr)));
-        assert!(to.helpers.iter().all(|helper| helper.addr != first.addr));
+        let mut workers = to.prefill_workers.iter();
+        assert!(!workers.any(|worker| prefilling.contains(&worker.addr)));
+        assert!(to
+            .prefill_workers
+            .iter()
+            .all(|worker| worker.addr != first.addr));
     }
 }
--- a/crates/notchwalk_route/tests/decisions/random_runs.rs
+++ b/crates/notchwalk_route/tests/decisions/random_runs.rs
@@ -138,7 +138,7 @@
             self.rig.now >= until,
             "sent to a server that is backing off"
         );
-        assert!(to.helpers.len() <= 17);
+        assert!(to.prefill_workers.len() <= 17);
         let (state, repeatability, attempts) =
             self.states.get_mut(&request).expect("request arrived");
         assert!(!state.ended, "sent after the request ended");
@@ -147,7 +147,7 @@
             "two concurrent sends of a request"
         );
         assert!(
-            state.may_have_run == 0 || *repeatability != Repeatability::Once,
+            state.may_have_run == 0 || *repeatability != Repeatability::AtMostOnce,
             "non-repeatable request sent again after it may have run"
         );
         assert!(
@@ -306,17 +306,17 @@
             0 => AttemptEnd::NotConnected,
             1 => AttemptEnd::NotRun {
                 at_fault: None,
-                moved: true,
+                address_reused: true,
             },
             2 => AttemptEnd::NotRun {
                 at_fault: None,
-                moved: false,
+                address_reused: false,
             },
             3 => AttemptEnd::Failed,
-            4 => AttemptEnd::Broken,
-            _ => AttemptEnd::Delivered { healthy: true },
+            4 => AttemptEnd::ConnectionLost,
+            _ => AttemptEnd::Delivered { is_success: true },
         };
-        if matches!(end, AttemptEnd::Failed | AttemptEnd::Broken) {
+        if matches!(end, AttemptEnd::Failed | AttemptEnd::ConnectionLost) {
             state.may_have_run += 1;
         }
         state.reached = end != AttemptEnd::NotConnected;
@@ -335,13 +335,13 @@
         drop(servers);
         let work = PeerWork {
             server: tag,
-            phase: WorkPhase::Writing,
+            phase: WorkPhase::Decode,
             context_tokens: 5_000,
-            pass_tokens: 5_000,
-            read_ms: 30,
-            pause_ms: 250,
+            step_tokens: 5_000,
+            prefill_ms: 30,
+            inter_token_ms: 250,
             age_ms: 100,
-            reading_ms: 60,
+            predicted_prefill_ms: 60,
             workspace: 0,
         };
         self.rig.step(Event::PeerWork {
@@ -363,8 +363,8 @@
         assert_eq!(self.rig.router.reservations(), 0);
         assert_eq!(self.rig.router.queued_work().0, 0);
         for (key, server) in self.rig.router.fleet().iter() {
-            let load = self.rig.router.board().load(key, self.rig.now);
-            let left = load.occupied() + load.helping;
+            let load = self.rig.router.load_view().load(key, self.rig.now);
+            let left = load.occupied() + load.prefill_parts;
             assert_eq!(left, 0, "{} still has work", server.record.instance);
             assert_eq!(load.context_tokens, 0.0);
         }
--- a/crates/notchwalk_route/tests/decisions/reservations.rs
+++ b/crates/notchwalk_route/tests/decisions/reservations.rs
@@ -61,11 +61,14 @@
     finish_reservation(&mut rig, request, true);
     let to = rig.only_send();
     let reserved_engines = to
-        .helpers
+        .prefill_workers
         .iter()
-        .filter(|helper| helper.reservation.is_some());
+        .filter(|worker| worker.reservation.is_some());
     assert_eq!(reserved_engines.count(), placed.len());
-    assert!(to.helpers.iter().any(|helper| helper.addr == to.addr));
+    assert!(to
+        .prefill_workers
+        .iter()
+        .any(|worker| worker.addr == to.addr));
 }
 
 /// Engines reject requests that name more than 16 engines, the decoding engine's own
@@ -79,16 +82,16 @@
             continue;
         }
         finish_reservation(&mut rig, request, true);
-        assert!(rig.only_send().helpers.len() <= 16);
+        assert!(rig.only_send().prefill_workers.len() <= 16);
     }
 }
 
 #[test]
 fn memory_is_released_on_every_request_end() {
     let ends: [fn(&mut Rig, RequestKey); 3] = [
-        |rig, request| rig.end(request, AttemptEnd::Delivered { healthy: true }),
+        |rig, request| rig.end(request, AttemptEnd::Delivered { is_success: true }),
         |rig, request| rig.step(Event::Abandoned { request }),
-        |rig, request| rig.end(request, AttemptEnd::Broken),
+        |rig, request| rig.end(request, AttemptEnd::ConnectionLost),
     ];
     for end in ends {
         let mut rig = Rig::new();
@@ -118,7 +121,7 @@
     let request = rig.arrive("/long/", OVERSIZED);
     let placed = take_reservations(&mut rig);
     finish_reservation(&mut rig, request, true);
-    let hold = placed[0].hold;
+    let hold = placed[0].ttl;
     let mut renewed = 0;
     let mut passed = Duration::ZERO;
     while passed < hold {
@@ -138,7 +141,7 @@
     let mut rig = Rig::new();
     rig.arrive("/long/", OVERSIZED);
     for order in take_reservations(&mut rig) {
-        assert!(order.hold < Duration::from_millis(4_000));
+        assert!(order.ttl < Duration::from_millis(4_000));
     }
 }
 
@@ -181,7 +184,7 @@
     let request = rig.arrive("/long/", OVERSIZED);
     take_reservations(&mut rig);
     finish_reservation(&mut rig, request, true);
-    rig.end(request, AttemptEnd::Delivered { healthy: true });
+    rig.end(request, AttemptEnd::Delivered { is_success: true });
     take_orders(&mut rig);
     rig.pass(Duration::from_millis(2_000));
     assert!(take_orders(&mut rig).is_empty());
@@ -198,7 +201,7 @@
             let orders = take_reservations(&mut rig);
             assert!(ids.insert(orders[0].id.clone()));
             finish_reservation(&mut rig, request, true);
-            rig.end(request, AttemptEnd::Delivered { healthy: true });
+            rig.end(request, AttemptEnd::Delivered { is_success: true });
         }
     }
 }
@@ -318,7 +321,7 @@
         renewed.iter().all(|order| order.tokens.is_none()),
         "{renewed:?}"
     );
-    rig.end(request, AttemptEnd::Broken);
+    rig.end(request, AttemptEnd::ConnectionLost);
     assert_eq!(take_released(&mut rig).len(), placed);
 }
 
--- a/crates/notchwalk_route/tests/decisions/retries.rs
+++ b/crates/notchwalk_route/tests/decisions/retries.rs
@@ -11,7 +11,7 @@
 
 const REJECTED: AttemptEnd = AttemptEnd::NotRun {
     at_fault: None,
-    moved: false,
+    address_reused: false,
 };
 
 #[test]
@@ -19,7 +19,7 @@
     let mut rig = Rig::new();
     let request = rig.arrive("/once/", 0);
     rig.only_send();
-    rig.end(request, AttemptEnd::Broken);
+    rig.end(request, AttemptEnd::ConnectionLost);
     assert!(rig.sends().is_empty());
     assert_eq!(rig.refusals(), [Refusal::Unknown]);
 }
@@ -31,7 +31,7 @@
     let first = rig.only_send().instance;
     rig.end(request, REJECTED);
     assert_ne!(rig.only_send().instance, first);
-    rig.end(request, AttemptEnd::Broken);
+    rig.end(request, AttemptEnd::ConnectionLost);
     assert!(rig.sends().is_empty());
     assert_eq!(rig.refusals(), [Refusal::Unknown]);
 }
@@ -52,9 +52,9 @@
     let mut rig = Rig::new();
     let request = rig.arrive("/again/", 0);
     rig.only_send();
-    rig.end(request, AttemptEnd::Broken);
+    rig.end(request, AttemptEnd::ConnectionLost);
     rig.only_send();
-    rig.end(request, AttemptEnd::Broken);
+    rig.end(request, AttemptEnd::ConnectionLost);
     assert!(rig.sends().is_empty());
     assert_eq!(rig.refusals(), [Refusal::Unknown]);
 }
@@ -76,12 +76,12 @@
     let mut rig = Rig::new();
     let request = rig.arrive("/short/", 3_000);
     rig.only_send();
-    assert!(rig.router.may_try_another(request, rig.now));
-    rig.end(request, AttemptEnd::Broken);
+    assert!(rig.router.may_retry_elsewhere(request, rig.now));
+    rig.end(request, AttemptEnd::ConnectionLost);
     rig.only_send();
-    assert!(!rig.router.may_try_another(request, rig.now));
+    assert!(!rig.router.may_retry_elsewhere(request, rig.now));
     let once = rig.arrive("/once/", 0);
-    assert!(!rig.router.may_try_another(once, rig.now));
+    assert!(!rig.router.may_retry_elsewhere(once, rig.now));
 }
 
 /// Guards against a budget query that counts sends outside the window.
@@ -92,9 +92,9 @@
     for _ in 0..100 {
         budget.record_first_attempt(rig.now);
     }
-    assert!(budget.has_left(rig.now, Some(1)));
+    assert!(budget.allows_retry(rig.now, Some(1)));
     rig.now = rig.now.after(Duration::from_secs(11));
-    assert!(!budget.has_left(rig.now, Some(1)));
+    assert!(!budget.allows_retry(rig.now, Some(1)));
 }
 
 /// Guards against cancelling a slow attempt when no other engine is available.
@@ -104,7 +104,7 @@
     for (path, tokens) in [("/short/", 3_000), ("/long/", 90_000)] {
         let request = rig.arrive(path, tokens);
         rig.only_send();
-        assert!(!rig.router.may_try_another(request, rig.now), "{path}");
+        assert!(!rig.router.may_retry_elsewhere(request, rig.now), "{path}");
     }
 }
 
@@ -132,7 +132,7 @@
     let request = rig.arrive("/again/", 0);
     rig.only_send();
     rig.pass(Duration::from_millis(9_990));
-    rig.end(request, AttemptEnd::Broken);
+    rig.end(request, AttemptEnd::ConnectionLost);
     assert!(rig.sends().is_empty());
 }
 
@@ -141,17 +141,17 @@
 fn prefill_worker_that_rejected_a_segment_is_not_chosen_again() {
     let mut rig = Rig::new();
     let request = rig.arrive("/long/", 150_000);
-    let worker = rig.only_send().helpers[0].addr;
+    let worker = rig.only_send().prefill_workers[0].addr;
     rig.end(
         request,
         AttemptEnd::NotRun {
             at_fault: Some(worker),
-            moved: false,
+            address_reused: false,
         },
     );
     let uses_worker = |to: &Assignment| {
-        let mut helpers = to.helpers.iter();
-        to.addr == worker || helpers.any(|other| other.addr == worker)
+        let mut workers = to.prefill_workers.iter();
+        to.addr == worker || workers.any(|other| other.addr == worker)
     };
     assert!(!uses_worker(&rig.only_send()));
     rig.arrive("/long/", 100_000);
@@ -163,7 +163,7 @@
 fn long_prompt_times_out_after_twice_its_objective() {
     let mut rig = Rig::new();
     rig.arrive("/long/", 90_000);
-    let timeout = rig.only_send().first_silence;
+    let timeout = rig.only_send().first_output_timeout;
     assert!(timeout >= Some(Duration::from_secs(6)), "{timeout:?}");
 }
 
@@ -179,7 +179,7 @@
     let request = rig.arrive("/long/", 250_000);
     for _ in 0..6 {
         let to = rig.only_send();
-        let mut named = to.helpers.iter().map(|helper| helper.addr);
+        let mut named = to.prefill_workers.iter().map(|worker| worker.addr);
         let at_fault = match is_down(to.addr) {
             true => Some(to.addr),
             false => named.find(|&addr| is_down(addr)),
@@ -188,7 +188,13 @@
             return;
         }
         let moved = false;
-        rig.end(request, AttemptEnd::NotRun { at_fault, moved });
+        rig.end(
+            request,
+            AttemptEnd::NotRun {
+                at_fault,
+                address_reused: moved,
+            },
+        );
         assert_eq!(rig.refusals(), []);
     }
     panic!("every send named an unreachable engine");
--- a/crates/notchwalk_route/tests/decisions/routes.rs
+++ b/crates/notchwalk_route/tests/decisions/routes.rs
@@ -36,7 +36,9 @@
     assert!(matches!(lookup(&rig, Some("other")), RouteLookup::NoKey));
     let mut site = site();
     site.version = 2;
-    site.routes.iter_mut().for_each(|route| route.open = true);
+    site.routes
+        .iter_mut()
+        .for_each(|route| route.is_public = true);
     rig.step(notchwalk_route::Event::Configured(site));
     assert!(matches!(
         lookup(&rig, None),
--- a/crates/notchwalk_route/tests/decisions/server_words.rs
+++ b/crates/notchwalk_route/tests/decisions/server_words.rs
@@ -22,7 +22,7 @@
     let calls: Vec<_> = (0..30).map(|_| rig.arrive("/again/", 0)).collect();
     let used = rig.sends().iter().any(|(_, to)| to.instance == instance);
     for request in calls {
-        rig.end(request, AttemptEnd::Delivered { healthy: true });
+        rig.end(request, AttemptEnd::Delivered { is_success: true });
     }
     used
 }
@@ -55,7 +55,7 @@
         others.reverse();
     }
     announce_draining(&mut rig, service, [others[0]]);
-    rig.end(request, AttemptEnd::Broken);
+    rig.end(request, AttemptEnd::ConnectionLost);
     (
         rig.only_send().instance,
         record(service, others[1]).instance,
@@ -84,8 +84,8 @@
     announce_draining(&mut rig, ENGINES, 0..12);
     rig.arrive("/long/", 154_000);
     let to = rig.only_send();
-    assert!(!to.helpers.is_empty(), "the prompt is not split");
-    let addrs = to.helpers.iter().map(|helper| helper.addr);
+    assert!(!to.prefill_workers.is_empty(), "the prompt is not split");
+    let addrs = to.prefill_workers.iter().map(|worker| worker.addr);
     let draining: Vec<_> = (0..12).map(|n| record(ENGINES, n).addr).collect();
     assert!(addrs.chain([to.addr]).all(|addr| !draining.contains(&addr)));
 }
@@ -264,8 +264,8 @@
         let calls: Vec<_> = (0..30).map(|_| rig.arrive("/again/", 0)).collect();
         for (request, to) in rig.sends() {
             let end = match to.server == failing {
-                true => AttemptEnd::Broken,
-                false => AttemptEnd::Delivered { healthy: true },
+                true => AttemptEnd::ConnectionLost,
+                false => AttemptEnd::Delivered { is_success: true },
             };
             rig.end(request, end);
         }
@@ -294,7 +294,7 @@
         let sends = rig.sends();
         let broken = sends.iter().find(|(_, to)| to.server == failing);
         let (broken, _) = broken.expect("the server is not used");
-        rig.end(*broken, AttemptEnd::Broken);
+        rig.end(*broken, AttemptEnd::ConnectionLost);
         for request in calls {
             rig.step(Event::Abandoned { request });
         }
@@ -317,7 +317,7 @@
         let calls: Vec<_> = (0..30).map(|_| rig.arrive("/again/", 0)).collect();
         for (request, to) in rig.sends() {
             if to.server == failing {
-                rig.end(request, AttemptEnd::Broken);
+                rig.end(request, AttemptEnd::ConnectionLost);
             }
         }
         for request in calls {
@@ -355,7 +355,7 @@
         .filter(|(_, to)| to.server == failing)
         .collect();
     assert_eq!(there.len(), 1);
-    rig.end(there[0].0, AttemptEnd::Delivered { healthy: true });
+    rig.end(there[0].0, AttemptEnd::Delivered { is_success: true });
     let _calls: Vec<_> = (0..30).map(|_| rig.arrive("/again/", 0)).collect();
     let sends = rig.sends();
     let there = sends.iter().filter(|(_, to)| to.server == failing);
--- a/crates/notchwalk_route/tests/decisions/shares.rs
+++ b/crates/notchwalk_route/tests/decisions/shares.rs
@@ -56,7 +56,7 @@
         for (key, to) in rig.sends() {
             let counts = counts.entry(workspace_of[&key]).or_default();
             counts.sent += 1;
-            counts.in_time += usize::from(to.predicted_first <= OBJECTIVE);
+            counts.in_time += usize::from(to.predicted_first_event <= OBJECTIVE);
             rig.step(Event::Started { request: key });
             sends += 1;
             running.push((rig.now.after(response_time(sends)), key));
@@ -66,7 +66,7 @@
         let ended: Vec<RequestKey> = ended.map(|(_, key)| *key).collect();
         running.retain(|(at, _)| *at > now);
         for key in ended {
-            rig.end(key, AttemptEnd::Delivered { healthy: true });
+            rig.end(key, AttemptEnd::Delivered { is_success: true });
         }
         rig.effects.retain(|e| !matches!(e, Effect::Order(_)));
     }
--- a/crates/notchwalk_route/tests/decisions/suspects.rs
+++ b/crates/notchwalk_route/tests/decisions/suspects.rs
@@ -12,7 +12,7 @@
 
 const MOVED: AttemptEnd = AttemptEnd::NotRun {
     at_fault: None,
-    moved: true,
+    address_reused: true,
 };
 
 fn crashing_content() -> Fingerprint {
@@ -49,7 +49,7 @@
             let Some((_, to)) = sends.pop() else { break };
             crashes += 1;
             rig.pass(Duration::from_millis(120));
-            rig.end(request, AttemptEnd::Broken);
+            rig.end(request, AttemptEnd::ConnectionLost);
             remove_server(rig, &to.instance);
             rig.pass(Duration::from_millis(30));
         }
@@ -115,7 +115,7 @@
     }];
     rig.step(Event::QuarantineUpdates { peer: 1, updates });
     rig.pass(Duration::from_millis(50));
-    rig.end(request, AttemptEnd::Broken);
+    rig.end(request, AttemptEnd::ConnectionLost);
     assert!(rig.sends().is_empty());
     assert_eq!(rig.refusals(), [Refusal::Quarantined]);
 }
@@ -131,7 +131,7 @@
     let first = arrive(&mut rig, "/short/", 3_000, crashing_content());
     let at_first = rig.only_send().instance;
     rig.pass(Duration::from_millis(100));
-    rig.end(first, AttemptEnd::Broken);
+    rig.end(first, AttemptEnd::ConnectionLost);
     let at_second = rig.only_send().instance;
     let running_on = |instance: &String| others.get(instance).copied().unwrap_or(0);
     let (more, fewer) = (running_on(&at_first), running_on(&at_second));
@@ -141,7 +141,7 @@
     );
     remove_server(&mut rig, &at_first);
     rig.pass(Duration::from_millis(100));
-    rig.end(first, AttemptEnd::Broken);
+    rig.end(first, AttemptEnd::ConnectionLost);
     remove_server(&mut rig, &at_second);
     arrive(&mut rig, "/short/", 3_000, crashing_content());
     let at_third = rig.only_send().instance;
@@ -158,13 +158,13 @@
     let mut rig = Rig::new();
     let request = arrive(&mut rig, "/long/", 150_000, crashing_content());
     let first = rig.only_send();
-    assert!(!first.helpers.is_empty());
+    assert!(!first.prefill_workers.is_empty());
     rig.pass(Duration::from_millis(500));
-    rig.end(request, AttemptEnd::Broken);
+    rig.end(request, AttemptEnd::ConnectionLost);
     remove_server(&mut rig, &first.instance);
     rig.pass(Duration::from_millis(200));
     let second = rig.only_send();
-    assert!(second.helpers.is_empty(), "{second:?}");
+    assert!(second.prefill_workers.is_empty(), "{second:?}");
 }
 
 /// The crashed engine is identified by its deregistration.
@@ -177,12 +177,12 @@
         let mut sends = rig.sends();
         let Some((_, to)) = sends.pop() else { break };
         lost += 1;
-        let crashed = match to.helpers.first() {
-            Some(helper) => {
+        let crashed = match to.prefill_workers.first() {
+            Some(worker) => {
                 let key = rig
                     .router
                     .fleet()
-                    .by_addr(helper.addr)
+                    .by_addr(worker.addr)
                     .expect("server is registered");
                 let server = rig.router.fleet().get(key).expect("server is registered");
                 server.record.instance.clone()
@@ -190,7 +190,7 @@
             None => to.instance.clone(),
         };
         rig.pass(Duration::from_millis(700));
-        rig.end(request, AttemptEnd::Broken);
+        rig.end(request, AttemptEnd::ConnectionLost);
         rig.sends();
         remove_server(&mut rig, &crashed);
         rig.step(Event::Abandoned { request });
@@ -221,7 +221,7 @@
             remove_server(&mut rig, &instance);
         }
         rig.pass(Duration::from_millis(300));
-        rig.end(request, AttemptEnd::Broken);
+        rig.end(request, AttemptEnd::ConnectionLost);
         remove_server(&mut rig, &instance);
         rig.step(Event::Abandoned { request });
         rig.effects.clear();
@@ -239,7 +239,7 @@
         let request = arrive(&mut rig, "/again/", 0, crashing_content());
         while !rig.sends().is_empty() {
             rig.pass(Duration::from_millis(100));
-            rig.end(request, AttemptEnd::Unusable);
+            rig.end(request, AttemptEnd::InvalidResponse);
         }
         rig.pass(Duration::from_secs(2));
     }
@@ -272,7 +272,7 @@
         let restarted = desk(number, 10 + round);
         rig.step(Event::Servers(ServerChange::Registered(restarted)));
         rig.pass(Duration::from_millis(20));
-        rig.end(request, AttemptEnd::Broken);
+        rig.end(request, AttemptEnd::ConnectionLost);
         rig.sends();
         rig.step(Event::Abandoned { request });
         rig.pass(Duration::from_millis(200));
@@ -313,7 +313,7 @@
         .expect("server is registered");
     assert!(server.is_available(rig.now));
     assert_eq!(server.failure_rate(rig.now), 0.0);
-    let load = rig.router.board().load(key, rig.now);
+    let load = rig.router.load_view().load(key, rig.now);
     assert_eq!(load.occupied(), 0);
     drop(servers);
     // Registering the same incarnation again keeps its key.
@@ -342,13 +342,13 @@
         let request = arrive(&mut rig, "/once/", 0, crashing_content());
         seen.extend(rig.sends().into_iter().map(|(_, to)| to.instance));
         rig.pass(Duration::from_millis(60));
-        rig.end(request, AttemptEnd::Broken);
+        rig.end(request, AttemptEnd::ConnectionLost);
         rig.effects.clear();
         rig.pass(Duration::from_millis(60));
     }
     rig.pass(Duration::from_millis(100));
     for other in others {
-        rig.end(other, AttemptEnd::Delivered { healthy: true });
+        rig.end(other, AttemptEnd::Delivered { is_success: true });
     }
     let verdict = rig.router.quarantine().verdict(crashing_content(), rig.now);
     assert_eq!(verdict, Verdict::Allowed, "{seen:?}");
@@ -361,7 +361,7 @@
         let request = arrive(&mut rig, "/once/", 0, crashing_content());
         let instance = rig.only_send().instance;
         rig.pass(Duration::from_millis(100));
-        rig.end(request, AttemptEnd::Broken);
+        rig.end(request, AttemptEnd::ConnectionLost);
         rig.effects.clear();
         rig.pass(Duration::from_millis(200));
         // Another request finds a different instance at the address.
@@ -416,7 +416,7 @@
             let to = rig.only_send();
             servers.push(to.instance);
             rig.pass(Duration::from_millis(100));
-            rig.end(request, AttemptEnd::Broken);
+            rig.end(request, AttemptEnd::ConnectionLost);
         }
     }
     let next: Vec<&String> = servers.iter().map(|servers| &servers[1]).collect();
--- a/crates/notchwalk_route/tests/decisions/waiting.rs
+++ b/crates/notchwalk_route/tests/decisions/waiting.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use notchwalk_route::{Assignment, AttemptEnd, Grounds, Refusal, RequestKey};
+use notchwalk_route::{Assignment, AttemptEnd, PlacementReason, Refusal, RequestKey};
 
 use crate::common::Rig;
 
@@ -38,7 +38,7 @@
     }
     let sends = rig.sends();
     let first_sends = sends.iter().filter(|(key, _)| first_attempts.contains(key));
-    let in_time = first_sends.filter(|(_, to)| to.predicted_first <= OBJECTIVE);
+    let in_time = first_sends.filter(|(_, to)| to.predicted_first_event <= OBJECTIVE);
     assert_eq!(in_time.count(), first_attempts.len());
 }
 
@@ -57,18 +57,18 @@
 fn few_long_caller_timeouts_do_not_mark_other_requests_late() {
     let mut rig = Rig::named("entry-1", 18);
     for number in 0..40 {
-        let since_first = if number % 20 == 0 {
+        let since_first_attempt = if number % 20 == 0 {
             Duration::ZERO
         } else {
             Duration::from_secs(5)
         };
-        rig.arrive_again("/short/", 5_000, since_first);
+        rig.arrive_again("/short/", 5_000, since_first_attempt);
     }
     rig.sends();
     let typical = rig.arrive_again("/short/", 5_000, Duration::from_secs(5));
     let sent = rig.sends();
     assert!(sent.iter().any(|(key, _)| *key == typical), "{sent:?}");
-    assert_eq!(sent[0].1.since_first, Duration::ZERO);
+    assert_eq!(sent[0].1.since_first_attempt, Duration::ZERO);
 }
 
 /// A late prompt isn't split, so that it yields to segments of other prompts.
@@ -79,11 +79,11 @@
     rig.sends();
     rig.arrive_again("/long/", 180_000, Duration::from_secs(4));
     let late = rig.only_send();
-    assert_eq!(late.grounds, Grounds::Late);
-    assert!(late.helpers.is_empty(), "{late:?}");
+    assert_eq!(late.reason, PlacementReason::Late);
+    assert!(late.prefill_workers.is_empty(), "{late:?}");
     rig.arrive("/long/", 150_000);
     let in_time = rig.only_send();
-    assert!(in_time.predicted_first <= Duration::from_secs(3));
+    assert!(in_time.predicted_first_event <= Duration::from_secs(3));
 }
 
 /// Two engines can't prefill all six prompts before the callers time out.
@@ -98,7 +98,7 @@
     while rig.now < arrived.after(LONG_CALLER_TIMEOUT / 2) {
         rig.pass(TICK);
         for (key, to) in rig.sends() {
-            let first_at = rig.now.after(to.predicted_first);
+            let first_at = rig.now.after(to.predicted_first_event);
             assert!(first_at <= arrived.after(LONG_CALLER_TIMEOUT), "{to:?}");
             sends.push((key, to));
         }
@@ -137,7 +137,7 @@
     // One answer ends, and a request arrives that can meet its objective.
     let (ended, _) = at_once[0];
     rig.pass(Duration::from_millis(200));
-    rig.end(ended, AttemptEnd::Delivered { healthy: true });
+    rig.end(ended, AttemptEnd::Delivered { is_success: true });
     let next = rig.arrive("/short/", 3_000);
     let sent = rig.sends();
     assert!(sent.iter().any(|(key, _)| *key == next), "{sent:?}");
--- a/crates/notchwalk_standin/src/routed/bound.rs
+++ b/crates/notchwalk_standin/src/routed/bound.rs
@@ -85,15 +85,15 @@
 fn work_ms(arrival: &Arrival, counted: Counted) -> f64 {
     let p = parameters();
     let cost = EngineCost::new(&p);
-    let reading = cost.read_ms(arrival.prompt, arrival.prompt);
+    let reading = cost.prefill_ms(arrival.prompt, arrival.prompt);
     if counted == Counted::Reading {
         return reading;
     }
     let events = f64::from(arrival.events);
     let context = arrival.prompt + events * TOKENS_PER_EVENT / 2.0;
     // A pass costs its engine the same however many generate in it, its slots at most.
-    let share = cost.pass_ms(0, 0.0) / f64::from(p.slots);
-    reading + events * (share + cost.writer_ms(context))
+    let share = cost.engine_step_ms(0, 0.0) / f64::from(p.slots);
+    reading + events * (share + cost.decode_ms_per_step(context))
 }
 
 fn window(arrival: &Arrival, counted: Counted) -> (Instant, Instant) {
@@ -112,7 +112,7 @@
     let p = parameters();
     let cost = EngineCost::new(&p);
     let objective_ms = KINDS[arrival.kind].objective.as_secs_f64() * 1e3;
-    let reading = cost.read_ms(arrival.prompt, arrival.prompt);
+    let reading = cost.prefill_ms(arrival.prompt, arrival.prompt);
     reading / MOST as f64 <= objective_ms
 }
 
--- a/crates/notchwalk_standin/src/routed/engine.rs
+++ b/crates/notchwalk_standin/src/routed/engine.rs
@@ -130,11 +130,12 @@
         let p = &self.parameters;
         let steps = match self.writers.is_empty() {
             true => 1.0,
-            false => p.steps_per_pass,
+            false => p.decode_steps_per_engine_step,
         };
         let context: f64 = self.writers.values().sum();
         let cost = EngineCost::new(p);
-        let steps_ms = cost.pass_ms(self.writers.len(), context) * steps / p.steps_per_pass;
+        let steps_ms = cost.engine_step_ms(self.writers.len(), context) * steps
+            / p.decode_steps_per_engine_step;
         let budget = f64::from(p.chunk_tokens) * steps;
         let (read, read_ms) = self.read_within(budget);
         self.pass = Some(Pass {
@@ -154,7 +155,7 @@
             if tokens <= 0.0 {
                 break;
             }
-            ms += cost.read_ms(tokens, part.whole);
+            ms += cost.prefill_ms(tokens, part.whole);
             budget -= tokens;
             part.tokens -= tokens;
             if part.tokens <= 0.0 {
--- a/crates/notchwalk_standin/src/routed/limits.rs
+++ b/crates/notchwalk_standin/src/routed/limits.rs
@@ -93,10 +93,10 @@
         repeatability: Repeatability::Idempotent,
         timeout: TIMEOUT,
         objective: Duration::from_millis(300),
-        pause_objective: None,
+        inter_token_objective: None,
         priority: 1,
         max_attempts: 2,
-        open: true,
+        is_public: true,
         backends: vec![Backend {
             service: DESK.to_owned(),
             weight: 1,
@@ -411,7 +411,7 @@
             workspace: WorkspaceTag::default(),
             workspace_priority: 0,
             arrived: self.now,
-            patience: TIMEOUT,
+            caller_timeout: TIMEOUT,
             deadline: self.now.after(TIMEOUT),
             prompt_tokens: 0,
             answer_tokens: 0,
@@ -503,7 +503,7 @@
         }
         self.entries[entry].arrived.remove(&request);
         self.outcome.served += 1;
-        let end = AttemptEnd::Delivered { healthy: true };
+        let end = AttemptEnd::Delivered { is_success: true };
         self.step(entry, Event::AttemptEnded { request, end });
     }
 }
--- a/crates/notchwalk_standin/src/routed/world.rs
+++ b/crates/notchwalk_standin/src/routed/world.rs
@@ -242,7 +242,7 @@
             workspace: WorkspaceTag::default(),
             workspace_priority: 0,
             arrived: self.now,
-            patience: kind.patience,
+            caller_timeout: kind.patience,
             deadline: self.now.after(kind.patience),
             prompt_tokens: arrival.prompt as u32,
             answer_tokens: (f64::from(arrival.events) * TOKENS_PER_EVENT) as u32,
@@ -362,7 +362,10 @@
     fn reach(&mut self, number: Number, to: &Assignment) {
         let arrival = self.arrivals[number];
         let generating = self.by_addr[&to.addr];
-        let others = to.helpers.iter().map(|helper| self.by_addr[&helper.addr]);
+        let others = to
+            .prefill_workers
+            .iter()
+            .map(|helper| self.by_addr[&helper.addr]);
         let others: Vec<usize> = others.filter(|&engine| engine != generating).collect();
         let k = others.len() + 1;
         let part = Part {
@@ -460,7 +463,7 @@
         };
         let (entry, key) = (request.entry, request.key);
         self.drop_request(number);
-        let end = AttemptEnd::Delivered { healthy: true };
+        let end = AttemptEnd::Delivered { is_success: true };
         self.step(entry, Event::AttemptEnded { request: key, end });
         self.by_key.remove(&(entry, key));
     }
