--- a/crates/notchwalk_route/src/placement/long.rs
+++ b/crates/notchwalk_route/src/placement/long.rs
@@ -2,7 +2,7 @@
 //! misses its objective.
 
 use super::{
-    late_loss_fraction, short::LATENCY_WEIGHT, Demand, EnginePlacement, Plan, View,
+    late_loss_fraction, short::LATENCY_WEIGHT, Candidate, Demand, EnginePlacement, Plan,
     MAX_ENGINES_PER_REQUEST, RESERVATION_MARGIN,
 };
 use crate::{PlacementReason, ServerKey};
@@ -14,22 +14,22 @@
 const STEP_FRACTION: f64 = 0.85;
 /// The same for an engine without short requests, where segments of several prompts can
 /// share a step.
-const LONG_PAUSE_SHARE: f64 = 0.75;
+const LONG_STEP_FRACTION: f64 = 0.75;
 /// Longest step planned on an engine without short requests, in milliseconds.
 const MAX_STEP_MS: f64 = 900.0;
 /// Engines outside the short pool that an oversized prompt leaves to other requests.
 const SPARE_ENGINES: usize = 2;
 /// Longest prompt segment on an engine that decodes nothing, in milliseconds.
-const LONGEST_PART_MS: f64 = 2_000.0;
+const MAX_IDLE_SEGMENT_MS: f64 = 2_000.0;
 /// Longest segment of a long prompt on an engine with short requests, in milliseconds. It
 /// delays their first tokens.
-const THINNEST_MS: f64 = 60.0;
+const MAX_SHARED_SEGMENT_MS: f64 = 60.0;
 /// Cost of opening another engine for long prompts, in milliseconds. That engine can't
 /// prefill for others in the meantime.
-const OPENING_MS: f64 = 60.0;
+const NEW_LONG_ENGINE_PENALTY_MS: f64 = 60.0;
 /// Cost of each further engine of a prompt, in milliseconds. Each one may fail, and starts
 /// only with its next step.
-const EACH_PART_MS: f64 = 15.0;
+const PER_ENGINE_PENALTY_MS: f64 = 15.0;
 
 /// Free engines assumed when deciding whether a queued prompt can still meet its objective.
 const EXPECTED_FREE_ENGINES: usize = 6;
@@ -82,7 +82,7 @@
         let value_ms = demand.value_ms();
         let mut candidates = self.candidates(service, excluded);
         candidates.sort_by(|a, b| {
-            let busy = |candidate: &View| {
+            let busy = |candidate: &Candidate| {
                 candidate.start_delay_ms
                     + candidate.load.remaining_prefill_ms
                     + candidate.failure_penalty_ms
@@ -107,7 +107,7 @@
                     && candidate.can_prefill()
                     && self.prefill_headroom_ms(candidate) >= segment_ms
             });
-            let mut chosen: Vec<&View> = with_headroom.take(k - 1).collect();
+            let mut chosen: Vec<&Candidate> = with_headroom.take(k - 1).collect();
             if chosen.len() + 1 < k {
                 continue;
             }
@@ -118,7 +118,7 @@
                 let end_ms =
                     candidate.start_delay_ms + candidate.load.remaining_prefill_ms + segment_ms;
                 ttft_ms = ttft_ms.max(end_ms + decoder.engine_step_ms);
-                loss_ms += EACH_PART_MS + candidate.failure_penalty_ms;
+                loss_ms += PER_ENGINE_PENALTY_MS + candidate.failure_penalty_ms;
                 if candidate.in_short_pool {
                     loss_ms += segment_ms * candidate.load.short as f64 / self.short_per_engine();
                 }
@@ -141,12 +141,12 @@
     /// memory, preferring engines that already decode long prompts.
     fn choose_decoder<'a>(
         &self,
-        candidates: &'a [View],
+        candidates: &'a [Candidate],
         memory: &MemoryDemand,
         segment_tokens: f64,
         segment_ms: f64,
-    ) -> Option<&'a View> {
-        let mut best: Option<(f64, &View)> = None;
+    ) -> Option<&'a Candidate> {
+        let mut best: Option<(f64, &Candidate)> = None;
         for candidate in candidates {
             if !self.has_memory(candidate, memory.on_decoder)
                 || self.prefill_headroom_ms(candidate) < segment_ms
@@ -156,7 +156,7 @@
             let new_engine_penalty_ms = if candidate.in_short_pool {
                 0.0
             } else {
-                OPENING_MS
+                NEW_LONG_ENGINE_PENALTY_MS
             };
             let ttft_ms = self.ttft_ms(candidate, segment_tokens, segment_ms);
             // Queued segments for other engines are prefilled first.
@@ -232,11 +232,11 @@
             demand.prompt / MAX_ENGINES_PER_REQUEST as f64,
             demand.prompt,
         );
-        let penalty = |candidate: &View| {
+        let penalty = |candidate: &Candidate| {
             self.penalty_ms(candidate, sample_segment_ms) + candidate.failure_penalty_ms
         };
         candidates.sort_by(|a, b| {
-            let busy = |candidate: &View| {
+            let busy = |candidate: &Candidate| {
                 candidate.load.remaining_prefill_ms + candidate.load.context_tokens / 1e3
             };
             penalty(a)
@@ -280,10 +280,10 @@
     /// Returns the first `k` engines with enough memory, and which of them decodes.
     fn select_with_memory<'a>(
         &self,
-        candidates: &'a [View],
+        candidates: &'a [Candidate],
         memory: &MemoryDemand,
         k: usize,
-    ) -> Option<(ServerKey, Vec<&'a View>)> {
+    ) -> Option<(ServerKey, Vec<&'a Candidate>)> {
         let mut decoder = candidates.iter();
         let decoder = decoder.find(|candidate| self.has_memory(candidate, memory.on_decoder))?;
         let others = candidates.iter().filter(|candidate| {
@@ -296,22 +296,22 @@
 
     /// Returns the prefill time that fits into an engine's next step without making its
     /// requests late, in milliseconds.
-    fn prefill_headroom_ms(&self, candidate: &View) -> f64 {
+    fn prefill_headroom_ms(&self, candidate: &Candidate) -> f64 {
         let busy = candidate.engine_step_ms + candidate.load.remaining_prefill_ms;
         if candidate.in_short_pool || candidate.load.short > 0 {
             let inter_token_ms = candidate
                 .load
                 .tightest_inter_token_ms
                 .min(DEFAULT_INTER_TOKEN_MS);
-            return (STEP_FRACTION * inter_token_ms - busy).min(THINNEST_MS);
+            return (STEP_FRACTION * inter_token_ms - busy).min(MAX_SHARED_SEGMENT_MS);
         }
         if candidate.load.decoding == 0 && candidate.load.own_long_prefills == 0 {
-            return LONGEST_PART_MS - candidate.load.remaining_prefill_ms;
+            return MAX_IDLE_SEGMENT_MS - candidate.load.remaining_prefill_ms;
         }
         let inter_token_ms = candidate
             .load
             .tightest_upcoming_inter_token_ms
             .min(MAX_STEP_MS);
-        LONG_PAUSE_SHARE * inter_token_ms - busy
+        LONG_STEP_FRACTION * inter_token_ms - busy
     }
 }
--- a/crates/notchwalk_route/src/placement/mod.rs
+++ b/crates/notchwalk_route/src/placement/mod.rs
@@ -24,18 +24,18 @@
 /// Fraction of a request's value that is lost when its answer is late.
 const LATE_LOSS_FRACTION: f64 = 0.75;
 /// Ratio of predicted to allowed time from which a miss is possible.
-const SURELY_IN_TIME: f64 = 0.75;
+const POSSIBLY_LATE_RATIO: f64 = 0.75;
 /// Ratio of predicted to allowed time from which a miss is certain.
 const CERTAINLY_LATE_RATIO: f64 = 1.15;
 /// Fraction of an engine's slots filled by short requests before the short pool grows.
-const SHORT_SLOT_SHARE: f64 = 0.875;
+const SHORT_SLOT_FRACTION: f64 = 0.875;
 /// Extra engines kept in the short pool.
 const SPARE_SHORT_ENGINES: usize = 0;
 /// Prefill backlog that each short request outweighs when engines are ranked for the short
 /// pool, in milliseconds.
-const SHORT_SUITS_MS: f64 = 40.0;
+const SHORT_POOL_AFFINITY_MS: f64 = 40.0;
 /// Loss added for a segment of a long prompt on an engine of the short pool.
-const INSIDE_POOL_MS: f64 = 20.0;
+const SHORT_POOL_PENALTY_MS: f64 = 20.0;
 const MIN_SEGMENT_TOKENS: f64 = 2_500.0;
 /// Upper bound that engines set on the engines named in one request: prefill workers, plus
 /// the decoding engine if it holds a reservation.
@@ -48,7 +48,7 @@
 /// Value of an output token, in prompt tokens.
 const OUTPUT_TOKEN_WEIGHT: f64 = 10.0;
 /// Token value equivalent to a millisecond of engine time.
-const WORTH_TOKENS_PER_MS: f64 = 100.0;
+const VALUE_TOKENS_PER_MS: f64 = 100.0;
 /// Answer length assumed where it is unknown.
 const DEFAULT_ANSWER_TOKENS: f64 = 1_000.0;
 /// Factor of reserved over estimated memory.
@@ -124,7 +124,7 @@
 }
 
 /// An engine that may be chosen.
-struct View {
+struct Candidate {
     key: ServerKey,
     load: ServerLoad,
     /// Current step time without prefill.
@@ -138,15 +138,15 @@
     has_low_limit: bool,
 }
 
-impl View {
+impl Candidate {
     /// Returns whether the engine may prefill a segment for another engine without delaying
     /// its own prompts.
     fn can_prefill(&self) -> bool {
         /// Keeps the engine busy until its next segment, without delaying many requests.
-        const QUEUED_MS: f64 = 150.0;
+        const MAX_QUEUED_PREFILL_MS: f64 = 150.0;
         !self.has_low_limit
             && self.load.own_long_prefills == 0
-            && self.load.remaining_prefill_ms <= QUEUED_MS
+            && self.load.remaining_prefill_ms <= MAX_QUEUED_PREFILL_MS
     }
 }
 
@@ -165,13 +165,14 @@
 
 /// Returns the value of a request, in milliseconds of engine time.
 fn value_ms(prompt_tokens: f64, answer_tokens: f64) -> f64 {
-    (prompt_tokens + OUTPUT_TOKEN_WEIGHT * answer_tokens) / WORTH_TOKENS_PER_MS
+    (prompt_tokens + OUTPUT_TOKEN_WEIGHT * answer_tokens) / VALUE_TOKENS_PER_MS
 }
 
 fn late_loss_fraction(predicted_ms: f64, allowed_ms: f64) -> f64 {
     let ratio = predicted_ms / allowed_ms;
     LATE_LOSS_FRACTION
-        * ((ratio - SURELY_IN_TIME) / (CERTAINLY_LATE_RATIO - SURELY_IN_TIME)).clamp(0.0, 1.0)
+        * ((ratio - POSSIBLY_LATE_RATIO) / (CERTAINLY_LATE_RATIO - POSSIBLY_LATE_RATIO))
+            .clamp(0.0, 1.0)
 }
 
 impl EnginePlacement<'_> {
@@ -204,7 +205,7 @@
 
     /// Returns how many short requests fill an engine before the short pool grows.
     fn short_per_engine(&self) -> f64 {
-        (f64::from(self.parameters.slots) * SHORT_SLOT_SHARE).max(1.0)
+        (f64::from(self.parameters.slots) * SHORT_SLOT_FRACTION).max(1.0)
     }
 
     /// Returns whether a prompt and its answer exceed the memory of one engine.
@@ -218,7 +219,7 @@
         self.cost().prefill_ms(demand.prompt, demand.prompt)
     }
 
-    fn candidates(&self, service: &str, excluded: &[ServerKey]) -> Vec<View> {
+    fn candidates(&self, service: &str, excluded: &[ServerKey]) -> Vec<Candidate> {
         let servers = self.fleet.servers_in_use(service, self.now);
         let mut candidates = Vec::with_capacity(servers.len());
         let mut short = 0;
@@ -236,7 +237,7 @@
                 0 => 0.0,
                 _ => (engine_step_ms + load.remaining_prefill_ms) / 2.0,
             };
-            candidates.push(View {
+            candidates.push(Candidate {
                 key,
                 load,
                 engine_step_ms,
@@ -255,8 +256,9 @@
         // Engines with short requests stay in the pool; engines with a long prefill backlog
         // join it last.
         order.sort_by(|&a, &b| {
-            let affinity = |candidate: &View| {
-                candidate.load.short as f64 * SHORT_SUITS_MS - candidate.load.remaining_prefill_ms
+            let affinity = |candidate: &Candidate| {
+                candidate.load.short as f64 * SHORT_POOL_AFFINITY_MS
+                    - candidate.load.remaining_prefill_ms
             };
             affinity(&candidates[b]).total_cmp(&affinity(&candidates[a]))
         });
@@ -268,7 +270,7 @@
 
     /// Returns the expected loss of an engine's other requests if its next step takes on
     /// `segment_ms` more prefill.
-    fn penalty_ms(&self, candidate: &View, segment_ms: f64) -> f64 {
+    fn penalty_ms(&self, candidate: &Candidate, segment_ms: f64) -> f64 {
         let before = candidate.engine_step_ms + candidate.load.remaining_prefill_ms;
         let after = before + segment_ms;
         let mut loss = 0.0;
@@ -289,7 +291,7 @@
 
     /// Returns the expected loss of an engine's other requests from a crash caused by this
     /// one.
-    fn crash_penalty_ms(&self, candidate: &View, demand: &Demand) -> f64 {
+    fn crash_penalty_ms(&self, candidate: &Candidate, demand: &Demand) -> f64 {
         if demand.crash_risk <= 0.0 {
             return 0.0;
         }
@@ -298,7 +300,7 @@
         demand.crash_risk * LATE_LOSS_FRACTION * value.sum::<f64>()
     }
 
-    fn ttft_ms(&self, candidate: &View, segment_tokens: f64, segment_ms: f64) -> f64 {
+    fn ttft_ms(&self, candidate: &Candidate, segment_tokens: f64, segment_ms: f64) -> f64 {
         let load = &candidate.load;
         let decoding = load.decoding + load.prefilling + 1;
         let context = load.step_tokens + segment_tokens;
@@ -316,16 +318,16 @@
             + queued
     }
 
-    fn memory_fits(&self, candidate: &View, demand: &Demand) -> bool {
+    fn memory_fits(&self, candidate: &Candidate, demand: &Demand) -> bool {
         self.has_memory(candidate, demand.prompt + demand.answer)
     }
 
-    fn has_memory(&self, candidate: &View, tokens: f64) -> bool {
+    fn has_memory(&self, candidate: &Candidate, tokens: f64) -> bool {
         let capacity = USABLE_MEMORY_FRACTION * self.parameters.memory_tokens as f64;
         candidate.load.context_tokens + tokens <= capacity
     }
 
-    fn planned_server(&self, candidate: &View, segment_ms: f64) -> PlannedServer {
+    fn planned_server(&self, candidate: &Candidate, segment_ms: f64) -> PlannedServer {
         PlannedServer {
             server: candidate.key,
             prefill_end_ms: DISPATCH_LATENCY_MS
@@ -338,7 +340,7 @@
     /// Returns a plan with the whole prompt on one engine.
     fn single_engine_plan(
         &self,
-        candidate: &View,
+        candidate: &Candidate,
         demand: &Demand,
         segment_ms: f64,
         ttft_ms: f64,
@@ -358,7 +360,7 @@
     /// Returns a plan that splits a prompt evenly over engines, one of which decodes.
     fn split_plan(
         &self,
-        chosen: &[&View],
+        chosen: &[&Candidate],
         decoder: ServerKey,
         demand: &Demand,
         segment_ms: f64,
@@ -380,7 +382,7 @@
     /// Returns the decoding engine and the prefill workers.
     fn planned_servers(
         &self,
-        candidates: &[&View],
+        candidates: &[&Candidate],
         decoder: ServerKey,
         segment_ms: f64,
     ) -> (PlannedServer, Vec<PlannedServer>) {
@@ -406,10 +408,10 @@
     /// the shares don't fit either.
     fn choose_split_decoder(
         &self,
-        candidates: &[&View],
+        candidates: &[&Candidate],
         demand: &Demand,
     ) -> Option<(ServerKey, Option<u32>)> {
-        let order = |a: &&&View, b: &&&View| {
+        let order = |a: &&&Candidate, b: &&&Candidate| {
             let a = (a.in_short_pool, a.load.context_tokens);
             let b = (b.in_short_pool, b.load.context_tokens);
             a.0.cmp(&b.0).then(a.1.total_cmp(&b.1))
--- a/crates/notchwalk_route/src/placement/short.rs
+++ b/crates/notchwalk_route/src/placement/short.rs
@@ -1,13 +1,13 @@
 //! Placement by least expected loss: short requests, and long ones that can't wait.
 
-use super::{late_loss_fraction, Demand, EnginePlacement, Plan, View, INSIDE_POOL_MS};
+use super::{late_loss_fraction, Candidate, Demand, EnginePlacement, Plan, SHORT_POOL_PENALTY_MS};
 use crate::{PlacementReason, ServerKey};
 
 /// Loss per millisecond of time to first token, also within the objective.
 pub(super) const LATENCY_WEIGHT: f64 = 0.05;
 /// Loss added for a short request on an engine outside the short pool, in milliseconds of
 /// engine time.
-const OUTSIDE_POOL_MS: f64 = 40.0;
+const OUTSIDE_SHORT_POOL_PENALTY_MS: f64 = 40.0;
 /// Fraction of the tightest inter-token objective on an engine that its next step may take
 /// with a late request.
 const SPARE_STEP_FRACTION: f64 = 0.6;
@@ -16,7 +16,7 @@
 
 impl EnginePlacement<'_> {
     /// Returns an offset that differs between nodes for the same engine.
-    pub(super) fn tie_break_ms(&self, candidate: &View) -> f64 {
+    pub(super) fn tie_break_ms(&self, candidate: &Candidate) -> f64 {
         /// About the step time that one short request adds.
         const TIE_BREAK_RANGE_MS: u32 = 30;
         let tag = self.fleet.get(candidate.key).map_or(0, |server| server.tag);
@@ -73,7 +73,7 @@
         best
     }
 
-    pub(super) fn place_on_one(&self, candidates: &[View], demand: &Demand) -> Option<Plan> {
+    pub(super) fn place_on_one(&self, candidates: &[Candidate], demand: &Demand) -> Option<Plan> {
         let value_ms = demand.value_ms();
         let segment_ms = self.cost().prefill_ms(demand.prompt, demand.prompt);
         let is_short = demand.prompt <= MAX_UNSPLIT_TOKENS * 2.0;
@@ -84,8 +84,8 @@
             loss_ms += self.penalty_ms(candidate, segment_ms) + candidate.failure_penalty_ms;
             loss_ms += self.crash_penalty_ms(candidate, demand);
             loss_ms += match (is_short, candidate.in_short_pool) {
-                (true, false) => OUTSIDE_POOL_MS,
-                (false, true) => INSIDE_POOL_MS,
+                (true, false) => OUTSIDE_SHORT_POOL_PENALTY_MS,
+                (false, true) => SHORT_POOL_PENALTY_MS,
                 _ => 0.0,
             };
             // Among engines that meet the objective, prefer the soonest.
@@ -109,13 +109,17 @@
         best
     }
 
-    pub(super) fn place_split(&self, mut candidates: Vec<View>, demand: &Demand) -> Option<Plan> {
+    pub(super) fn place_split(
+        &self,
+        mut candidates: Vec<Candidate>,
+        demand: &Demand,
+    ) -> Option<Plan> {
         let cost = self.cost();
         let value_ms = demand.value_ms();
         // Prefer engines on which a long segment causes the least loss.
         let sample_segment_ms = cost.prefill_ms(demand.prompt / 6.0, demand.prompt);
-        let mut order: Vec<(f64, View)> = Vec::with_capacity(candidates.len());
-        candidates.retain(View::can_prefill);
+        let mut order: Vec<(f64, Candidate)> = Vec::with_capacity(candidates.len());
+        candidates.retain(Candidate::can_prefill);
         for candidate in candidates {
             let pool_penalty_ms = if candidate.in_short_pool { 150.0 } else { 0.0 };
             let delay_ms = candidate.start_delay_ms + candidate.load.remaining_prefill_ms;
@@ -134,7 +138,7 @@
             let mut ttft_ms: f64 = 0.0;
             for (_, candidate) in &order[..k] {
                 let pool_penalty_ms = if candidate.in_short_pool {
-                    INSIDE_POOL_MS
+                    SHORT_POOL_PENALTY_MS
                 } else {
                     0.0
                 };
@@ -151,7 +155,8 @@
             if best.as_ref().is_some_and(|best| best.loss_ms <= loss_ms) {
                 continue;
             }
-            let chosen: Vec<&View> = order[..k].iter().map(|(_, candidate)| candidate).collect();
+            let chosen: Vec<&Candidate> =
+                order[..k].iter().map(|(_, candidate)| candidate).collect();
             let Some((decoder, reserve_tokens)) = self.choose_split_decoder(&chosen, demand) else {
                 continue;
             };
--- a/crates/notchwalk_route/src/router/ending.rs
+++ b/crates/notchwalk_route/src/router/ending.rs
@@ -162,7 +162,7 @@
             return self.remove_request(key, now, out);
         }
         if self.may_retry(key, end, now) {
-            self.scatter_suspect(key, now);
+            self.restrict_suspect(key, now);
             return self.enqueue_and_dispatch(key, now, out);
         }
         self.finish_failed(key, end, now, out);
--- a/crates/notchwalk_route/src/router/sending.rs
+++ b/crates/notchwalk_route/src/router/sending.rs
@@ -39,7 +39,7 @@
         if self.version == 0 {
             return self.refuse(key, Refusal::NotReady, now, out);
         }
-        self.scatter_suspect(key, now);
+        self.restrict_suspect(key, now);
         if self.draining_from.is_some_and(|from| now >= from) {
             return self.refuse(key, Refusal::Draining, now, out);
         }
--- a/crates/notchwalk_route/src/router/suspects.rs
+++ b/crates/notchwalk_route/src/router/suspects.rs
@@ -164,7 +164,7 @@
     /// Restricts a request with suspected content to a subset of servers that depends on
     /// its content. Otherwise nodes that lose requests in the same crash would all retry on
     /// the same server, and harmless contents would be quarantined too.
-    pub(super) fn scatter_suspect(&mut self, key: RequestKey, now: Instant) {
+    pub(super) fn restrict_suspect(&mut self, key: RequestKey, now: Instant) {
         /// The subset holds one in this many servers, with a minimum that leaves a choice
         /// by load.
         const SERVERS_PER_CANDIDATE: usize = 4;
--- a/crates/notchwalk_route/src/router/waiting.rs
+++ b/crates/notchwalk_route/src/router/waiting.rs
@@ -248,11 +248,11 @@
     /// the request's value justifies that.
     fn plan_urgent(&self, request: &Request, now: Instant) -> Option<Plan> {
         /// Limit on the loss caused to others, as a fraction of the request's value.
-        const WORTH_SHARE: f64 = 0.3;
+        const MAX_LOSS_FRACTION: f64 = 0.3;
         let left_ms = request.objective_at().since(now).as_secs_f64() * 1e3;
         let mut plan = self.plan(request, now)?;
         plan.reason = PlacementReason::Urgent;
-        let is_worthwhile = plan.loss_ms <= WORTH_SHARE * plan.value_ms;
+        let is_worthwhile = plan.loss_ms <= MAX_LOSS_FRACTION * plan.value_ms;
         (plan.ttft_ms <= left_ms && is_worthwhile).then_some(plan)
     }
 
--- a/crates/notchwalk_route/tests/decisions/common.rs
+++ b/crates/notchwalk_route/tests/decisions/common.rs
@@ -12,7 +12,7 @@
 };
 
 pub const ENGINES: &str = "engines";
-pub const DESK: &str = "desk";
+pub const PLAIN_SERVICE: &str = "desk";
 
 pub fn parameters() -> EngineParameters {
     EngineParameters {
@@ -66,12 +66,15 @@
         version: 1,
         routes: vec![
             route("/short/", ENGINES, Repeatability::Resumable),
-            route("/short/special/", DESK, Repeatability::Idempotent),
+            route("/short/special/", PLAIN_SERVICE, Repeatability::Idempotent),
             long,
-            route("/once/", DESK, Repeatability::AtMostOnce),
-            route("/again/", DESK, Repeatability::Idempotent),
+            route("/once/", PLAIN_SERVICE, Repeatability::AtMostOnce),
+            route("/again/", PLAIN_SERVICE, Repeatability::Idempotent),
+        ],
+        services: vec![
+            service(ENGINES, Some(parameters())),
+            service(PLAIN_SERVICE, None),
         ],
-        services: vec![service(ENGINES, Some(parameters())), service(DESK, None)],
         workspaces: Some(vec![Workspace {
             name: "riggers".to_owned(),
             keys: vec!["key".to_owned()],
@@ -108,7 +111,7 @@
 }
 
 /// A router, its clock and the effects it emitted.
-pub struct Rig {
+pub struct TestRouter {
     pub router: Router,
     pub now: Instant,
     pub effects: Vec<Effect>,
@@ -119,15 +122,15 @@
     arrivals: u64,
 }
 
-impl Rig {
+impl TestRouter {
     pub fn new() -> Self {
-        Self::named("entry-1", 18)
+        Self::with_engines("entry-1", 18)
     }
 
     /// Builds a rig whose node has run long enough to have received its peers' work.
-    pub fn named(name: &str, engines: u8) -> Self {
+    pub fn with_engines(name: &str, engines: u8) -> Self {
         let mut rig = Self::just_started(name, engines);
-        rig.pass(Duration::from_secs(5));
+        rig.advance(Duration::from_secs(5));
         rig
     }
 
@@ -152,7 +155,7 @@
         rig.step(Event::LimitSharing(LimitSharing::new(name, 1, 1)));
         rig.step(Event::Configured(site()));
         let engines = (0..engines).map(|number| record(ENGINES, number));
-        let desks = (0..3).map(|number| record(DESK, number));
+        let desks = (0..3).map(|number| record(PLAIN_SERVICE, number));
         let servers = engines.chain(desks).collect();
         rig.step(Event::Servers(ServerChange::All(servers)));
         rig
@@ -164,7 +167,7 @@
         self.effects.extend(out);
     }
 
-    pub fn pass(&mut self, time: Duration) {
+    pub fn advance(&mut self, time: Duration) {
         self.now = self.now.after(time);
         self.step(Event::Tick);
     }
@@ -177,11 +180,11 @@
     }
 
     pub fn arrive(&mut self, path: &str, prompt_tokens: u32) -> RequestKey {
-        self.arrive_again(path, prompt_tokens, Duration::ZERO)
+        self.arrive_retry(path, prompt_tokens, Duration::ZERO)
     }
 
     /// Sends a request of a caller whose first attempt was `since_first_attempt` ago.
-    pub fn arrive_again(
+    pub fn arrive_retry(
         &mut self,
         path: &str,
         prompt_tokens: u32,
@@ -207,12 +210,12 @@
         request
     }
 
-    pub fn end(&mut self, request: RequestKey, end: AttemptEnd) {
+    pub fn end_attempt(&mut self, request: RequestKey, end: AttemptEnd) {
         self.step(Event::AttemptEnded { request, end });
     }
 
     /// Takes the sends emitted since the last call.
-    pub fn sends(&mut self) -> Vec<(RequestKey, Assignment)> {
+    pub fn take_sends(&mut self) -> Vec<(RequestKey, Assignment)> {
         let mut sends = Vec::new();
         self.effects.retain(|effect| match effect {
             Effect::Send { request, to } => {
@@ -224,8 +227,8 @@
         sends
     }
 
-    pub fn only_send(&mut self) -> Assignment {
-        let mut sends = self.sends();
+    pub fn take_only_send(&mut self) -> Assignment {
+        let mut sends = self.take_sends();
         assert_eq!(sends.len(), 1, "{sends:?}");
         sends.remove(0).1
     }
@@ -239,7 +242,7 @@
     }
 
     /// Broadcasts the node's work on all servers to another node's router.
-    pub fn tell(&self, other: &mut Self, peer: u32) {
+    pub fn broadcast_work_to(&self, other: &mut Self, peer: u32) {
         let (servers, work) = self.router.all_own_work(self.now);
         other.step(Event::PeerWork {
             peer,
@@ -250,27 +253,27 @@
 }
 
 /// Returns a registration of a desk server with the start time of its incarnation.
-pub fn born(number: u8, born: u64) -> ServerRecord {
+pub fn desk(number: u8, born: u64) -> ServerRecord {
     ServerRecord {
         started_ms: Some(born),
-        ..record(DESK, number)
+        ..record(PLAIN_SERVICE, number)
     }
 }
 
 /// Registers a server, or updates its registration.
-pub fn present(rig: &mut Rig, record: ServerRecord) {
+pub fn register(rig: &mut TestRouter, record: ServerRecord) {
     rig.step(Event::Servers(ServerChange::Registered(record)));
 }
 
 /// Returns the key of a registered server.
-pub fn key(rig: &Rig, service: &str, number: u8) -> ServerKey {
+pub fn server_key(rig: &TestRouter, service: &str, number: u8) -> ServerKey {
     let instance = record(service, number).instance;
     let fleet = rig.router.fleet();
     fleet.by_instance(&instance).expect("server is registered")
 }
 
 /// Counts the requests sent to each server.
-pub fn tally(sends: &[(RequestKey, Assignment)]) -> HashMap<String, usize> {
+pub fn count_by_server(sends: &[(RequestKey, Assignment)]) -> HashMap<String, usize> {
     let mut counts = HashMap::new();
     for (_, to) in sends {
         *counts.entry(to.instance.clone()).or_default() += 1;
--- a/crates/notchwalk_route/tests/decisions/groups.rs
+++ b/crates/notchwalk_route/tests/decisions/groups.rs
@@ -4,7 +4,7 @@
 
 use notchwalk_route::{node_order, AttemptEnd, Event, Group};
 
-use crate::common::{tally, Rig};
+use crate::common::{count_by_server, TestRouter};
 
 #[test]
 fn few_nodes_form_one_group() {
@@ -93,24 +93,24 @@
 /// A node uses the engines of its group, and all engines if those are unreachable.
 #[test]
 fn unreachable_group_falls_back_to_all_servers() {
-    let mut rig = Rig::named("entry-1", 32);
+    let mut rig = TestRouter::with_engines("entry-1", 32);
     rig.step(Event::Group(Group::for_node(0, 200, 3_000)));
     for _ in 0..40 {
         rig.arrive("/short/", 5_000);
     }
-    let own = tally(&rig.sends());
+    let own = count_by_server(&rig.take_sends());
     assert!(own.len() <= 8, "{own:?}");
     // From here on they are unreachable.
     let mut used = own.len();
     for _ in 0..200 {
         let request = rig.arrive("/short/", 5_000);
-        for (_, to) in rig.sends() {
+        for (_, to) in rig.take_sends() {
             if !own.contains_key(&to.instance) {
                 used += 1;
             }
         }
-        rig.end(request, AttemptEnd::NotConnected);
-        rig.sends();
+        rig.end_attempt(request, AttemptEnd::NotConnected);
+        rig.take_sends();
         rig.step(Event::Abandoned { request });
     }
     assert!(used > own.len(), "no other engine was used");
--- a/crates/notchwalk_route/tests/decisions/leaving.rs
+++ b/crates/notchwalk_route/tests/decisions/leaving.rs
@@ -4,71 +4,74 @@
 
 use notchwalk_route::{AttemptEnd, Effect, Event, ServerChange, ServerStage};
 
-use crate::common::{record, Rig, DESK};
+use crate::common::{record, TestRouter, PLAIN_SERVICE};
 
 #[test]
 fn draining_server_receives_no_new_requests() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     for number in 0..2 {
-        let mut draining = record(DESK, number);
+        let mut draining = record(PLAIN_SERVICE, number);
         draining.stage = ServerStage::Leaving;
         rig.step(Event::Servers(ServerChange::Registered(draining)));
     }
     for _ in 0..20 {
         rig.arrive("/once/", 0);
-        assert_eq!(rig.only_send().instance, "desk-2");
+        assert_eq!(rig.take_only_send().instance, "desk-2");
     }
 }
 
 #[test]
 fn draining_lasts_until_the_end_of_the_incarnation() {
-    let mut rig = Rig::new();
-    let mut draining = record(DESK, 0);
+    let mut rig = TestRouter::new();
+    let mut draining = record(PLAIN_SERVICE, 0);
     draining.stage = ServerStage::Leaving;
     rig.step(Event::Servers(ServerChange::Registered(draining)));
-    rig.step(Event::Servers(ServerChange::Registered(record(DESK, 0))));
+    rig.step(Event::Servers(ServerChange::Registered(record(
+        PLAIN_SERVICE,
+        0,
+    ))));
     for _ in 0..20 {
         rig.arrive("/once/", 0);
-        assert_ne!(rig.only_send().instance, "desk-0");
+        assert_ne!(rig.take_only_send().instance, "desk-0");
     }
 }
 
 #[test]
 fn removed_server_receives_no_requests() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     rig.step(Event::Servers(ServerChange::Removed("desk-1".to_owned())));
     for _ in 0..20 {
         rig.arrive("/once/", 0);
-        assert_ne!(rig.only_send().instance, "desk-1");
+        assert_ne!(rig.take_only_send().instance, "desk-1");
     }
 }
 
 #[test]
 fn unreachable_server_is_ejected_and_later_used_again() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     let request = rig.arrive("/again/", 0);
-    let unreachable = rig.only_send().instance;
-    rig.end(request, AttemptEnd::NotConnected);
-    assert_ne!(rig.only_send().instance, unreachable);
+    let unreachable = rig.take_only_send().instance;
+    rig.end_attempt(request, AttemptEnd::NotConnected);
+    assert_ne!(rig.take_only_send().instance, unreachable);
     for _ in 0..6 {
         rig.arrive("/again/", 0);
-        assert_ne!(rig.only_send().instance, unreachable);
+        assert_ne!(rig.take_only_send().instance, unreachable);
     }
-    rig.pass(Duration::from_secs(5));
+    rig.advance(Duration::from_secs(5));
     let mut chosen = Vec::new();
     for _ in 0..12 {
         rig.arrive("/again/", 0);
-        chosen.push(rig.only_send().instance);
+        chosen.push(rig.take_only_send().instance);
     }
     assert!(chosen.contains(&unreachable));
 }
 
 #[test]
 fn request_without_any_server_is_refused_as_not_run() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     rig.step(Event::Servers(ServerChange::All(Vec::new())));
     rig.arrive("/once/", 0);
-    assert!(rig.sends().is_empty());
+    assert!(rig.take_sends().is_empty());
     assert!(rig.refusals().iter().all(|reason| reason.has_not_run()));
     assert_eq!(rig.refusals().len(), 1);
 }
@@ -77,20 +80,20 @@
 /// as busy.
 #[test]
 fn busy_server_that_responds_to_other_requests_is_not_ejected_on_timeouts() {
-    let mut rig = Rig::named("entry-1", 2);
+    let mut rig = TestRouter::with_engines("entry-1", 2);
     let served = rig.arrive("/short/", 3_000);
-    let busy = rig.only_send().instance;
+    let busy = rig.take_only_send().instance;
     let mut waiting = Vec::new();
     while waiting.len() < 4 {
         let request = rig.arrive("/short/", 3_000);
-        if rig.only_send().instance == busy {
+        if rig.take_only_send().instance == busy {
             waiting.push(request);
         }
     }
     rig.step(Event::Started { request: served });
-    rig.pass(Duration::from_millis(800));
+    rig.advance(Duration::from_millis(800));
     for request in waiting {
-        rig.end(request, AttemptEnd::TimedOut);
+        rig.end_attempt(request, AttemptEnd::TimedOut);
     }
     let is_ejection = |effect: &Effect| matches!(effect, Effect::Ejected { .. });
     assert!(!rig.effects.iter().any(is_ejection));
@@ -98,11 +101,11 @@
 
 #[test]
 fn server_that_responds_to_no_request_is_ejected() {
-    let mut rig = Rig::named("entry-1", 1);
+    let mut rig = TestRouter::with_engines("entry-1", 1);
     let requests: Vec<_> = (0..3).map(|_| rig.arrive("/short/", 3_000)).collect();
-    rig.pass(Duration::from_millis(1_600));
+    rig.advance(Duration::from_millis(1_600));
     for request in requests {
-        rig.end(request, AttemptEnd::TimedOut);
+        rig.end_attempt(request, AttemptEnd::TimedOut);
     }
     let is_ejection = |effect: &Effect| matches!(effect, Effect::Ejected { .. });
     assert!(rig.effects.iter().any(is_ejection));
--- a/crates/notchwalk_route/tests/decisions/limits.rs
+++ b/crates/notchwalk_route/tests/decisions/limits.rs
@@ -7,13 +7,21 @@
     RequestKey, ServerChange, ServerNotice,
 };
 
-use crate::common::{born, content, key, present, record, Rig, DESK, ENGINES};
+use crate::common::{
+    content, desk, record, register, server_key, TestRouter, ENGINES, PLAIN_SERVICE,
+};
 
 const SECOND: Duration = Duration::from_secs(1);
 
 /// Announces a server's limit in the response to a request that was sent `age` ago.
-fn announce_aged(rig: &mut Rig, service: &str, number: u8, rate: Option<f64>, age: Duration) {
-    let server = key(rig, service, number);
+fn announce_aged(
+    rig: &mut TestRouter,
+    service: &str,
+    number: u8,
+    rate: Option<f64>,
+    age: Duration,
+) {
+    let server = server_key(rig, service, number);
     let limit = rate.and_then(RateLimit::per_second);
     let asked = rig.now.before(age);
     let notice = ServerNotice::Limit {
@@ -23,39 +31,39 @@
     rig.step(Event::NoticeReceived { server, notice });
 }
 
-fn announce(rig: &mut Rig, service: &str, number: u8, rate: f64) {
+fn announce(rig: &mut TestRouter, service: &str, number: u8, rate: f64) {
     announce_aged(rig, service, number, Some(rate), Duration::ZERO);
 }
 
 /// Announces the same limit for all servers of a service.
-fn announce_all(rig: &mut Rig, service: &str, count: u8, rate: f64) {
+fn announce_all(rig: &mut TestRouter, service: &str, count: u8, rate: f64) {
     for number in 0..count {
         announce(rig, service, number, rate);
     }
 }
 
-fn limit(rig: &Rig, service: &str, number: u8) -> Option<f64> {
-    let server = rig.router.fleet().get(key(rig, service, number));
+fn limit(rig: &TestRouter, service: &str, number: u8) -> Option<f64> {
+    let server = rig.router.fleet().get(server_key(rig, service, number));
     server.and_then(|s| s.limit()).map(RateLimit::rate)
 }
 
-fn allowance(rig: &Rig, service: &str, number: u8) -> f64 {
-    let server = rig.router.fleet().get(key(rig, service, number));
+fn allowance(rig: &TestRouter, service: &str, number: u8) -> f64 {
+    let server = rig.router.fleet().get(server_key(rig, service, number));
     server
         .and_then(|s| s.available_requests(rig.now))
         .expect("no limit")
 }
 
 /// Uses up the limits of `servers` servers with one request each.
-fn spend(rig: &mut Rig, path: &str, tokens: u32, servers: usize) {
+fn spend(rig: &mut TestRouter, path: &str, tokens: u32, servers: usize) {
     for _ in 0..servers {
         let request = rig.arrive(path, tokens);
-        rig.end(request, AttemptEnd::Delivered { is_success: true });
+        rig.end_attempt(request, AttemptEnd::Delivered { is_success: true });
     }
-    assert_eq!(rig.sends().len(), servers);
+    assert_eq!(rig.take_sends().len(), servers);
 }
 
-fn refused(rig: &Rig, request: RequestKey) -> Option<(Refusal, Duration)> {
+fn refused(rig: &TestRouter, request: RequestKey) -> Option<(Refusal, Duration)> {
     rig.effects.iter().find_map(|effect| match effect {
         Effect::Refuse {
             request: refused,
@@ -68,21 +76,21 @@
 
 #[test]
 fn first_attempts_stay_within_the_limits() {
-    let mut rig = Rig::new();
-    announce_all(&mut rig, DESK, 3, 1.0);
+    let mut rig = TestRouter::new();
+    announce_all(&mut rig, PLAIN_SERVICE, 3, 1.0);
     for _ in 0..20 {
         rig.arrive("/again/", 0);
     }
     assert_eq!(
-        rig.sends().len(),
+        rig.take_sends().len(),
         0,
         "a new limit must start with an empty bucket"
     );
     let mut sent = 0;
     for _ in 0..600 {
-        rig.pass(Duration::from_millis(15));
+        rig.advance(Duration::from_millis(15));
         rig.arrive("/again/", 0);
-        sent += rig.sends().len();
+        sent += rig.take_sends().len();
     }
     assert!((24..=27).contains(&sent), "{sent} of 27 in 9 s");
 }
@@ -90,24 +98,24 @@
 /// Fails a request on its first server while the limits of the others are used up; returns
 /// the time until it is sent again.
 fn time_until_second_attempt(service: &str, path: &str, tokens: u32) -> Duration {
-    let mut rig = Rig::named("entry-1", 3);
+    let mut rig = TestRouter::with_engines("entry-1", 3);
     announce_all(&mut rig, service, 3, 1.0);
-    rig.pass(5 * SECOND);
+    rig.advance(5 * SECOND);
     spend(&mut rig, path, tokens, 2);
     let request = rig.arrive(path, tokens);
-    assert_eq!(rig.sends().len(), 1);
+    assert_eq!(rig.take_sends().len(), 1);
     if tokens > 0 {
         rig.step(Event::Started { request });
     }
     let failed_at = rig.now;
-    rig.end(request, AttemptEnd::ConnectionLost);
-    while rig.sends().is_empty() {
+    rig.end_attempt(request, AttemptEnd::ConnectionLost);
+    while rig.take_sends().is_empty() {
         assert!(
             rig.now.since(failed_at) < 5 * SECOND,
             "{:?}",
             rig.refusals()
         );
-        rig.pass(Duration::from_millis(15));
+        rig.advance(Duration::from_millis(15));
     }
     rig.now.since(failed_at)
 }
@@ -115,7 +123,7 @@
 /// A refusal would fail the request for good, as it may have run.
 #[test]
 fn retry_waits_until_the_limits_of_other_servers_allow_it() {
-    let after = time_until_second_attempt(DESK, "/again/", 0);
+    let after = time_until_second_attempt(PLAIN_SERVICE, "/again/", 0);
     assert!(after > Duration::from_millis(700), "{after:?}");
 }
 
@@ -128,11 +136,11 @@
 
 #[test]
 fn engines_with_low_limits_are_no_prefill_workers() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     announce_all(&mut rig, ENGINES, 12, 1.0);
-    rig.pass(5 * SECOND);
+    rig.advance(5 * SECOND);
     rig.arrive("/long/", 154_000);
-    let to = rig.only_send();
+    let to = rig.take_only_send();
     assert!(!to.prefill_workers.is_empty(), "the prompt is not split");
     let limited: Vec<_> = (0..12).map(|n| record(ENGINES, n).addr).collect();
     assert!(to
@@ -143,9 +151,9 @@
 
 #[test]
 fn parts_and_reservation_orders_count_against_the_limit() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     announce_all(&mut rig, ENGINES, 18, 40.0);
-    rig.pass(5 * SECOND);
+    rig.advance(5 * SECOND);
     let before: Vec<f64> = (0..18).map(|n| allowance(&rig, ENGINES, n)).collect();
     let request = rig.arrive("/long/", 600_000);
     let reserve = |effect: &Effect| match effect {
@@ -173,30 +181,33 @@
 #[test]
 fn unsent_requests_do_not_count_against_the_limit() {
     for end in [AttemptEnd::NotConnected, AttemptEnd::NotSent] {
-        let mut rig = Rig::new();
-        announce_all(&mut rig, DESK, 3, 1.0);
-        rig.pass(5 * SECOND);
-        let full = allowance(&rig, DESK, 0);
+        let mut rig = TestRouter::new();
+        announce_all(&mut rig, PLAIN_SERVICE, 3, 1.0);
+        rig.advance(5 * SECOND);
+        let full = allowance(&rig, PLAIN_SERVICE, 0);
         let request = rig.arrive("/again/", 0);
-        let to = rig.only_send().instance;
-        rig.end(request, end);
-        let number = (0..3).find(|&n| record(DESK, n).instance == to);
+        let to = rig.take_only_send().instance;
+        rig.end_attempt(request, end);
+        let number = (0..3).find(|&n| record(PLAIN_SERVICE, n).instance == to);
         let number = number.expect("no such server");
-        let left = allowance(&rig, DESK, number);
-        let sent_there_again = rig.sends().iter().any(|(_, again)| again.instance == to);
+        let left = allowance(&rig, PLAIN_SERVICE, number);
+        let sent_there_again = rig
+            .take_sends()
+            .iter()
+            .any(|(_, again)| again.instance == to);
         let expected = if sent_there_again { full - 1.0 } else { full };
         assert!((left - expected).abs() < 0.01, "{end:?}: {left} of {full}");
     }
 }
 
 /// Returns the limit updates that a node publishes.
-fn updates(rig: &Rig) -> Vec<LimitUpdate> {
+fn updates(rig: &TestRouter) -> Vec<LimitUpdate> {
     rig.router
         .fleet()
         .limit_updates(LimitScope::Direct, 48, rig.now)
 }
 
-fn publish(from: &Rig, to: &mut Rig, name: &str, peer: u32) {
+fn publish(from: &TestRouter, to: &mut TestRouter, name: &str, peer: u32) {
     to.step(Event::LimitUpdates {
         peer,
         name: name.to_owned(),
@@ -208,30 +219,30 @@
 /// A node without a response from the server would exceed its limit.
 #[test]
 fn limits_from_peers_apply_and_are_not_rebroadcast() {
-    let mut first = Rig::named("entry-1", 3);
-    let mut second = Rig::named("entry-2", 3);
-    announce(&mut first, DESK, 0, 2.0);
+    let mut first = TestRouter::with_engines("entry-1", 3);
+    let mut second = TestRouter::with_engines("entry-2", 3);
+    announce(&mut first, PLAIN_SERVICE, 0, 2.0);
     publish(&first, &mut second, "entry-1", 1);
-    assert_eq!(limit(&second, DESK, 0), Some(2.0));
+    assert_eq!(limit(&second, PLAIN_SERVICE, 0), Some(2.0));
     assert!(updates(&second)
         .iter()
         .all(|update| update.observed.is_none()));
-    first.pass(SECOND);
-    second.pass(SECOND);
-    announce_aged(&mut first, DESK, 0, None, Duration::ZERO);
+    first.advance(SECOND);
+    second.advance(SECOND);
+    announce_aged(&mut first, PLAIN_SERVICE, 0, None, Duration::ZERO);
     publish(&first, &mut second, "entry-1", 1);
-    assert_eq!(limit(&second, DESK, 0), None);
+    assert_eq!(limit(&second, PLAIN_SERVICE, 0), None);
 }
 
 /// A restarted node that was the only one with responses from a server would exceed its
 /// limit if peers did not return what it had published.
 #[test]
 fn restarted_node_receives_its_own_limits_from_peers() {
-    let mut first = Rig::named("entry-1", 3);
-    let mut second = Rig::named("entry-2", 3);
-    announce(&mut first, DESK, 0, 0.0);
+    let mut first = TestRouter::with_engines("entry-1", 3);
+    let mut second = TestRouter::with_engines("entry-2", 3);
+    announce(&mut first, PLAIN_SERVICE, 0, 0.0);
     publish(&first, &mut second, "entry-1", 1);
-    let mut first = Rig::just_started("entry-1", 3);
+    let mut first = TestRouter::just_started("entry-1", 3);
     let limits = second.router.fleet();
     let limits = limits.limit_updates(LimitScope::All, 48, second.now);
     let name = "entry-2".to_owned();
@@ -242,15 +253,15 @@
         is_in_group: true,
         updates: limits,
     });
-    assert_eq!(limit(&first, DESK, 0), Some(0.0));
+    assert_eq!(limit(&first, PLAIN_SERVICE, 0), Some(0.0));
 }
 
 #[test]
 fn sends_of_peers_count_against_the_limit() {
-    let mut rig = Rig::new();
-    announce(&mut rig, DESK, 0, 2.0);
-    rig.pass(5 * SECOND);
-    let full = allowance(&rig, DESK, 0);
+    let mut rig = TestRouter::new();
+    announce(&mut rig, PLAIN_SERVICE, 0, 2.0);
+    rig.advance(5 * SECOND);
+    let full = allowance(&rig, PLAIN_SERVICE, 0);
     let server = updates(&rig)[0].server;
     let mut allowance_after = |sent| {
         let limits = vec![LimitUpdate {
@@ -267,7 +278,7 @@
             is_in_group: true,
             updates: limits,
         });
-        allowance(&rig, DESK, 0)
+        allowance(&rig, PLAIN_SERVICE, 0)
     };
     // The first counter only sets the baseline.
     assert!((allowance_after(70) - full).abs() < 0.01);
@@ -283,14 +294,14 @@
 /// An unreachable peer may still be sending.
 #[test]
 fn unreachable_nodes_keep_their_share() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     rig.step(Event::LimitSharing(LimitSharing::new("entry-1", 4, 1)));
-    announce_all(&mut rig, DESK, 3, 4.0);
+    announce_all(&mut rig, PLAIN_SERVICE, 3, 4.0);
     let mut sent = 0;
     for _ in 0..800 {
-        rig.pass(Duration::from_millis(15));
+        rig.advance(Duration::from_millis(15));
         rig.arrive("/again/", 0);
-        sent += rig.sends().len();
+        sent += rig.take_sends().len();
     }
     assert!((32..=36).contains(&sent), "{sent} of 36 in 12 s");
 }
@@ -298,96 +309,96 @@
 /// Responses may arrive out of order.
 #[test]
 fn response_to_the_newest_request_sets_the_limit() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     let age = |ms| Duration::from_millis(ms);
-    announce_aged(&mut rig, DESK, 0, Some(2.0), age(100));
-    announce_aged(&mut rig, DESK, 0, None, age(300));
+    announce_aged(&mut rig, PLAIN_SERVICE, 0, Some(2.0), age(100));
+    announce_aged(&mut rig, PLAIN_SERVICE, 0, None, age(300));
     assert_eq!(
-        limit(&rig, DESK, 0),
+        limit(&rig, PLAIN_SERVICE, 0),
         Some(2.0),
         "an older response without a limit"
     );
-    announce_aged(&mut rig, DESK, 0, Some(5.0), age(300));
+    announce_aged(&mut rig, PLAIN_SERVICE, 0, Some(5.0), age(300));
     assert_eq!(
-        limit(&rig, DESK, 0),
+        limit(&rig, PLAIN_SERVICE, 0),
         Some(2.0),
         "an older response with a higher limit"
     );
-    announce_aged(&mut rig, DESK, 0, Some(1.0), age(300));
+    announce_aged(&mut rig, PLAIN_SERVICE, 0, Some(1.0), age(300));
     assert_eq!(
-        limit(&rig, DESK, 0),
+        limit(&rig, PLAIN_SERVICE, 0),
         Some(1.0),
         "an older response with a lower limit"
     );
-    announce_aged(&mut rig, DESK, 0, Some(5.0), age(50));
-    assert_eq!(limit(&rig, DESK, 0), Some(5.0));
-    announce_aged(&mut rig, DESK, 0, None, age(50));
-    assert_eq!(limit(&rig, DESK, 0), None);
-    announce_aged(&mut rig, DESK, 0, Some(3.0), age(80));
+    announce_aged(&mut rig, PLAIN_SERVICE, 0, Some(5.0), age(50));
+    assert_eq!(limit(&rig, PLAIN_SERVICE, 0), Some(5.0));
+    announce_aged(&mut rig, PLAIN_SERVICE, 0, None, age(50));
+    assert_eq!(limit(&rig, PLAIN_SERVICE, 0), None);
+    announce_aged(&mut rig, PLAIN_SERVICE, 0, Some(3.0), age(80));
     assert_eq!(
-        limit(&rig, DESK, 0),
+        limit(&rig, PLAIN_SERVICE, 0),
         Some(3.0),
         "a limit applies until a newer response lifts it"
     );
-    announce_aged(&mut rig, DESK, 0, None, age(60));
-    assert_eq!(limit(&rig, DESK, 0), None);
+    announce_aged(&mut rig, PLAIN_SERVICE, 0, None, age(60));
+    assert_eq!(limit(&rig, PLAIN_SERVICE, 0), None);
 }
 
 /// A peer that has not yet learned of the end of a limit still publishes it.
 #[test]
 fn outdated_update_of_a_peer_does_not_restore_a_limit() {
-    let mut first = Rig::named("entry-1", 3);
-    let mut second = Rig::named("entry-2", 3);
-    announce(&mut first, DESK, 0, 2.0);
-    announce(&mut second, DESK, 0, 2.0);
-    first.pass(SECOND);
-    second.pass(SECOND);
-    announce_aged(&mut first, DESK, 0, None, Duration::ZERO);
+    let mut first = TestRouter::with_engines("entry-1", 3);
+    let mut second = TestRouter::with_engines("entry-2", 3);
+    announce(&mut first, PLAIN_SERVICE, 0, 2.0);
+    announce(&mut second, PLAIN_SERVICE, 0, 2.0);
+    first.advance(SECOND);
+    second.advance(SECOND);
+    announce_aged(&mut first, PLAIN_SERVICE, 0, None, Duration::ZERO);
     publish(&second, &mut first, "entry-2", 2);
-    assert_eq!(limit(&first, DESK, 0), None);
+    assert_eq!(limit(&first, PLAIN_SERVICE, 0), None);
 }
 
 #[test]
 fn limit_ends_with_the_incarnation() {
-    let mut rig = Rig::new();
-    present(&mut rig, born(0, 1_000));
-    announce(&mut rig, DESK, 0, 2.0);
-    present(&mut rig, born(0, 1_000));
-    assert_eq!(limit(&rig, DESK, 0), Some(2.0));
-    present(&mut rig, born(0, 2_000));
-    assert_eq!(limit(&rig, DESK, 0), None);
+    let mut rig = TestRouter::new();
+    register(&mut rig, desk(0, 1_000));
+    announce(&mut rig, PLAIN_SERVICE, 0, 2.0);
+    register(&mut rig, desk(0, 1_000));
+    assert_eq!(limit(&rig, PLAIN_SERVICE, 0), Some(2.0));
+    register(&mut rig, desk(0, 2_000));
+    assert_eq!(limit(&rig, PLAIN_SERVICE, 0), None);
 }
 
 /// A registration expires while the store is unavailable, although its server still runs.
 #[test]
 fn limit_is_restored_after_a_registration_expires() {
-    let mut rig = Rig::new();
-    announce(&mut rig, DESK, 0, 2.0);
-    let gone = ServerChange::Removed(record(DESK, 0).instance);
-    rig.step(Event::Servers(gone));
-    present(&mut rig, record(DESK, 0));
-    assert_eq!(limit(&rig, DESK, 0), Some(2.0));
-    let copied = ServerChange::Restored(record(DESK, 0));
-    rig.step(Event::Servers(copied));
-    assert_eq!(limit(&rig, DESK, 0), Some(2.0));
+    let mut rig = TestRouter::new();
+    announce(&mut rig, PLAIN_SERVICE, 0, 2.0);
+    let removed = ServerChange::Removed(record(PLAIN_SERVICE, 0).instance);
+    rig.step(Event::Servers(removed));
+    register(&mut rig, record(PLAIN_SERVICE, 0));
+    assert_eq!(limit(&rig, PLAIN_SERVICE, 0), Some(2.0));
+    let restored = ServerChange::Restored(record(PLAIN_SERVICE, 0));
+    rig.step(Event::Servers(restored));
+    assert_eq!(limit(&rig, PLAIN_SERVICE, 0), Some(2.0));
 }
 
 /// Only a response can lift a limit of zero.
 #[test]
 fn server_with_a_limit_of_zero_is_probed_periodically() {
-    let mut rig = Rig::named("entry-1", 3);
-    announce(&mut rig, DESK, 0, 0.0);
+    let mut rig = TestRouter::with_engines("entry-1", 3);
+    announce(&mut rig, PLAIN_SERVICE, 0, 0.0);
     let mut probes = 0;
     for _ in 0..1_000 {
-        rig.pass(Duration::from_millis(15));
+        rig.advance(Duration::from_millis(15));
         let calls: Vec<_> = (0..4).map(|_| rig.arrive("/again/", 0)).collect();
-        let sends = rig.sends();
+        let sends = rig.take_sends();
         probes += sends
             .iter()
             .filter(|(_, to)| to.instance == "desk-0")
             .count();
         for request in calls {
-            rig.end(request, AttemptEnd::Delivered { is_success: true });
+            rig.end_attempt(request, AttemptEnd::Delivered { is_success: true });
         }
     }
     assert!((2..=3).contains(&probes), "{probes} probes in 15 s");
@@ -399,16 +410,16 @@
     let back_off = ServerNotice::BackOff(3 * SECOND);
     for notice in [ServerNotice::Draining, back_off] {
         for limit_first in [false, true] {
-            let mut rig = Rig::new();
-            let server = key(&rig, DESK, 0);
+            let mut rig = TestRouter::new();
+            let server = server_key(&rig, PLAIN_SERVICE, 0);
             if limit_first {
-                announce(&mut rig, DESK, 0, 50.0);
+                announce(&mut rig, PLAIN_SERVICE, 0, 50.0);
             }
             rig.step(Event::NoticeReceived { server, notice });
-            announce(&mut rig, DESK, 0, 50.0);
-            rig.pass(SECOND);
+            announce(&mut rig, PLAIN_SERVICE, 0, 50.0);
+            rig.advance(SECOND);
             let calls = (0..30).map(|_| rig.arrive("/again/", 0)).count();
-            let sends = rig.sends();
+            let sends = rig.take_sends();
             assert_eq!(sends.len(), calls);
             assert!(
                 sends.iter().all(|(_, to)| to.instance != "desk-0"),
@@ -421,8 +432,8 @@
 /// A quarantined request is refused as such, not for the limit.
 #[test]
 fn quarantine_takes_precedence_over_a_limit() {
-    let mut rig = Rig::new();
-    announce_all(&mut rig, DESK, 3, 1.0);
+    let mut rig = TestRouter::new();
+    announce_all(&mut rig, PLAIN_SERVICE, 3, 1.0);
     let content = content("crashes");
     let (left, times) = (60 * SECOND, 1);
     rig.step(Event::Restored {
@@ -438,38 +449,38 @@
 /// Probes of a failed server must not exceed its limit.
 #[test]
 fn failed_server_is_probed_within_its_limit() {
-    let mut rig = Rig::new();
-    announce(&mut rig, DESK, 0, 0.5);
-    rig.pass(10 * SECOND);
-    let server = key(&rig, DESK, 0);
+    let mut rig = TestRouter::new();
+    announce(&mut rig, PLAIN_SERVICE, 0, 0.5);
+    rig.advance(10 * SECOND);
+    let server = server_key(&rig, PLAIN_SERVICE, 0);
     let mut probes = 0;
     for _ in 0..800 {
-        rig.pass(Duration::from_millis(15));
+        rig.advance(Duration::from_millis(15));
         let calls: Vec<_> = (0..4).map(|_| rig.arrive("/again/", 0)).collect();
-        for (request, to) in rig.sends() {
+        for (request, to) in rig.take_sends() {
             let failed = to.server == server;
             probes += usize::from(failed);
             let end = match failed {
                 true => AttemptEnd::ConnectionLost,
                 false => AttemptEnd::Delivered { is_success: true },
             };
-            rig.end(request, end);
+            rig.end_attempt(request, end);
         }
         for request in calls {
-            rig.end(request, AttemptEnd::Delivered { is_success: true });
+            rig.end_attempt(request, AttemptEnd::Delivered { is_success: true });
         }
-        rig.sends();
+        rig.take_sends();
     }
     assert!(probes <= 7, "{probes} in 12 s at a limit of 0.5");
 }
 
 #[test]
 fn requests_wait_if_they_meet_their_objective_and_are_refused_otherwise() {
-    let mut rig = Rig::new();
-    announce_all(&mut rig, DESK, 3, 4.0);
-    rig.pass(5 * SECOND);
+    let mut rig = TestRouter::new();
+    announce_all(&mut rig, PLAIN_SERVICE, 3, 4.0);
+    rig.advance(5 * SECOND);
     let requests: Vec<_> = (0..12).map(|_| rig.arrive("/again/", 0)).collect();
-    assert_eq!(rig.sends().len(), 3, "one for each server");
+    assert_eq!(rig.take_sends().len(), 3, "one for each server");
     let refusals: Vec<_> = requests.iter().map(|&r| refused(&rig, r)).collect();
     let waiting = refusals[3..].iter().take_while(|refusal| refusal.is_none());
     assert!((1..=3).contains(&waiting.count()), "{refusals:?}");
@@ -482,42 +493,42 @@
             "{after:?}"
         );
     }
-    rig.pass(Duration::from_millis(300));
-    assert!(!rig.sends().is_empty(), "no waiting request was sent");
+    rig.advance(Duration::from_millis(300));
+    assert!(!rig.take_sends().is_empty(), "no waiting request was sent");
 }
 
 /// A retry at the advised time must not be refused again.
 #[test]
 fn retried_request_waits_longer() {
-    let mut rig = Rig::new();
-    announce_all(&mut rig, DESK, 3, 1.0);
-    rig.pass(5 * SECOND);
+    let mut rig = TestRouter::new();
+    announce_all(&mut rig, PLAIN_SERVICE, 3, 1.0);
+    rig.advance(5 * SECOND);
     spend(&mut rig, "/again/", 0, 3);
     let first = rig.arrive("/again/", 0);
     let (reason, after) = refused(&rig, first).expect("not refused");
     assert_eq!(reason, Refusal::Limited);
-    rig.arrive_again("/again/", 0, after);
+    rig.arrive_retry("/again/", 0, after);
     assert_eq!(rig.refusals().len(), 1, "the retried request does not wait");
-    rig.pass(2 * SECOND);
-    assert_eq!(rig.sends().len(), 1);
+    rig.advance(2 * SECOND);
+    assert_eq!(rig.take_sends().len(), 1);
 }
 
 #[test]
 fn limited_server_is_used_like_the_others_within_its_limit() {
-    let mut rig = Rig::new();
-    announce(&mut rig, DESK, 0, 30.0);
+    let mut rig = TestRouter::new();
+    announce(&mut rig, PLAIN_SERVICE, 0, 30.0);
     let mut sent = 0;
     for _ in 0..400 {
-        rig.pass(Duration::from_millis(15));
+        rig.advance(Duration::from_millis(15));
         let calls: Vec<_> = (0..3).map(|_| rig.arrive("/again/", 0)).collect();
-        let sends = rig.sends();
+        let sends = rig.take_sends();
         assert_eq!(sends.len(), 3, "a request waits");
         sent += sends
             .iter()
             .filter(|(_, to)| to.instance == "desk-0")
             .count();
         for request in calls {
-            rig.end(request, AttemptEnd::Delivered { is_success: true });
+            rig.end_attempt(request, AttemptEnd::Delivered { is_success: true });
         }
     }
     // Of 180 in 6 s.
@@ -527,14 +538,14 @@
 /// Reports for operators are rate limited.
 #[test]
 fn used_up_limit_is_reported_periodically() {
-    let mut rig = Rig::new();
-    announce(&mut rig, DESK, 0, 1.0);
+    let mut rig = TestRouter::new();
+    announce(&mut rig, PLAIN_SERVICE, 0, 1.0);
     for _ in 0..800 {
-        rig.pass(Duration::from_millis(15));
+        rig.advance(Duration::from_millis(15));
         let request = rig.arrive("/again/", 0);
-        rig.end(request, AttemptEnd::Delivered { is_success: true });
+        rig.end_attempt(request, AttemptEnd::Delivered { is_success: true });
     }
-    let server = key(&rig, DESK, 0);
+    let server = server_key(&rig, PLAIN_SERVICE, 0);
     let reports = rig.effects.iter();
     let reports = reports.filter(|effect| **effect == Effect::LimitUsedUp { server });
     assert!(
@@ -547,10 +558,10 @@
 /// would leave most of the limit unused.
 #[test]
 fn sends_of_other_groups_do_not_count_against_this_groups_share() {
-    let mut rig = Rig::new();
-    announce(&mut rig, DESK, 0, 8.0);
-    rig.pass(5 * SECOND);
-    let full = allowance(&rig, DESK, 0);
+    let mut rig = TestRouter::new();
+    announce(&mut rig, PLAIN_SERVICE, 0, 8.0);
+    rig.advance(5 * SECOND);
+    let full = allowance(&rig, PLAIN_SERVICE, 0);
     let server = updates(&rig)[0].server;
     for sent in [70, 90] {
         let limits = vec![LimitUpdate {
@@ -566,7 +577,7 @@
             updates: limits,
         });
     }
-    assert!((allowance(&rig, DESK, 0) - full).abs() < 0.01);
-    let server = rig.router.fleet().get(key(&rig, DESK, 0));
+    assert!((allowance(&rig, PLAIN_SERVICE, 0) - full).abs() < 0.01);
+    let server = rig.router.fleet().get(server_key(&rig, PLAIN_SERVICE, 0));
     assert_eq!(server.map(|server| server.limit_users(rig.now)), Some(1));
 }
--- a/crates/notchwalk_route/tests/decisions/placement.rs
+++ b/crates/notchwalk_route/tests/decisions/placement.rs
@@ -4,37 +4,37 @@
 
 use notchwalk_route::{Assignment, AttemptEnd, Event, PlacementReason, RequestKey};
 
-use crate::common::{tally, Rig};
+use crate::common::{count_by_server, TestRouter};
 
 const DELIVERED: AttemptEnd = AttemptEnd::Delivered { is_success: true };
 
 #[test]
 fn short_requests_do_not_exceed_engine_slots() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     for _ in 0..200 {
         rig.arrive("/short/", 5_000);
         rig.now = rig.now.after(Duration::from_millis(12));
     }
-    let tally = tally(&rig.sends());
-    assert!(tally.values().all(|&count| count <= 16), "{tally:?}");
+    let counts = count_by_server(&rig.take_sends());
+    assert!(counts.values().all(|&count| count <= 16), "{counts:?}");
 }
 
 #[test]
 fn few_short_requests_use_few_engines() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     for _ in 0..20 {
         rig.arrive("/short/", 5_000);
         rig.now = rig.now.after(Duration::from_millis(60));
     }
-    let tally = tally(&rig.sends());
-    assert!(tally.len() <= 6, "{tally:?}");
+    let counts = count_by_server(&rig.take_sends());
+    assert!(counts.len() <= 6, "{counts:?}");
 }
 
 #[test]
 fn long_prompt_is_split_over_idle_engines() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     rig.arrive("/long/", 150_000);
-    let to = rig.only_send();
+    let to = rig.take_only_send();
     assert!(
         to.prefill_workers.len() >= 4,
         "{}",
@@ -49,59 +49,62 @@
 
 #[test]
 fn short_prompt_is_not_split() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     rig.arrive("/short/", 5_000);
-    assert!(rig.only_send().prefill_workers.is_empty());
+    assert!(rig.take_only_send().prefill_workers.is_empty());
 }
 
 #[test]
 fn short_requests_avoid_engines_prefilling_long_prompts() {
-    let mut rig = Rig::named("entry-1", 6);
+    let mut rig = TestRouter::with_engines("entry-1", 6);
     let long = rig.arrive("/long/", 250_000);
-    let to = rig.only_send();
+    let to = rig.take_only_send();
     for _ in 0..4 {
         rig.arrive("/short/", 3_000);
     }
     let is_busy = |instance: &str| instance == to.instance;
-    assert!(rig.sends().iter().all(|(_, to)| !is_busy(&to.instance)));
-    rig.end(long, DELIVERED);
+    assert!(rig
+        .take_sends()
+        .iter()
+        .all(|(_, to)| !is_busy(&to.instance)));
+    rig.end_attempt(long, DELIVERED);
 }
 
 #[test]
 fn queued_long_prompts_are_dispatched_cheapest_first() {
-    let mut rig = Rig::named("entry-1", 2);
+    let mut rig = TestRouter::with_engines("entry-1", 2);
     for _ in 0..3 {
         rig.arrive("/long/", 250_000);
     }
-    rig.sends();
+    rig.take_sends();
     let (queued, _) = rig.router.queued_work();
     assert!(queued >= 1, "{queued}");
     let cheap = rig.arrive("/long/", 60_000);
-    let mut sent = rig.sends();
+    let mut sent = rig.take_sends();
     while sent.is_empty() {
-        rig.pass(Duration::from_millis(15));
-        sent = rig.sends();
+        rig.advance(Duration::from_millis(15));
+        sent = rig.take_sends();
     }
     assert_eq!(sent[0].0, cheap);
 }
 
 #[test]
 fn peer_work_counts_toward_engine_load() {
-    let mut first = Rig::named("entry-1", 4);
-    let mut second = Rig::named("entry-2", 4);
+    let mut first = TestRouter::with_engines("entry-1", 4);
+    let mut second = TestRouter::with_engines("entry-2", 4);
     const STEP: Duration = Duration::from_millis(40);
     for _ in 0..30 {
         first.arrive("/short/", 5_000);
         first.now = first.now.after(STEP);
     }
-    let first_counts = tally(&first.sends());
+    let first_counts = count_by_server(&first.take_sends());
     second.now = first.now;
-    first.tell(&mut second, 1);
+    first.broadcast_work_to(&mut second, 1);
     for _ in 0..20 {
         second.arrive("/short/", 5_000);
         second.now = second.now.after(STEP);
     }
-    for (server, count) in tally(&second.sends()) {
+    for (server, count) in count_by_server(&second.take_sends()) {
         let first_count = first_counts.get(&server).copied().unwrap_or(0);
         assert!(
             count + first_count <= 17,
@@ -112,23 +115,23 @@
 
 #[test]
 fn work_of_silent_peer_expires() {
-    let mut first = Rig::named("entry-1", 2);
-    let mut second = Rig::named("entry-2", 2);
+    let mut first = TestRouter::with_engines("entry-1", 2);
+    let mut second = TestRouter::with_engines("entry-2", 2);
     for _ in 0..30 {
         first.arrive("/short/", 5_000);
     }
-    first.tell(&mut second, 1);
-    let occupied = |rig: &Rig| -> usize {
+    first.broadcast_work_to(&mut second, 1);
+    let occupied = |rig: &TestRouter| -> usize {
         let servers = rig.router.fleet().iter();
         let loads = servers.map(|(key, _)| rig.router.load_view().load(key, rig.now).occupied());
         loads.sum()
     };
-    let sent = first.sends().len();
+    let sent = first.take_sends().len();
     assert!(sent >= 14);
     assert_eq!(occupied(&second), sent);
-    second.pass(Duration::from_millis(10_100));
+    second.advance(Duration::from_millis(10_100));
     assert_eq!(occupied(&second), 0);
-    first.tell(&mut second, 1);
+    first.broadcast_work_to(&mut second, 1);
     second.step(Event::PeerUnreachable { peer: 1 });
     assert_eq!(occupied(&second), 0);
 }
@@ -139,11 +142,11 @@
     let mut busiest = 0;
     let mut totals = std::collections::HashMap::new();
     for node in 0..6 {
-        let mut rig = Rig::just_started(&format!("entry-{node}"), 18);
+        let mut rig = TestRouter::just_started(&format!("entry-{node}"), 18);
         for _ in 0..18 {
             rig.arrive("/short/", 4_000);
         }
-        for (server, count) in tally(&rig.sends()) {
+        for (server, count) in count_by_server(&rig.take_sends()) {
             let sum = totals.entry(server).or_insert(0);
             *sum += count;
             busiest = busiest.max(*sum);
@@ -157,11 +160,11 @@
 
 #[test]
 fn ended_requests_leave_no_work_in_the_load_view() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     let short = rig.arrive("/short/", 5_000);
     let long = rig.arrive("/long/", 150_000);
     rig.step(Event::Started { request: long });
-    rig.end(short, DELIVERED);
+    rig.end_attempt(short, DELIVERED);
     rig.step(Event::Abandoned { request: long });
     for (key, server) in rig.router.fleet().iter() {
         let load = rig.router.load_view().load(key, rig.now);
@@ -177,12 +180,12 @@
 }
 
 /// Starts `count` short requests and lets them decode.
-fn start_short_streams(rig: &mut Rig, count: usize) -> Vec<(RequestKey, Assignment)> {
+fn start_short_streams(rig: &mut TestRouter, count: usize) -> Vec<(RequestKey, Assignment)> {
     for _ in 0..count {
         rig.arrive("/short/", 5_000);
-        rig.pass(Duration::from_millis(12));
+        rig.advance(Duration::from_millis(12));
     }
-    let sends = rig.sends();
+    let sends = rig.take_sends();
     for (request, _) in &sends {
         rig.step(Event::Started { request: *request });
     }
@@ -192,32 +195,32 @@
 /// Guards against a split prompt stalling the short streams on all of its engines.
 #[test]
 fn long_prompt_does_not_stall_more_valuable_short_streams() {
-    let mut rig = Rig::named("entry-1", 1);
+    let mut rig = TestRouter::with_engines("entry-1", 1);
     start_short_streams(&mut rig, 5);
     rig.arrive("/long/", 120_000);
-    assert!(rig.sends().is_empty());
+    assert!(rig.take_sends().is_empty());
 }
 
 /// Guards against splitting a late prompt over all engines because the first candidates lack
 /// memory for a share.
 #[test]
 fn late_prompt_uses_few_engines_with_enough_memory() {
-    let mut rig = Rig::named("entry-1", 12);
+    let mut rig = TestRouter::with_engines("entry-1", 12);
     let mut long = Vec::new();
     for _ in 0..4 {
         long.push(rig.arrive("/long/", 210_000));
-        rig.pass(Duration::from_millis(1_500));
+        rig.advance(Duration::from_millis(1_500));
         rig.step(Event::Started {
             request: long[long.len() - 1],
         });
     }
-    rig.sends();
+    rig.take_sends();
     start_short_streams(&mut rig, 140);
     rig.arrive("/long/", 260_000);
-    let mut sends = rig.sends();
+    let mut sends = rig.take_sends();
     for _ in 0..200 {
-        rig.pass(Duration::from_millis(15));
-        sends.extend(rig.sends());
+        rig.advance(Duration::from_millis(15));
+        sends.extend(rig.take_sends());
     }
     assert_eq!(sends.len(), 1);
     let to = &sends[0].1;
@@ -233,9 +236,9 @@
 /// prompt past its predicted time.
 #[test]
 fn engine_with_unfinished_prefill_gets_no_segment() {
-    let mut rig = Rig::named("entry-1", 18);
+    let mut rig = TestRouter::with_engines("entry-1", 18);
     rig.arrive("/long/", 250_000);
-    let first = rig.only_send();
+    let first = rig.take_only_send();
     let prefilling: Vec<_> = first
         .prefill_workers
         .iter()
@@ -244,7 +247,7 @@
     for tokens in [120_000, 150_000, 90_000, 200_000] {
         rig.arrive("/long/", tokens);
     }
-    for (_, to) in rig.sends() {
+    for (_, to) in rig.take_sends() {
         let mut workers = to.prefill_workers.iter();
         assert!(!workers.any(|worker| prefilling.contains(&worker.addr)));
         assert!(to
--- a/crates/notchwalk_route/tests/decisions/random_runs.rs
+++ b/crates/notchwalk_route/tests/decisions/random_runs.rs
@@ -12,7 +12,7 @@
     test_runner::{Config, RngAlgorithm, TestRng, TestRunner},
 };
 
-use crate::common::{record, site, Rig, DESK, ENGINES};
+use crate::common::{record, site, TestRouter, ENGINES, PLAIN_SERVICE};
 
 #[derive(Clone, Debug)]
 enum Action {
@@ -59,7 +59,7 @@
 }
 
 struct Harness {
-    rig: Rig,
+    rig: TestRouter,
     states: HashMap<RequestKey, (RequestState, Repeatability, u32)>,
     order: Vec<RequestKey>,
     /// Times of first sends, and of retries after a server was reached.
@@ -72,7 +72,7 @@
 impl Harness {
     fn new() -> Self {
         Self {
-            rig: Rig::named("entry-1", 7),
+            rig: TestRouter::with_engines("entry-1", 7),
             states: HashMap::new(),
             order: Vec::new(),
             first_sends: Vec::new(),
@@ -245,7 +245,7 @@
             }
             Action::Drain(server, removed) => self.drain(server, removed),
             Action::Register(server) => {
-                let record = record(if server < 7 { ENGINES } else { DESK }, server % 7);
+                let record = record(if server < 7 { ENGINES } else { PLAIN_SERVICE }, server % 7);
                 self.rig
                     .step(Event::Servers(ServerChange::Registered(record)));
             }
@@ -261,12 +261,12 @@
                 );
             }
             Action::PeerWork(server, count) => self.broadcast_peer_work(server, count),
-            Action::Advance(ms) => self.rig.pass(Duration::from_millis(ms.into())),
+            Action::Advance(ms) => self.rig.advance(Duration::from_millis(ms.into())),
         }
     }
 
     fn drain(&mut self, server: u8, removed: bool) {
-        let mut record = record(if server < 7 { ENGINES } else { DESK }, server % 7);
+        let mut record = record(if server < 7 { ENGINES } else { PLAIN_SERVICE }, server % 7);
         record.stage = ServerStage::Leaving;
         let change = match removed {
             true => ServerChange::Removed(record.instance),
@@ -277,7 +277,8 @@
 
     /// Reports a server's draining notice (`None`) or backoff in milliseconds.
     fn notify(&mut self, server: u8, backoff: Option<u16>) {
-        let instance = record(if server < 7 { ENGINES } else { DESK }, server % 7).instance;
+        let instance =
+            record(if server < 7 { ENGINES } else { PLAIN_SERVICE }, server % 7).instance;
         let Some(server) = self.rig.router.fleet().by_instance(&instance) else {
             return;
         };
@@ -321,7 +322,7 @@
         }
         state.reached = end != AttemptEnd::NotConnected;
         state.ended = matches!(end, AttemptEnd::Delivered { .. });
-        self.rig.end(request, end);
+        self.rig.end_attempt(request, end);
     }
 
     /// Reports a peer's short requests on an engine.
--- a/crates/notchwalk_route/tests/decisions/reservations.rs
+++ b/crates/notchwalk_route/tests/decisions/reservations.rs
@@ -7,11 +7,11 @@
     ServerRecord,
 };
 
-use crate::common::Rig;
+use crate::common::TestRouter;
 
 const OVERSIZED: u32 = 400_000;
 
-fn take_reservations(rig: &mut Rig) -> Vec<ReservationOrder> {
+fn take_reservations(rig: &mut TestRouter) -> Vec<ReservationOrder> {
     let mut taken = Vec::new();
     rig.effects.retain(|effect| match effect {
         Effect::Reserve { orders, .. } => {
@@ -23,7 +23,7 @@
     taken
 }
 
-fn take_orders(rig: &mut Rig) -> Vec<ReservationOrder> {
+fn take_orders(rig: &mut TestRouter) -> Vec<ReservationOrder> {
     let mut taken = Vec::new();
     rig.effects.retain(|effect| match effect {
         Effect::Order(order) => {
@@ -35,13 +35,13 @@
     taken
 }
 
-fn take_released(rig: &mut Rig) -> HashSet<std::net::SocketAddr> {
+fn take_released(rig: &mut TestRouter) -> HashSet<std::net::SocketAddr> {
     let orders = take_orders(rig);
     let releases = orders.iter().filter(|order| order.tokens.is_none());
     releases.map(|order| order.addr).collect()
 }
 
-fn finish_reservation(rig: &mut Rig, request: RequestKey, granted: bool) {
+fn finish_reservation(rig: &mut TestRouter, request: RequestKey, granted: bool) {
     let refused = FailedReservation {
         addr: "10.9.9.9:80".parse().unwrap(),
         unreachable: false,
@@ -52,14 +52,14 @@
 
 #[test]
 fn oversized_prompt_is_sent_after_all_memory_is_reserved() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     let request = rig.arrive("/long/", OVERSIZED);
-    assert!(rig.sends().is_empty());
+    assert!(rig.take_sends().is_empty());
     let placed = take_reservations(&mut rig);
     let sum: u32 = placed.iter().filter_map(|order| order.tokens).sum();
     assert!(sum > OVERSIZED, "{sum}");
     finish_reservation(&mut rig, request, true);
-    let to = rig.only_send();
+    let to = rig.take_only_send();
     let reserved_engines = to
         .prefill_workers
         .iter()
@@ -76,25 +76,25 @@
 #[test]
 fn request_names_at_most_sixteen_engines() {
     for tokens in [320_000, OVERSIZED, 700_000] {
-        let mut rig = Rig::named("entry-1", 60);
+        let mut rig = TestRouter::with_engines("entry-1", 60);
         let request = rig.arrive("/long/", tokens);
         if take_reservations(&mut rig).is_empty() {
             continue;
         }
         finish_reservation(&mut rig, request, true);
-        assert!(rig.only_send().prefill_workers.len() <= 16);
+        assert!(rig.take_only_send().prefill_workers.len() <= 16);
     }
 }
 
 #[test]
 fn memory_is_released_on_every_request_end() {
-    let ends: [fn(&mut Rig, RequestKey); 3] = [
-        |rig, request| rig.end(request, AttemptEnd::Delivered { is_success: true }),
+    let ends: [fn(&mut TestRouter, RequestKey); 3] = [
+        |rig, request| rig.end_attempt(request, AttemptEnd::Delivered { is_success: true }),
         |rig, request| rig.step(Event::Abandoned { request }),
-        |rig, request| rig.end(request, AttemptEnd::ConnectionLost),
+        |rig, request| rig.end_attempt(request, AttemptEnd::ConnectionLost),
     ];
     for end in ends {
-        let mut rig = Rig::new();
+        let mut rig = TestRouter::new();
         let request = rig.arrive("/long/", OVERSIZED);
         let placed = take_reservations(&mut rig);
         finish_reservation(&mut rig, request, true);
@@ -107,17 +107,17 @@
 
 #[test]
 fn failed_reservation_is_released_and_request_is_queued() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     let request = rig.arrive("/long/", OVERSIZED);
     let placed = take_reservations(&mut rig).len();
     finish_reservation(&mut rig, request, false);
     assert_eq!(take_released(&mut rig).len(), placed);
-    assert!(rig.sends().is_empty());
+    assert!(rig.take_sends().is_empty());
 }
 
 #[test]
 fn active_reservation_is_renewed_before_it_expires() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     let request = rig.arrive("/long/", OVERSIZED);
     let placed = take_reservations(&mut rig);
     finish_reservation(&mut rig, request, true);
@@ -125,7 +125,7 @@
     let mut renewed = 0;
     let mut passed = Duration::ZERO;
     while passed < hold {
-        rig.pass(Duration::from_millis(100));
+        rig.advance(Duration::from_millis(100));
         passed += Duration::from_millis(100);
         renewed += take_orders(&mut rig)
             .iter()
@@ -138,7 +138,7 @@
 /// Memory must be free within 4 s of the end of a request, also if the node crashed.
 #[test]
 fn reservation_expires_within_release_limit() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     rig.arrive("/long/", OVERSIZED);
     for order in take_reservations(&mut rig) {
         assert!(order.ttl < Duration::from_millis(4_000));
@@ -150,7 +150,7 @@
 #[test]
 fn release_is_repeated_after_lost_response() {
     for lost_is_release in [false, true] {
-        let mut rig = Rig::new();
+        let mut rig = TestRouter::new();
         let request = rig.arrive("/long/", OVERSIZED);
         let placed = take_reservations(&mut rig);
         finish_reservation(&mut rig, request, true);
@@ -163,30 +163,30 @@
         rig.step(Event::Abandoned { request });
         take_orders(&mut rig);
         for _ in 0..11 {
-            rig.pass(Duration::from_millis(1_000));
+            rig.advance(Duration::from_millis(1_000));
         }
         let repeated = take_orders(&mut rig);
         let releases = repeated.iter().filter(|order| order.tokens.is_none());
         assert!(releases.clone().count() >= 5);
         assert!(releases.clone().all(|order| order.addr == placed[0].addr));
         for _ in 0..4 {
-            rig.pass(Duration::from_millis(1_000));
+            rig.advance(Duration::from_millis(1_000));
         }
         take_orders(&mut rig);
-        rig.pass(Duration::from_millis(2_000));
+        rig.advance(Duration::from_millis(2_000));
         assert!(take_orders(&mut rig).is_empty(), "repeats do not end");
     }
 }
 
 #[test]
 fn acknowledged_release_is_not_repeated() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     let request = rig.arrive("/long/", OVERSIZED);
     take_reservations(&mut rig);
     finish_reservation(&mut rig, request, true);
-    rig.end(request, AttemptEnd::Delivered { is_success: true });
+    rig.end_attempt(request, AttemptEnd::Delivered { is_success: true });
     take_orders(&mut rig);
-    rig.pass(Duration::from_millis(2_000));
+    rig.advance(Duration::from_millis(2_000));
     assert!(take_orders(&mut rig).is_empty());
 }
 
@@ -195,28 +195,28 @@
 fn reservation_ids_differ_between_nodes_and_requests() {
     let mut ids = HashSet::new();
     for name in ["entry-1", "entry-2"] {
-        let mut rig = Rig::named(name, 18);
+        let mut rig = TestRouter::with_engines(name, 18);
         for _ in 0..2 {
             let request = rig.arrive("/long/", OVERSIZED);
             let orders = take_reservations(&mut rig);
             assert!(ids.insert(orders[0].id.clone()));
             finish_reservation(&mut rig, request, true);
-            rig.end(request, AttemptEnd::Delivered { is_success: true });
+            rig.end_attempt(request, AttemptEnd::Delivered { is_success: true });
         }
     }
 }
 
 #[test]
 fn oversized_prompt_is_refused_early_on_busy_fleet() {
-    let mut rig = Rig::named("entry-1", 3);
+    let mut rig = TestRouter::with_engines("entry-1", 3);
     for _ in 0..40 {
         rig.arrive("/short/", 5_000);
     }
-    rig.sends();
+    rig.take_sends();
     let arrived = rig.now;
     rig.arrive("/long/", OVERSIZED);
     while rig.refusals().is_empty() {
-        rig.pass(Duration::from_millis(15));
+        rig.advance(Duration::from_millis(15));
     }
     assert!(rig.now.since(arrived) < Duration::from_millis(750));
     assert!(rig.refusals()[0].has_not_run());
@@ -224,8 +224,8 @@
 
 /// Guards against repeating reservations with an unreachable engine on every tick.
 #[test]
-fn an_engine_that_can_not_be_reached_gets_no_further_order_for_memory() {
-    let mut rig = Rig::new();
+fn unreachable_engine_gets_no_further_reservation_order() {
+    let mut rig = TestRouter::new();
     let request = rig.arrive("/long/", OVERSIZED);
     let unreachable_addr = take_reservations(&mut rig)[0].addr;
     let failed = FailedReservation {
@@ -238,7 +238,7 @@
     });
     let mut rounds = 0;
     for _ in 0..20 {
-        rig.pass(Duration::from_millis(15));
+        rig.advance(Duration::from_millis(15));
         let placed = take_reservations(&mut rig);
         assert!(
             placed.iter().all(|order| order.addr != unreachable_addr),
@@ -251,8 +251,8 @@
 
 /// As above for an engine without enough memory: only this request avoids it.
 #[test]
-fn an_engine_without_the_memory_is_left_out_of_the_next_round() {
-    let mut rig = Rig::new();
+fn engine_without_memory_is_excluded_from_next_reservation() {
+    let mut rig = TestRouter::new();
     let request = rig.arrive("/long/", OVERSIZED);
     let full = take_reservations(&mut rig)[0].addr;
     let failed = FailedReservation {
@@ -263,7 +263,7 @@
         request,
         failed: vec![failed],
     });
-    rig.pass(Duration::from_millis(15));
+    rig.advance(Duration::from_millis(15));
     let placed = take_reservations(&mut rig);
     assert!(!placed.is_empty());
     assert!(placed.iter().all(|order| order.addr != full));
@@ -273,11 +273,11 @@
 /// uses.
 #[test]
 fn reservation_is_not_renewed_on_restarted_engine() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     let request = rig.arrive("/long/", OVERSIZED);
     let placed = take_reservations(&mut rig);
     finish_reservation(&mut rig, request, true);
-    rig.sends();
+    rig.take_sends();
     let engine = &placed[0];
     let key = rig
         .router
@@ -291,7 +291,7 @@
     };
     rig.step(Event::Servers(ServerChange::Registered(restarted)));
     take_orders(&mut rig);
-    rig.pass(Duration::from_millis(1_600));
+    rig.advance(Duration::from_millis(1_600));
     let renewed: HashSet<_> = take_orders(&mut rig)
         .iter()
         .map(|order| order.addr)
@@ -304,24 +304,24 @@
 /// the memory again.
 #[test]
 fn reservation_expired_during_suspension_is_not_renewed() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     let request = rig.arrive("/long/", OVERSIZED);
     let placed = take_reservations(&mut rig).len();
     finish_reservation(&mut rig, request, true);
-    rig.sends();
-    rig.pass(Duration::from_millis(1_600));
+    rig.take_sends();
+    rig.advance(Duration::from_millis(1_600));
     assert_eq!(
         take_orders(&mut rig).len(),
         placed,
         "active reservations are renewed"
     );
-    rig.pass(Duration::from_millis(4_000));
+    rig.advance(Duration::from_millis(4_000));
     let renewed = take_orders(&mut rig);
     assert!(
         renewed.iter().all(|order| order.tokens.is_none()),
         "{renewed:?}"
     );
-    rig.end(request, AttemptEnd::ConnectionLost);
+    rig.end_attempt(request, AttemptEnd::ConnectionLost);
     assert_eq!(take_released(&mut rig).len(), placed);
 }
 
@@ -329,16 +329,16 @@
 /// other engines' reservations until the caller's deadline.
 #[test]
 fn memory_is_released_when_decoding_engine_is_deregistered() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     let request = rig.arrive("/long/", OVERSIZED);
     let placed = take_reservations(&mut rig).len();
     finish_reservation(&mut rig, request, true);
-    let to = rig.only_send();
-    rig.pass(Duration::from_millis(800));
+    let to = rig.take_only_send();
+    rig.advance(Duration::from_millis(800));
     take_orders(&mut rig);
     rig.step(Event::Servers(ServerChange::Removed(to.instance.clone())));
     assert_eq!(take_released(&mut rig).len(), placed);
-    rig.pass(Duration::from_millis(1_600));
+    rig.advance(Duration::from_millis(1_600));
     assert!(take_orders(&mut rig)
         .iter()
         .all(|order| order.tokens.is_none()));
@@ -348,16 +348,16 @@
 /// its memory.
 #[test]
 fn started_answer_keeps_memory_when_engine_is_deregistered() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     let request = rig.arrive("/long/", OVERSIZED);
     let placed = take_reservations(&mut rig).len();
     finish_reservation(&mut rig, request, true);
-    let to = rig.only_send();
-    rig.pass(Duration::from_millis(800));
+    let to = rig.take_only_send();
+    rig.advance(Duration::from_millis(800));
     rig.step(Event::Started { request });
     take_orders(&mut rig);
     rig.step(Event::Servers(ServerChange::Removed(to.instance.clone())));
     assert!(take_released(&mut rig).is_empty());
-    rig.pass(Duration::from_millis(1_600));
+    rig.advance(Duration::from_millis(1_600));
     assert_eq!(take_orders(&mut rig).len(), placed);
 }
--- a/crates/notchwalk_route/tests/decisions/retries.rs
+++ b/crates/notchwalk_route/tests/decisions/retries.rs
@@ -7,7 +7,7 @@
 
 use notchwalk_route::{Assignment, AttemptEnd, Effect, Refusal, RetryBudget};
 
-use crate::common::Rig;
+use crate::common::TestRouter;
 
 const REJECTED: AttemptEnd = AttemptEnd::NotRun {
     at_fault: None,
@@ -16,69 +16,69 @@
 
 #[test]
 fn non_repeatable_request_is_not_retried_after_it_may_have_run() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     let request = rig.arrive("/once/", 0);
-    rig.only_send();
-    rig.end(request, AttemptEnd::ConnectionLost);
-    assert!(rig.sends().is_empty());
+    rig.take_only_send();
+    rig.end_attempt(request, AttemptEnd::ConnectionLost);
+    assert!(rig.take_sends().is_empty());
     assert_eq!(rig.refusals(), [Refusal::Unknown]);
 }
 
 #[test]
 fn rejected_request_is_retried_on_another_server() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     let request = rig.arrive("/once/", 0);
-    let first = rig.only_send().instance;
-    rig.end(request, REJECTED);
-    assert_ne!(rig.only_send().instance, first);
-    rig.end(request, AttemptEnd::ConnectionLost);
-    assert!(rig.sends().is_empty());
+    let first = rig.take_only_send().instance;
+    rig.end_attempt(request, REJECTED);
+    assert_ne!(rig.take_only_send().instance, first);
+    rig.end_attempt(request, AttemptEnd::ConnectionLost);
+    assert!(rig.take_sends().is_empty());
     assert_eq!(rig.refusals(), [Refusal::Unknown]);
 }
 
 #[test]
 fn request_rejected_by_all_servers_is_refused_as_not_run() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     let request = rig.arrive("/once/", 0);
     while rig.refusals().is_empty() {
-        rig.only_send();
-        rig.end(request, REJECTED);
+        rig.take_only_send();
+        rig.end_attempt(request, REJECTED);
     }
     assert_eq!(rig.refusals(), [Refusal::NotRun]);
 }
 
 #[test]
 fn repeatable_request_is_attempted_up_to_route_limit() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     let request = rig.arrive("/again/", 0);
-    rig.only_send();
-    rig.end(request, AttemptEnd::ConnectionLost);
-    rig.only_send();
-    rig.end(request, AttemptEnd::ConnectionLost);
-    assert!(rig.sends().is_empty());
+    rig.take_only_send();
+    rig.end_attempt(request, AttemptEnd::ConnectionLost);
+    rig.take_only_send();
+    rig.end_attempt(request, AttemptEnd::ConnectionLost);
+    assert!(rig.take_sends().is_empty());
     assert_eq!(rig.refusals(), [Refusal::Unknown]);
 }
 
 #[test]
 fn server_error_is_delivered_after_last_attempt() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     let request = rig.arrive("/again/", 0);
-    rig.only_send();
-    rig.end(request, AttemptEnd::Failed);
-    rig.only_send();
-    rig.end(request, AttemptEnd::Failed);
+    rig.take_only_send();
+    rig.end_attempt(request, AttemptEnd::Failed);
+    rig.take_only_send();
+    rig.end_attempt(request, AttemptEnd::Failed);
     assert!(rig.effects.contains(&Effect::DeliverFailure { request }));
 }
 
 /// Guards against cancelling a slow stream that can't be sent to another server.
 #[test]
 fn attempt_is_kept_when_no_retry_is_allowed() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     let request = rig.arrive("/short/", 3_000);
-    rig.only_send();
+    rig.take_only_send();
     assert!(rig.router.may_retry_elsewhere(request, rig.now));
-    rig.end(request, AttemptEnd::ConnectionLost);
-    rig.only_send();
+    rig.end_attempt(request, AttemptEnd::ConnectionLost);
+    rig.take_only_send();
     assert!(!rig.router.may_retry_elsewhere(request, rig.now));
     let once = rig.arrive("/once/", 0);
     assert!(!rig.router.may_retry_elsewhere(once, rig.now));
@@ -87,7 +87,7 @@
 /// Guards against a budget query that counts sends outside the window.
 #[test]
 fn budget_query_ignores_sends_outside_the_window() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     let mut budget = RetryBudget::new(0.2, 0.0, Duration::from_secs(10));
     for _ in 0..100 {
         budget.record_first_attempt(rig.now);
@@ -100,17 +100,17 @@
 /// Guards against cancelling a slow attempt when no other engine is available.
 #[test]
 fn attempt_is_kept_when_no_other_server_is_available() {
-    let mut rig = Rig::named("entry-1", 1);
+    let mut rig = TestRouter::with_engines("entry-1", 1);
     for (path, tokens) in [("/short/", 3_000), ("/long/", 90_000)] {
         let request = rig.arrive(path, tokens);
-        rig.only_send();
+        rig.take_only_send();
         assert!(!rig.router.may_retry_elsewhere(request, rig.now), "{path}");
     }
 }
 
 #[test]
 fn retry_budget_bounds_retries_within_its_window() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     let mut budget = RetryBudget::new(0.2, 12.0, Duration::from_secs(10));
     for _ in 0..100 {
         budget.record_first_attempt(rig.now);
@@ -128,21 +128,21 @@
 
 #[test]
 fn request_is_not_retried_near_its_deadline() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     let request = rig.arrive("/again/", 0);
-    rig.only_send();
-    rig.pass(Duration::from_millis(9_990));
-    rig.end(request, AttemptEnd::ConnectionLost);
-    assert!(rig.sends().is_empty());
+    rig.take_only_send();
+    rig.advance(Duration::from_millis(9_990));
+    rig.end_attempt(request, AttemptEnd::ConnectionLost);
+    assert!(rig.take_sends().is_empty());
 }
 
 /// Guards against using up a prompt's attempts on a worker that has rejected it.
 #[test]
 fn prefill_worker_that_rejected_a_segment_is_not_chosen_again() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     let request = rig.arrive("/long/", 150_000);
-    let worker = rig.only_send().prefill_workers[0].addr;
-    rig.end(
+    let worker = rig.take_only_send().prefill_workers[0].addr;
+    rig.end_attempt(
         request,
         AttemptEnd::NotRun {
             at_fault: Some(worker),
@@ -153,32 +153,32 @@
         let mut workers = to.prefill_workers.iter();
         to.addr == worker || workers.any(|other| other.addr == worker)
     };
-    assert!(!uses_worker(&rig.only_send()));
+    assert!(!uses_worker(&rig.take_only_send()));
     rig.arrive("/long/", 100_000);
-    assert!(!rig.sends().iter().any(|(_, to)| uses_worker(to)));
+    assert!(!rig.take_sends().iter().any(|(_, to)| uses_worker(to)));
 }
 
 /// Guards against repeating the prefill of long prompts that are on busy engines.
 #[test]
 fn long_prompt_times_out_after_twice_its_objective() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     rig.arrive("/long/", 90_000);
-    let timeout = rig.only_send().first_output_timeout;
+    let timeout = rig.take_only_send().first_output_timeout;
     assert!(timeout >= Some(Duration::from_secs(6)), "{timeout:?}");
 }
 
 /// When several engines crash at once, each attempt names another crashed one unless the
 /// number of prefill workers shrinks.
 #[test]
-fn a_long_prompt_finds_engines_that_live_before_its_sends_run_out() {
-    let mut rig = Rig::named("entry-1", 60);
+fn long_prompt_avoids_crashed_engines_within_its_attempts() {
+    let mut rig = TestRouter::with_engines("entry-1", 60);
     let is_down = |addr: SocketAddr| match addr.ip() {
         IpAddr::V4(ip) => ip.octets()[3] % 6 == 0,
         IpAddr::V6(_) => false,
     };
     let request = rig.arrive("/long/", 250_000);
     for _ in 0..6 {
-        let to = rig.only_send();
+        let to = rig.take_only_send();
         let mut named = to.prefill_workers.iter().map(|worker| worker.addr);
         let at_fault = match is_down(to.addr) {
             true => Some(to.addr),
@@ -188,7 +188,7 @@
             return;
         }
         let moved = false;
-        rig.end(
+        rig.end_attempt(
             request,
             AttemptEnd::NotRun {
                 at_fault,
@@ -204,7 +204,7 @@
 /// discovered its peers.
 #[test]
 fn node_without_known_node_count_has_no_retry_slack() {
-    let now = Rig::new().now;
+    let now = TestRouter::new().now;
     let slack = 100.0;
     let mut budget = RetryBudget::new(0.2, slack, Duration::from_secs(10));
     assert!(!budget.take(now, None));
@@ -216,7 +216,7 @@
 /// A restarted node doesn't remember its retries and must not get the whole slack again.
 #[test]
 fn restarts_within_a_window_share_the_retry_slack() {
-    let mut now = Rig::new().now;
+    let mut now = TestRouter::new().now;
     let (slack, window) = (100.0, Duration::from_secs(10));
     let mut retries = 0;
     for _ in 0..3 {
--- a/crates/notchwalk_route/tests/decisions/routes.rs
+++ b/crates/notchwalk_route/tests/decisions/routes.rs
@@ -2,9 +2,9 @@
 
 use notchwalk_route::RouteLookup;
 
-use crate::common::{site, Rig};
+use crate::common::{site, TestRouter};
 
-fn found(rig: &Rig, host: &str, path: &str, key: Option<&str>) -> Option<String> {
+fn found(rig: &TestRouter, host: &str, path: &str, key: Option<&str>) -> Option<String> {
     match rig.router.routes().lookup(host, path, key) {
         RouteLookup::Found { route, .. } => Some(route.name.clone()),
         _ => None,
@@ -13,7 +13,7 @@
 
 #[test]
 fn longest_prefix_wins() {
-    let rig = Rig::new();
+    let rig = TestRouter::new();
     let found = |path| found(&rig, "a.example", path, Some("key"));
     assert_eq!(found("/short/x").as_deref(), Some("short"));
     assert_eq!(found("/short/special/x").as_deref(), Some("short/special"));
@@ -23,15 +23,15 @@
 
 #[test]
 fn hosts_match_without_port_and_case() {
-    let rig = Rig::new();
+    let rig = TestRouter::new();
     assert!(found(&rig, "A.Example:8080", "/short/", Some("key")).is_some());
     assert!(found(&rig, "b.example", "/short/", Some("key")).is_none());
 }
 
 #[test]
 fn key_is_required_unless_the_route_is_open() {
-    let mut rig = Rig::new();
-    let lookup = |rig: &Rig, key| rig.router.routes().lookup("a.example", "/once/", key);
+    let mut rig = TestRouter::new();
+    let lookup = |rig: &TestRouter, key| rig.router.routes().lookup("a.example", "/once/", key);
     assert!(matches!(lookup(&rig, None), RouteLookup::NoKey));
     assert!(matches!(lookup(&rig, Some("other")), RouteLookup::NoKey));
     let mut site = site();
@@ -51,7 +51,7 @@
 
 #[test]
 fn older_configuration_is_ignored() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     let mut newer = site();
     newer.version = 5;
     newer.routes.clear();
--- a/crates/notchwalk_route/tests/decisions/server_words.rs
+++ b/crates/notchwalk_route/tests/decisions/server_words.rs
@@ -4,38 +4,41 @@
 
 use notchwalk_route::{AttemptEnd, Effect, Event, Refusal, ServerChange, ServerKey, ServerNotice};
 
-use crate::common::{born, key, present, record, Rig, DESK, ENGINES};
+use crate::common::{desk, record, register, server_key, TestRouter, ENGINES, PLAIN_SERVICE};
 
-fn announce(rig: &mut Rig, service: &str, number: u8, notice: ServerNotice) {
-    let server = key(rig, service, number);
+fn announce(rig: &mut TestRouter, service: &str, number: u8, notice: ServerNotice) {
+    let server = server_key(rig, service, number);
     rig.step(Event::NoticeReceived { server, notice });
 }
 
-fn announce_draining(rig: &mut Rig, service: &str, numbers: impl IntoIterator<Item = u8>) {
+fn announce_draining(rig: &mut TestRouter, service: &str, numbers: impl IntoIterator<Item = u8>) {
     for number in numbers {
         announce(rig, service, number, ServerNotice::Draining);
     }
 }
 
 /// Returns whether any of 30 concurrent calls is sent to a server.
-fn is_used(rig: &mut Rig, instance: &str) -> bool {
+fn is_used(rig: &mut TestRouter, instance: &str) -> bool {
     let calls: Vec<_> = (0..30).map(|_| rig.arrive("/again/", 0)).collect();
-    let used = rig.sends().iter().any(|(_, to)| to.instance == instance);
+    let used = rig
+        .take_sends()
+        .iter()
+        .any(|(_, to)| to.instance == instance);
     for request in calls {
-        rig.end(request, AttemptEnd::Delivered { is_success: true });
+        rig.end_attempt(request, AttemptEnd::Delivered { is_success: true });
     }
     used
 }
 
-fn announce_back_off(rig: &mut Rig, number: u8, seconds: u64) {
+fn announce_back_off(rig: &mut TestRouter, number: u8, seconds: u64) {
     let notice = ServerNotice::BackOff(Duration::from_secs(seconds));
-    announce(rig, DESK, number, notice);
+    announce(rig, PLAIN_SERVICE, number, notice);
 }
 
 #[test]
 fn draining_server_receives_no_first_attempt() {
-    let mut rig = Rig::new();
-    announce_draining(&mut rig, DESK, [0]);
+    let mut rig = TestRouter::new();
+    announce_draining(&mut rig, PLAIN_SERVICE, [0]);
     assert!(!is_used(&mut rig, "desk-0"));
 }
 
@@ -43,9 +46,9 @@
 /// the higher one, is draining. Returns the server of the second attempt and the expected
 /// one.
 fn second_attempt(service: &str, path: &str, tokens: u32, lower: bool) -> (String, String) {
-    let mut rig = Rig::named("entry-1", 3);
+    let mut rig = TestRouter::with_engines("entry-1", 3);
     let request = rig.arrive(path, tokens);
-    let first = rig.only_send().instance;
+    let first = rig.take_only_send().instance;
     if tokens > 0 {
         rig.step(Event::Started { request });
     }
@@ -55,9 +58,9 @@
         others.reverse();
     }
     announce_draining(&mut rig, service, [others[0]]);
-    rig.end(request, AttemptEnd::ConnectionLost);
+    rig.end_attempt(request, AttemptEnd::ConnectionLost);
     (
-        rig.only_send().instance,
+        rig.take_only_send().instance,
         record(service, others[1]).instance,
     )
 }
@@ -65,7 +68,7 @@
 #[test]
 fn retry_is_not_sent_to_a_draining_server() {
     for lower in [false, true] {
-        let (actual, expected) = second_attempt(DESK, "/again/", 0, lower);
+        let (actual, expected) = second_attempt(PLAIN_SERVICE, "/again/", 0, lower);
         assert_eq!(actual, expected);
     }
 }
@@ -80,10 +83,10 @@
 
 #[test]
 fn draining_engine_is_no_prefill_worker_for_a_long_prompt() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     announce_draining(&mut rig, ENGINES, 0..12);
     rig.arrive("/long/", 154_000);
-    let to = rig.only_send();
+    let to = rig.take_only_send();
     assert!(!to.prefill_workers.is_empty(), "the prompt is not split");
     let addrs = to.prefill_workers.iter().map(|worker| worker.addr);
     let draining: Vec<_> = (0..12).map(|n| record(ENGINES, n).addr).collect();
@@ -94,7 +97,7 @@
 /// there, and the memory is released.
 #[test]
 fn request_moves_if_an_engine_drains_during_its_reservation() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     let request = rig.arrive("/long/", 600_000);
     let reserve = |effect: &Effect| match effect {
         Effect::Reserve { orders, .. } => Some(orders.clone()),
@@ -117,13 +120,13 @@
         request,
         failed: Vec::new(),
     });
-    assert!(rig.sends().is_empty(), "sent to a draining engine");
+    assert!(rig.take_sends().is_empty(), "sent to a draining engine");
     let released = rig.effects.iter().filter(
         |effect| matches!(effect, Effect::Order(order) if order.tokens.is_none() && order.addr == addr),
     );
     assert_eq!(released.count(), 1);
     rig.effects.clear();
-    rig.pass(Duration::from_millis(50));
+    rig.advance(Duration::from_millis(50));
     let orders = rig
         .effects
         .iter()
@@ -135,25 +138,25 @@
 /// The registration in the store may be older than the server's notice.
 #[test]
 fn registration_as_ready_does_not_end_draining() {
-    let mut rig = Rig::new();
-    announce_draining(&mut rig, DESK, [0]);
-    present(&mut rig, record(DESK, 0));
+    let mut rig = TestRouter::new();
+    announce_draining(&mut rig, PLAIN_SERVICE, [0]);
+    register(&mut rig, record(PLAIN_SERVICE, 0));
     assert!(!is_used(&mut rig, "desk-0"));
-    let servers = (0..3).map(|number| record(DESK, number)).collect();
+    let servers = (0..3).map(|number| record(PLAIN_SERVICE, number)).collect();
     rig.step(Event::Servers(ServerChange::All(servers)));
     assert!(!is_used(&mut rig, "desk-0"));
-    rig.pass(Duration::from_secs(60));
+    rig.advance(Duration::from_secs(60));
     assert!(!is_used(&mut rig, "desk-0"));
 }
 
 #[test]
 fn next_incarnation_of_a_draining_server_is_used() {
-    let mut rig = Rig::new();
-    present(&mut rig, born(0, 1_000));
-    announce_draining(&mut rig, DESK, [0]);
-    present(&mut rig, born(0, 1_000));
+    let mut rig = TestRouter::new();
+    register(&mut rig, desk(0, 1_000));
+    announce_draining(&mut rig, PLAIN_SERVICE, [0]);
+    register(&mut rig, desk(0, 1_000));
     assert!(!is_used(&mut rig, "desk-0"));
-    present(&mut rig, born(0, 2_000));
+    register(&mut rig, desk(0, 2_000));
     assert!(is_used(&mut rig, "desk-0"));
 }
 
@@ -161,61 +164,61 @@
 /// incarnation.
 #[test]
 fn draining_incarnation_is_not_used_after_it_registers_again() {
-    let mut rig = Rig::new();
-    present(&mut rig, born(0, 1_000));
-    announce_draining(&mut rig, DESK, [0]);
+    let mut rig = TestRouter::new();
+    register(&mut rig, desk(0, 1_000));
+    announce_draining(&mut rig, PLAIN_SERVICE, [0]);
     rig.step(Event::Servers(ServerChange::Removed("desk-0".to_owned())));
-    present(&mut rig, born(0, 1_000));
+    register(&mut rig, desk(0, 1_000));
     assert!(!is_used(&mut rig, "desk-0"));
     rig.step(Event::Servers(ServerChange::Removed("desk-0".to_owned())));
-    present(&mut rig, born(0, 2_000));
+    register(&mut rig, desk(0, 2_000));
     assert!(is_used(&mut rig, "desk-0"));
 }
 
 /// A server without a start time counts as a new incarnation when it registers again.
 #[test]
 fn draining_server_without_start_time_is_used_after_it_registers_again() {
-    let mut rig = Rig::new();
-    announce_draining(&mut rig, DESK, [0]);
+    let mut rig = TestRouter::new();
+    announce_draining(&mut rig, PLAIN_SERVICE, [0]);
     rig.step(Event::Servers(ServerChange::Removed("desk-0".to_owned())));
-    present(&mut rig, record(DESK, 0));
+    register(&mut rig, record(PLAIN_SERVICE, 0));
     assert!(is_used(&mut rig, "desk-0"));
 }
 
 #[test]
 fn server_that_asks_to_back_off_receives_nothing_until_the_time_is_over() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     announce_back_off(&mut rig, 0, 3);
     assert!(!is_used(&mut rig, "desk-0"));
-    rig.pass(Duration::from_millis(2_900));
+    rig.advance(Duration::from_millis(2_900));
     assert!(!is_used(&mut rig, "desk-0"));
-    rig.pass(Duration::from_millis(200));
+    rig.advance(Duration::from_millis(200));
     assert!(is_used(&mut rig, "desk-0"));
 }
 
 #[test]
 fn shorter_back_off_does_not_replace_a_longer_one() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     announce_back_off(&mut rig, 0, 3);
     announce_back_off(&mut rig, 0, 1);
-    rig.pass(Duration::from_secs(2));
+    rig.advance(Duration::from_secs(2));
     assert!(!is_used(&mut rig, "desk-0"));
 }
 
 #[test]
 fn next_incarnation_ends_the_back_off() {
-    let mut rig = Rig::new();
-    present(&mut rig, born(0, 1_000));
+    let mut rig = TestRouter::new();
+    register(&mut rig, desk(0, 1_000));
     announce_back_off(&mut rig, 0, 600);
     assert!(!is_used(&mut rig, "desk-0"));
-    present(&mut rig, born(0, 2_000));
+    register(&mut rig, desk(0, 2_000));
     assert!(is_used(&mut rig, "desk-0"));
 }
 
-fn refused(rig: &mut Rig, path: &str, tokens: u32) -> (Refusal, Option<Duration>) {
+fn refused(rig: &mut TestRouter, path: &str, tokens: u32) -> (Refusal, Option<Duration>) {
     rig.effects.clear();
     rig.arrive(path, tokens);
-    assert!(rig.sends().is_empty());
+    assert!(rig.take_sends().is_empty());
     let refused = rig.effects.iter().find_map(|effect| match effect {
         Effect::Refuse {
             reason,
@@ -230,7 +233,7 @@
 /// Holding the requests until their deadlines would only delay the refusals.
 #[test]
 fn requests_are_refused_with_the_shortest_retry_after_if_all_servers_back_off() {
-    let mut rig = Rig::named("entry-1", 3);
+    let mut rig = TestRouter::with_engines("entry-1", 3);
     for number in 0..3 {
         announce_back_off(&mut rig, number, 5 + u64::from(number));
         let notice = ServerNotice::BackOff(Duration::from_secs(7 + u64::from(number)));
@@ -246,7 +249,7 @@
 
 #[test]
 fn requests_are_refused_immediately_if_all_servers_are_draining() {
-    let mut rig = Rig::named("entry-1", 3);
+    let mut rig = TestRouter::with_engines("entry-1", 3);
     announce_draining(&mut rig, ENGINES, 0..3);
     for (path, tokens) in [("/short/", 3_000), ("/long/", 154_000), ("/long/", 600_000)] {
         let (reason, retry_after) = refused(&mut rig, path, tokens);
@@ -258,16 +261,16 @@
 /// A failure rate that only successes can lower keeps a recovered server unused.
 #[test]
 fn failed_server_is_used_again_after_some_time() {
-    let mut rig = Rig::new();
-    let failing = key(&rig, DESK, 0);
+    let mut rig = TestRouter::new();
+    let failing = server_key(&rig, PLAIN_SERVICE, 0);
     for _ in 0..4 {
         let calls: Vec<_> = (0..30).map(|_| rig.arrive("/again/", 0)).collect();
-        for (request, to) in rig.sends() {
+        for (request, to) in rig.take_sends() {
             let end = match to.server == failing {
                 true => AttemptEnd::ConnectionLost,
                 false => AttemptEnd::Delivered { is_success: true },
             };
-            rig.end(request, end);
+            rig.end_attempt(request, end);
         }
         for request in calls {
             rig.step(Event::Abandoned { request });
@@ -277,24 +280,24 @@
             !is_used(&mut rig, "desk-0"),
             "the failing server is still used"
         );
-        rig.pass(Duration::from_secs(4));
+        rig.advance(Duration::from_secs(4));
     }
     // Its ejection is over by then.
-    rig.pass(Duration::from_secs(10));
+    rig.advance(Duration::from_secs(10));
     assert!(is_used(&mut rig, "desk-0"));
 }
 
 /// Failures long ago do not count as consecutive with a new one.
 #[test]
 fn single_failure_long_after_others_does_not_eject_a_server() {
-    let mut rig = Rig::new();
-    let failing = key(&rig, DESK, 0);
-    let fails_and_is_ejected = |rig: &mut Rig| {
+    let mut rig = TestRouter::new();
+    let failing = server_key(&rig, PLAIN_SERVICE, 0);
+    let fails_and_is_ejected = |rig: &mut TestRouter| {
         let calls: Vec<_> = (0..30).map(|_| rig.arrive("/again/", 0)).collect();
-        let sends = rig.sends();
+        let sends = rig.take_sends();
         let broken = sends.iter().find(|(_, to)| to.server == failing);
         let (broken, _) = broken.expect("the server is not used");
-        rig.end(*broken, AttemptEnd::ConnectionLost);
+        rig.end_attempt(*broken, AttemptEnd::ConnectionLost);
         for request in calls {
             rig.step(Event::Abandoned { request });
         }
@@ -307,17 +310,17 @@
         fails_and_is_ejected(&mut rig),
         "not ejected after two consecutive failures"
     );
-    rig.pass(Duration::from_secs(60));
+    rig.advance(Duration::from_secs(60));
     assert!(!fails_and_is_ejected(&mut rig));
 }
 
 /// Fails a server's calls until it is ejected.
-fn fail_until_ejected(rig: &mut Rig, failing: ServerKey) {
+fn fail_until_ejected(rig: &mut TestRouter, failing: ServerKey) {
     for _ in 0..2 {
         let calls: Vec<_> = (0..30).map(|_| rig.arrive("/again/", 0)).collect();
-        for (request, to) in rig.sends() {
+        for (request, to) in rig.take_sends() {
             if to.server == failing {
-                rig.end(request, AttemptEnd::ConnectionLost);
+                rig.end_attempt(request, AttemptEnd::ConnectionLost);
             }
         }
         for request in calls {
@@ -331,12 +334,12 @@
 /// outlast the ejection.
 #[test]
 fn failed_server_is_used_at_light_load_after_its_ejection() {
-    let mut rig = Rig::new();
-    let failing = key(&rig, DESK, 0);
+    let mut rig = TestRouter::new();
+    let failing = server_key(&rig, PLAIN_SERVICE, 0);
     fail_until_ejected(&mut rig, failing);
-    rig.pass(Duration::from_millis(4_100));
+    rig.advance(Duration::from_millis(4_100));
     let calls: Vec<_> = (0..4).map(|_| rig.arrive("/again/", 0)).collect();
-    let used = rig.sends().iter().any(|(_, to)| to.server == failing);
+    let used = rig.take_sends().iter().any(|(_, to)| to.server == failing);
     assert!(used);
     assert_eq!(calls.len(), 4);
 }
@@ -344,20 +347,20 @@
 /// A server that still hangs must not receive as many requests as it has free capacity.
 #[test]
 fn server_after_its_ejection_receives_one_request_until_it_responds() {
-    let mut rig = Rig::new();
-    let failing = key(&rig, DESK, 0);
+    let mut rig = TestRouter::new();
+    let failing = server_key(&rig, PLAIN_SERVICE, 0);
     fail_until_ejected(&mut rig, failing);
-    rig.pass(Duration::from_millis(4_100));
+    rig.advance(Duration::from_millis(4_100));
     let _calls: Vec<_> = (0..30).map(|_| rig.arrive("/again/", 0)).collect();
-    let sends = rig.sends();
+    let sends = rig.take_sends();
     let there: Vec<_> = sends
         .iter()
         .filter(|(_, to)| to.server == failing)
         .collect();
     assert_eq!(there.len(), 1);
-    rig.end(there[0].0, AttemptEnd::Delivered { is_success: true });
+    rig.end_attempt(there[0].0, AttemptEnd::Delivered { is_success: true });
     let _calls: Vec<_> = (0..30).map(|_| rig.arrive("/again/", 0)).collect();
-    let sends = rig.sends();
+    let sends = rig.take_sends();
     let there = sends.iter().filter(|(_, to)| to.server == failing);
     assert!(there.count() > 5, "not used after a success");
 }
--- a/crates/notchwalk_route/tests/decisions/shares.rs
+++ b/crates/notchwalk_route/tests/decisions/shares.rs
@@ -8,7 +8,7 @@
 use notchwalk_core::Instant;
 use notchwalk_route::{AttemptEnd, Effect, Event, RequestKey, WorkspaceTag};
 
-use crate::common::Rig;
+use crate::common::TestRouter;
 
 const TICK: Duration = Duration::from_millis(15);
 /// Latency objective of short requests.
@@ -39,7 +39,7 @@
 
 /// Simulates 8 s of these demands.
 fn simulate(demands: &[Demand]) -> HashMap<&'static str, Counts> {
-    let mut rig = Rig::named("entry-1", 4);
+    let mut rig = TestRouter::with_engines("entry-1", 4);
     let mut workspace_of: HashMap<RequestKey, &str> = HashMap::new();
     let mut counts: HashMap<&str, Counts> = HashMap::new();
     let mut running: Vec<(Instant, RequestKey)> = Vec::new();
@@ -52,8 +52,8 @@
                 counts.entry(demand.workspace).or_default().arrived += 1;
             }
         }
-        rig.pass(TICK);
-        for (key, to) in rig.sends() {
+        rig.advance(TICK);
+        for (key, to) in rig.take_sends() {
             let counts = counts.entry(workspace_of[&key]).or_default();
             counts.sent += 1;
             counts.in_time += usize::from(to.predicted_first_event <= OBJECTIVE);
@@ -66,7 +66,7 @@
         let ended: Vec<RequestKey> = ended.map(|(_, key)| *key).collect();
         running.retain(|(at, _)| *at > now);
         for key in ended {
-            rig.end(key, AttemptEnd::Delivered { is_success: true });
+            rig.end_attempt(key, AttemptEnd::Delivered { is_success: true });
         }
         rig.effects.retain(|e| !matches!(e, Effect::Order(_)));
     }
@@ -110,11 +110,11 @@
 /// Shares must not limit a workspace while there is free capacity.
 #[test]
 fn single_workspace_may_use_all_engines() {
-    let mut rig = Rig::named("entry-1", 4);
+    let mut rig = TestRouter::with_engines("entry-1", 4);
     rig.workspace = WorkspaceTag::of("flood");
     for _ in 0..50 {
         rig.arrive("/short/", 5_000);
-        rig.pass(TICK);
+        rig.advance(TICK);
     }
-    assert_eq!(rig.sends().len(), 50);
+    assert_eq!(rig.take_sends().len(), 50);
 }
--- a/crates/notchwalk_route/tests/decisions/suspects.rs
+++ b/crates/notchwalk_route/tests/decisions/suspects.rs
@@ -8,7 +8,7 @@
     AttemptEnd, Effect, Event, Refusal, RequestKey, ServerChange, ServerRecord, ServerStage,
 };
 
-use crate::common::{content, record, tally, Rig, DESK, ENGINES};
+use crate::common::{content, count_by_server, record, TestRouter, ENGINES, PLAIN_SERVICE};
 
 const MOVED: AttemptEnd = AttemptEnd::NotRun {
     at_fault: None,
@@ -20,54 +20,54 @@
 }
 
 /// Sends a request with this content.
-fn arrive(rig: &mut Rig, path: &str, tokens: u32, content: Fingerprint) -> RequestKey {
+fn arrive(rig: &mut TestRouter, path: &str, tokens: u32, content: Fingerprint) -> RequestKey {
     rig.content = Some(content);
     let request = rig.arrive(path, tokens);
     rig.content = None;
     request
 }
 
-fn is_quarantined(rig: &Rig, content: Fingerprint) -> bool {
+fn is_quarantined(rig: &TestRouter, content: Fingerprint) -> bool {
     let verdict = rig.router.quarantine().verdict(content, rig.now);
     matches!(verdict, Verdict::Quarantined { .. })
 }
 
 /// Deregisters a server that has crashed.
-fn remove_server(rig: &mut Rig, instance: &str) {
+fn remove_server(rig: &mut TestRouter, instance: &str) {
     let change = ServerChange::Removed(instance.to_owned());
     rig.step(Event::Servers(change));
 }
 
 /// Sends requests with the crashing content until none is dispatched; returns the number of
 /// crashed servers.
-fn crash_servers(rig: &mut Rig, path: &str, tokens: u32) -> usize {
+fn crash_servers(rig: &mut TestRouter, path: &str, tokens: u32) -> usize {
     let mut crashes = 0;
     for _ in 0..10 {
         let request = arrive(rig, path, tokens, crashing_content());
         loop {
-            let mut sends = rig.sends();
+            let mut sends = rig.take_sends();
             let Some((_, to)) = sends.pop() else { break };
             crashes += 1;
-            rig.pass(Duration::from_millis(120));
-            rig.end(request, AttemptEnd::ConnectionLost);
+            rig.advance(Duration::from_millis(120));
+            rig.end_attempt(request, AttemptEnd::ConnectionLost);
             remove_server(rig, &to.instance);
-            rig.pass(Duration::from_millis(30));
+            rig.advance(Duration::from_millis(30));
         }
     }
     // Long enough to rule out that other servers ended at the same moment.
-    rig.pass(Duration::from_millis(200));
+    rig.advance(Duration::from_millis(200));
     crashes
 }
 
 #[test]
 fn content_that_crashed_three_servers_is_quarantined() {
     for (path, tokens) in [("/again/", 0), ("/short/", 3_000), ("/long/", 150_000)] {
-        let mut rig = Rig::new();
+        let mut rig = TestRouter::new();
         // The plain service has three servers.
         assert_eq!(crash_servers(&mut rig, path, tokens), 3, "{path}");
         rig.effects.clear();
         arrive(&mut rig, path, tokens, crashing_content());
-        assert!(rig.sends().is_empty(), "{path}");
+        assert!(rig.take_sends().is_empty(), "{path}");
         assert_eq!(rig.refusals(), [Refusal::Quarantined], "{path}");
     }
 }
@@ -75,14 +75,14 @@
 /// Non-repeatable requests are sent once per attempt of the caller.
 #[test]
 fn crashes_of_non_repeatable_requests_are_counted() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     assert_eq!(crash_servers(&mut rig, "/once/", 0), 3);
     assert!(is_quarantined(&rig, crashing_content()));
 }
 
 #[test]
 fn quarantined_request_is_refused_with_retry_after() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     crash_servers(&mut rig, "/short/", 3_000);
     rig.effects.clear();
     let request = arrive(&mut rig, "/short/", 3_000, crashing_content());
@@ -98,15 +98,15 @@
     assert!(left > Duration::from_secs(590) && left <= Duration::from_secs(600));
     // Other requests of the same workspace and route are served.
     rig.arrive("/short/", 3_000);
-    rig.only_send();
+    rig.take_only_send();
 }
 
 /// Applies to requests with an attempt in progress.
 #[test]
 fn quarantine_from_peer_prevents_retry() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     let request = arrive(&mut rig, "/short/", 3_000, crashing_content());
-    rig.only_send();
+    rig.take_only_send();
     let updates = vec![QuarantineUpdate::Quarantined {
         content: crashing_content(),
         age_ms: 5,
@@ -114,25 +114,25 @@
         times: 1,
     }];
     rig.step(Event::QuarantineUpdates { peer: 1, updates });
-    rig.pass(Duration::from_millis(50));
-    rig.end(request, AttemptEnd::ConnectionLost);
-    assert!(rig.sends().is_empty());
+    rig.advance(Duration::from_millis(50));
+    rig.end_attempt(request, AttemptEnd::ConnectionLost);
+    assert!(rig.take_sends().is_empty());
     assert_eq!(rig.refusals(), [Refusal::Quarantined]);
 }
 
 /// The second and third attempts go to servers with the fewest other requests.
 #[test]
 fn suspect_is_sent_to_least_loaded_server() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     for _ in 0..30 {
         rig.arrive("/short/", 5_000);
     }
-    let others = tally(&rig.sends());
+    let others = count_by_server(&rig.take_sends());
     let first = arrive(&mut rig, "/short/", 3_000, crashing_content());
-    let at_first = rig.only_send().instance;
-    rig.pass(Duration::from_millis(100));
-    rig.end(first, AttemptEnd::ConnectionLost);
-    let at_second = rig.only_send().instance;
+    let at_first = rig.take_only_send().instance;
+    rig.advance(Duration::from_millis(100));
+    rig.end_attempt(first, AttemptEnd::ConnectionLost);
+    let at_second = rig.take_only_send().instance;
     let running_on = |instance: &String| others.get(instance).copied().unwrap_or(0);
     let (more, fewer) = (running_on(&at_first), running_on(&at_second));
     assert!(
@@ -140,11 +140,11 @@
         "{more} requests with the first attempt, {fewer} with the second"
     );
     remove_server(&mut rig, &at_first);
-    rig.pass(Duration::from_millis(100));
-    rig.end(first, AttemptEnd::ConnectionLost);
+    rig.advance(Duration::from_millis(100));
+    rig.end_attempt(first, AttemptEnd::ConnectionLost);
     remove_server(&mut rig, &at_second);
     arrive(&mut rig, "/short/", 3_000, crashing_content());
-    let at_third = rig.only_send().instance;
+    let at_third = rig.take_only_send().instance;
     let fewest = others.values().copied().min();
     assert_eq!(
         others.get(&at_third).copied(),
@@ -155,26 +155,26 @@
 
 #[test]
 fn suspect_prompt_is_not_split() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     let request = arrive(&mut rig, "/long/", 150_000, crashing_content());
-    let first = rig.only_send();
+    let first = rig.take_only_send();
     assert!(!first.prefill_workers.is_empty());
-    rig.pass(Duration::from_millis(500));
-    rig.end(request, AttemptEnd::ConnectionLost);
+    rig.advance(Duration::from_millis(500));
+    rig.end_attempt(request, AttemptEnd::ConnectionLost);
     remove_server(&mut rig, &first.instance);
-    rig.pass(Duration::from_millis(200));
-    let second = rig.only_send();
+    rig.advance(Duration::from_millis(200));
+    let second = rig.take_only_send();
     assert!(second.prefill_workers.is_empty(), "{second:?}");
 }
 
 /// The crashed engine is identified by its deregistration.
 #[test]
 fn crash_of_prefill_worker_is_counted() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     let mut lost = 0;
     for _ in 0..6 {
         let request = arrive(&mut rig, "/long/", 150_000, crashing_content());
-        let mut sends = rig.sends();
+        let mut sends = rig.take_sends();
         let Some((_, to)) = sends.pop() else { break };
         lost += 1;
         let crashed = match to.prefill_workers.first() {
@@ -189,12 +189,12 @@
             }
             None => to.instance.clone(),
         };
-        rig.pass(Duration::from_millis(700));
-        rig.end(request, AttemptEnd::ConnectionLost);
-        rig.sends();
+        rig.advance(Duration::from_millis(700));
+        rig.end_attempt(request, AttemptEnd::ConnectionLost);
+        rig.take_sends();
         remove_server(&mut rig, &crashed);
         rig.step(Event::Abandoned { request });
-        rig.pass(Duration::from_millis(300));
+        rig.advance(Duration::from_millis(300));
     }
     assert_eq!(lost, 3);
     assert!(is_quarantined(&rig, crashing_content()));
@@ -203,10 +203,10 @@
 /// A draining server cancels unfinished requests and deregisters.
 #[test]
 fn end_of_draining_server_is_not_a_crash() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     for round in 0..6 {
         let request = arrive(&mut rig, "/short/", 3_000, crashing_content());
-        let instance = rig.only_send().instance;
+        let instance = rig.take_only_send().instance;
         let number: u8 = instance
             .trim_start_matches("engines-")
             .parse()
@@ -220,12 +220,12 @@
         } else {
             remove_server(&mut rig, &instance);
         }
-        rig.pass(Duration::from_millis(300));
-        rig.end(request, AttemptEnd::ConnectionLost);
+        rig.advance(Duration::from_millis(300));
+        rig.end_attempt(request, AttemptEnd::ConnectionLost);
         remove_server(&mut rig, &instance);
         rig.step(Event::Abandoned { request });
         rig.effects.clear();
-        rig.pass(Duration::from_millis(300));
+        rig.advance(Duration::from_millis(300));
     }
     let verdict = rig.router.quarantine().verdict(crashing_content(), rig.now);
     assert_eq!(verdict, Verdict::Allowed);
@@ -234,14 +234,14 @@
 /// Unusable answers show that the server is running.
 #[test]
 fn unusable_answer_is_not_a_crash() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     for _ in 0..4 {
         let request = arrive(&mut rig, "/again/", 0, crashing_content());
-        while !rig.sends().is_empty() {
-            rig.pass(Duration::from_millis(100));
-            rig.end(request, AttemptEnd::InvalidResponse);
+        while !rig.take_sends().is_empty() {
+            rig.advance(Duration::from_millis(100));
+            rig.end_attempt(request, AttemptEnd::InvalidResponse);
         }
-        rig.pass(Duration::from_secs(2));
+        rig.advance(Duration::from_secs(2));
     }
     let verdict = rig.router.quarantine().verdict(crashing_content(), rig.now);
     assert_eq!(verdict, Verdict::Allowed);
@@ -251,31 +251,31 @@
 fn desk(number: u8, born: u64) -> ServerRecord {
     ServerRecord {
         started_ms: Some(born),
-        ..record(DESK, number)
+        ..record(PLAIN_SERVICE, number)
     }
 }
 
 /// A server may restart under its id before the broken connection is detected.
 #[test]
 fn new_incarnation_confirms_a_crash() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     for number in 0..3 {
         rig.step(Event::Servers(ServerChange::Registered(desk(number, 1))));
     }
     // Incarnations that ended shortly before would count in the request's favour.
-    rig.pass(Duration::from_secs(5));
+    rig.advance(Duration::from_secs(5));
     for round in 0..3 {
         let request = arrive(&mut rig, "/again/", 0, crashing_content());
-        let instance = rig.only_send().instance;
+        let instance = rig.take_only_send().instance;
         let number: u8 = instance.trim_start_matches("desk-").parse().unwrap();
-        rig.pass(Duration::from_millis(100));
+        rig.advance(Duration::from_millis(100));
         let restarted = desk(number, 10 + round);
         rig.step(Event::Servers(ServerChange::Registered(restarted)));
-        rig.pass(Duration::from_millis(20));
-        rig.end(request, AttemptEnd::ConnectionLost);
-        rig.sends();
+        rig.advance(Duration::from_millis(20));
+        rig.end_attempt(request, AttemptEnd::ConnectionLost);
+        rig.take_sends();
         rig.step(Event::Abandoned { request });
-        rig.pass(Duration::from_millis(200));
+        rig.advance(Duration::from_millis(200));
     }
     assert!(is_quarantined(&rig, crashing_content()));
 }
@@ -283,22 +283,22 @@
 /// Failures belong to one incarnation of a server.
 #[test]
 fn new_incarnation_has_no_failure_history() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     for number in 0..3 {
         rig.step(Event::Servers(ServerChange::Registered(desk(number, 1))));
     }
     let request = rig.arrive("/once/", 0);
-    let instance = rig.only_send().instance;
+    let instance = rig.take_only_send().instance;
     let number: u8 = instance.trim_start_matches("desk-").parse().unwrap();
     // The server is unreachable, so it gets no work.
-    rig.end(request, AttemptEnd::NotConnected);
+    rig.end_attempt(request, AttemptEnd::NotConnected);
     let fleet = rig.router.fleet();
     let is_closed = |now: Instant| {
         let mut servers = fleet.iter();
         servers.any(|(_, server)| server.record.instance == instance && !server.is_available(now))
     };
     assert!(is_closed(rig.now));
-    rig.sends();
+    rig.take_sends();
     rig.step(Event::Abandoned { request });
     let draining = ServerRecord {
         stage: ServerStage::Leaving,
@@ -317,7 +317,7 @@
     assert_eq!(load.occupied(), 0);
     drop(servers);
     // Registering the same incarnation again keeps its key.
-    let key_again = |rig: &Rig| {
+    let key_again = |rig: &TestRouter| {
         let mut servers = rig.router.fleet().iter();
         let found = servers.find(|(_, server)| server.record.instance == instance);
         found.map(|(key, _)| key)
@@ -329,26 +329,30 @@
 /// A node that can't connect may itself be cut off from the network.
 #[test]
 fn server_that_answers_others_has_not_crashed() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     let mut others = Vec::new();
     for _ in 0..3 {
         others.push(rig.arrive("/again/", 0));
     }
-    let instances: Vec<String> = rig.sends().into_iter().map(|(_, to)| to.instance).collect();
+    let instances: Vec<String> = rig
+        .take_sends()
+        .into_iter()
+        .map(|(_, to)| to.instance)
+        .collect();
     assert_eq!(instances.len(), 3);
-    rig.pass(Duration::from_millis(100));
+    rig.advance(Duration::from_millis(100));
     let mut seen = Vec::new();
     for _ in 0..3 {
         let request = arrive(&mut rig, "/once/", 0, crashing_content());
-        seen.extend(rig.sends().into_iter().map(|(_, to)| to.instance));
-        rig.pass(Duration::from_millis(60));
-        rig.end(request, AttemptEnd::ConnectionLost);
+        seen.extend(rig.take_sends().into_iter().map(|(_, to)| to.instance));
+        rig.advance(Duration::from_millis(60));
+        rig.end_attempt(request, AttemptEnd::ConnectionLost);
         rig.effects.clear();
-        rig.pass(Duration::from_millis(60));
+        rig.advance(Duration::from_millis(60));
     }
-    rig.pass(Duration::from_millis(100));
+    rig.advance(Duration::from_millis(100));
     for other in others {
-        rig.end(other, AttemptEnd::Delivered { is_success: true });
+        rig.end_attempt(other, AttemptEnd::Delivered { is_success: true });
     }
     let verdict = rig.router.quarantine().verdict(crashing_content(), rig.now);
     assert_eq!(verdict, Verdict::Allowed, "{seen:?}");
@@ -356,36 +360,36 @@
 
 #[test]
 fn server_replaced_at_its_address_has_ended() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     for _ in 0..3 {
         let request = arrive(&mut rig, "/once/", 0, crashing_content());
-        let instance = rig.only_send().instance;
-        rig.pass(Duration::from_millis(100));
-        rig.end(request, AttemptEnd::ConnectionLost);
+        let instance = rig.take_only_send().instance;
+        rig.advance(Duration::from_millis(100));
+        rig.end_attempt(request, AttemptEnd::ConnectionLost);
         rig.effects.clear();
-        rig.pass(Duration::from_millis(200));
+        rig.advance(Duration::from_millis(200));
         // Another request finds a different instance at the address.
         loop {
             let probe = rig.arrive("/once/", 0);
-            let found = rig.only_send().instance;
+            let found = rig.take_only_send().instance;
             match found == instance {
                 true => {
-                    rig.end(probe, MOVED);
+                    rig.end_attempt(probe, MOVED);
                     rig.effects.clear();
                     rig.step(Event::Abandoned { request: probe });
                     break;
                 }
-                false => rig.pass(Duration::from_millis(1)),
+                false => rig.advance(Duration::from_millis(1)),
             }
         }
     }
-    rig.pass(Duration::from_millis(200));
+    rig.advance(Duration::from_millis(200));
     assert!(is_quarantined(&rig, crashing_content()));
 }
 
 #[test]
 fn findings_are_emitted_as_effects() {
-    let mut rig = Rig::new();
+    let mut rig = TestRouter::new();
     crash_servers(&mut rig, "/short/", 3_000);
     let found = rig.effects.iter().filter_map(|effect| match effect {
         Effect::Finding(finding) => Some(finding),
@@ -402,8 +406,8 @@
 fn requests_from_one_crash_are_retried_on_different_servers() {
     /// Nodes, each with one request on the crashing server.
     const NODES: usize = 6;
-    let mut rigs: Vec<Rig> = (0..NODES)
-        .map(|number| Rig::named(&format!("entry-{number}"), 18))
+    let mut rigs: Vec<TestRouter> = (0..NODES)
+        .map(|number| TestRouter::with_engines(&format!("entry-{number}"), 18))
         .collect();
     let mut requests = Vec::new();
     for (number, rig) in rigs.iter_mut().enumerate() {
@@ -413,10 +417,10 @@
     let mut servers: Vec<Vec<String>> = vec![Vec::new(); NODES];
     for _ in 0..2 {
         for ((rig, servers), &request) in rigs.iter_mut().zip(&mut servers).zip(&requests) {
-            let to = rig.only_send();
+            let to = rig.take_only_send();
             servers.push(to.instance);
-            rig.pass(Duration::from_millis(100));
-            rig.end(request, AttemptEnd::ConnectionLost);
+            rig.advance(Duration::from_millis(100));
+            rig.end_attempt(request, AttemptEnd::ConnectionLost);
         }
     }
     let next: Vec<&String> = servers.iter().map(|servers| &servers[1]).collect();
