--- a/crates/notchwalk_relay/src/answer.rs
+++ b/crates/notchwalk_relay/src/answer.rs
@@ -6,7 +6,7 @@
 
 /// How a backend response is to be treated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AnswerWord {
+pub enum ResponseKind {
     /// The response to the request.
     Success,
     /// The server's own error; the request counts as executed.
@@ -16,51 +16,51 @@
     /// The address now belongs to another instance; the request was not executed.
     Moved,
     /// The response belongs to another request.
-    Foreign,
+    Mismatched,
     /// Not a valid server response: mandatory headers are missing.
-    Unusable,
+    InvalidResponse,
 }
 
 /// The decoded head of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AnswerFacts {
+pub struct ResponseFacts {
     /// How it is to be treated.
-    pub word: AnswerWord,
+    pub kind: ResponseKind,
     /// The server at fault, if it is not the responding one.
     pub at_fault: Option<SocketAddr>,
     /// The instance id of the responding server, if the response names it.
     pub instance: Option<String>,
     /// Whether the server announces that it is draining.
-    pub leaving: bool,
+    pub draining: bool,
     /// How long the server asks not to be sent requests.
-    pub wants_nothing_for: ComeBack,
+    pub retry_after: RetryAfter,
     /// The request rate that the server announces as its limit.
-    pub limit: SaidLimit,
+    pub limit: AnnouncedLimit,
 }
 
 /// The back-off time in a response that rejects a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ComeBack {
+pub enum RetryAfter {
     /// The header is absent.
-    NotSaid,
+    Absent,
     /// The backoff that the server requests.
     After(Duration),
     /// The header does not hold a valid duration.
-    Faulty(String),
+    Invalid(String),
 }
 
 /// The request rate that a server accepts from all nodes together.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum SaidLimit {
+pub enum AnnouncedLimit {
     /// The header is absent.
-    NotSaid,
+    Absent,
     /// The announced rate.
     Rate(RateLimit),
     /// The header is not a valid rate or holds several values.
-    Faulty {
+    Invalid {
         /// Why it is invalid.
         reason: String,
         /// The rate applied instead; `None` leaves the known limit unchanged.
-        taken: Option<RateLimit>,
+        applied: Option<RateLimit>,
     },
 }
--- a/crates/notchwalk_relay/src/attempt.rs
+++ b/crates/notchwalk_relay/src/attempt.rs
@@ -13,7 +13,7 @@
     server_words::{self, ResponseOrigin},
     shell::Shell,
     stream_events::EventSplitter,
-    AnswerWord, BackendRequest,
+    BackendRequest, ResponseKind,
 };
 
 /// The largest response that is buffered before it is relayed, in bytes.
@@ -188,25 +188,25 @@
     };
     let facts = shell
         .dialect
-        .backend_answer(&req.caller.id, response.status, &response.headers);
+        .backend_response(&req.caller.id, response.status, &response.headers);
     let not_run = |address_reused| AttemptEnd::NotRun {
         at_fault: facts.at_fault,
         address_reused,
     };
-    match facts.word {
-        AnswerWord::Unusable | AnswerWord::Foreign => {
+    match facts.kind {
+        ResponseKind::InvalidResponse | ResponseKind::Mismatched => {
             AttemptOutcome::Ended(AttemptEnd::InvalidResponse)
         }
-        AnswerWord::NotRun => {
+        ResponseKind::NotRun => {
             discard_body(response).await;
             AttemptOutcome::Ended(not_run(false))
         }
-        AnswerWord::Moved => AttemptOutcome::Ended(not_run(true)),
-        AnswerWord::Success if req.streaming => {
+        ResponseKind::Moved => AttemptOutcome::Ended(not_run(true)),
+        ResponseKind::Success if req.streaming => {
             relay_stream(shell, exchange, req, delivery, to, response).await
         }
-        AnswerWord::Success | AnswerWord::Failure => {
-            relay_buffered(shell, exchange, req, delivery, response, facts.word).await
+        ResponseKind::Success | ResponseKind::Failure => {
+            relay_buffered(shell, exchange, req, delivery, response, facts.kind).await
         }
     }
 }
@@ -245,7 +245,7 @@
             caller: &head.headers,
             assignment: to,
             workspace: req.workspace.as_deref(),
-            patience: req.deadline.since(shell.now()),
+            timeout: req.deadline.since(shell.now()),
             last_event,
         });
         let host = head.headers.get(header::HOST);
@@ -292,9 +292,9 @@
         let id = &req.caller.id;
         let facts = shell
             .dialect
-            .backend_answer(id, response.status, &response.headers);
+            .backend_response(id, response.status, &response.headers);
         server_words::apply_notices(shell, origin, &facts);
-        if facts.word != AnswerWord::Foreign {
+        if facts.kind != ResponseKind::Mismatched {
             break;
         }
         response = response.next_response(method).await?;
@@ -324,7 +324,7 @@
     req: &ActiveRequest,
     delivery: &mut Delivery,
     mut response: StreamedResponse,
-    word: AnswerWord,
+    kind: ResponseKind,
 ) -> AttemptOutcome {
     let status = response.status;
     let headers = end_to_end_headers(&mut response.headers);
@@ -337,7 +337,7 @@
         Awaited::CallerDisconnected => return AttemptOutcome::CallerDisconnected,
         Awaited::TimedOut => return AttemptOutcome::TimedOut,
     };
-    if word == AnswerWord::Failure && status.is_server_error() {
+    if kind == ResponseKind::Failure && status.is_server_error() {
         delivery.server_error = Some(RetainedError {
             status,
             headers,
@@ -352,7 +352,7 @@
     exchange.respond(status, headers, &body).await;
     delivery.record_write(shell.now());
     AttemptOutcome::Delivered(AttemptEnd::Delivered {
-        is_success: word == AnswerWord::Success,
+        is_success: kind == ResponseKind::Success,
     })
 }
 
--- a/crates/notchwalk_relay/src/daemon.rs
+++ b/crates/notchwalk_relay/src/daemon.rs
@@ -38,7 +38,7 @@
 const MIN_STOP_TIME: Duration = Duration::from_millis(3_200);
 
 /// The environment that a daemon runs in.
-pub struct Surroundings {
+pub struct Environment {
     /// The settings file.
     pub settings_file: PathBuf,
     /// Translates the formats of callers, servers and rows.
@@ -51,7 +51,7 @@
     pub signals: Signals,
 }
 
-/// Runs the daemon until a signal stops it. `surroundings` is called on the daemon's
+/// Runs the daemon until a signal stops it. `environment` is called on the daemon's
 /// thread; `bound` receives the effective settings, in which ports that were 0 are
 /// replaced by those the system assigned.
 ///
@@ -60,13 +60,13 @@
 /// Fails if the process can't start.
 pub fn run(
     settings: RelaySettings,
-    surroundings: impl FnOnce(&RelaySettings) -> Surroundings,
+    environment: impl FnOnce(&RelaySettings) -> Environment,
     bound: impl FnOnce(&RelaySettings),
 ) -> Result<(), DaemonError> {
     block_on(async {
-        let surroundings = surroundings(&settings);
-        let signals = surroundings.signals.clone();
-        let daemon = Daemon::start(settings, surroundings)?;
+        let environment = environment(&settings);
+        let signals = environment.signals.clone();
+        let daemon = Daemon::start(settings, environment)?;
         bound(&daemon.shell.settings);
         daemon.run(signals).await;
         Ok(())
@@ -114,7 +114,7 @@
 }
 
 impl Daemon {
-    fn start(mut settings: RelaySettings, surroundings: Surroundings) -> Result<Self, DaemonError> {
+    fn start(mut settings: RelaySettings, environment: Environment) -> Result<Self, DaemonError> {
         let listeners = Listeners::bind(&mut settings)?;
         let boot = boot_number();
         let router = Router::new(RouterConfig {
@@ -126,7 +126,7 @@
             seed: boot,
         });
         let client = Client::new().with_connect_timeout(CONNECT_TIMEOUT);
-        let (dialect, store) = (surroundings.dialect, surroundings.store);
+        let (dialect, store) = (environment.dialect, environment.store);
         let shell = Shell::new(
             settings,
             boot,
@@ -136,7 +136,7 @@
             client,
             Box::new(Effects),
         );
-        let shell = Rc::new(shell.with_clock(surroundings.clock));
+        let shell = Rc::new(shell.with_clock(environment.clock));
         let limits = ServerLimits {
             connections: shell.settings.max_descriptors / 2,
             idle: Duration::from_secs(20),
@@ -151,7 +151,7 @@
         Ok(Self {
             shell,
             socket: Rc::new(listeners.peer),
-            settings_file: surroundings.settings_file,
+            settings_file: environment.settings_file,
         })
     }
 
--- a/crates/notchwalk_relay/src/dialect.rs
+++ b/crates/notchwalk_relay/src/dialect.rs
@@ -7,7 +7,7 @@
 use notchwalk_platform::Row;
 use notchwalk_route::{Assignment, ReservationOrder, ServerRecord, SiteConfig};
 
-use crate::AnswerFacts;
+use crate::ResponseFacts;
 
 /// The decoded head of a caller's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -15,7 +15,7 @@
     /// The request id, byte for byte as received.
     pub id: HeaderValue,
     /// The caller's timeout, if given.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The API key, if given.
     pub key: Option<String>,
     /// Number of prompt tokens; 0 if not given.
@@ -23,7 +23,7 @@
     /// Maximum number of response tokens; 0 if not given.
     pub max_answer_tokens: u32,
     /// Number of response tokens that the caller estimates.
-    pub guessed_answer_tokens: Option<u32>,
+    pub estimated_answer_tokens: Option<u32>,
     /// The last event received of an interrupted stream.
     pub last_event: Option<u64>,
 }
@@ -38,14 +38,14 @@
     /// The workspace of the API key.
     pub workspace: Option<&'a str>,
     /// The remaining time of the caller's timeout.
-    pub patience: Duration,
+    pub timeout: Duration,
     /// The last event that the caller has.
     pub last_event: Option<u64>,
 }
 
 /// The response to a directory query.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct DirectoryAnswer {
+pub struct DirectoryResponse {
     /// Addresses that accept requests.
     pub addresses: Vec<std::net::SocketAddr>,
     /// How long callers may cache the response.
@@ -65,25 +65,25 @@
     fn backend_request(&self, req: &BackendRequest<'_>) -> HeaderMap;
 
     /// Decodes the head of a backend server's response to the request `id`.
-    fn backend_answer(
+    fn backend_response(
         &self,
         id: &HeaderValue,
         status: StatusCode,
         headers: &HeaderMap,
-    ) -> AnswerFacts;
+    ) -> ResponseFacts;
 
     /// Returns the name and value of the header that asks a caller to retry later.
     fn retry_after(&self, after: Duration) -> (HeaderName, HeaderValue);
 
     /// Returns whether a path is that of the readiness check.
-    fn asks_readiness(&self, path: &str) -> bool;
+    fn is_readiness_check(&self, path: &str) -> bool;
 
     /// Returns the failure domain named by a directory query; `None` if the URI is not
     /// one.
-    fn directory_question(&self, uri: &Uri) -> Option<String>;
+    fn directory_query(&self, uri: &Uri) -> Option<String>;
 
     /// Encodes the response to a directory query.
-    fn directory_answer(&self, answer: &DirectoryAnswer) -> Bytes;
+    fn directory_response(&self, response: &DirectoryResponse) -> Bytes;
 
     /// Encodes the path and the body of a reservation order.
     fn reservation_order(&self, order: &ReservationOrder) -> (&'static str, Bytes);
--- a/crates/notchwalk_relay/src/directory.rs
+++ b/crates/notchwalk_relay/src/directory.rs
@@ -5,7 +5,7 @@
 use http::{header, HeaderMap, HeaderValue, StatusCode};
 use notchwalk_http::prelude::*;
 
-use crate::{shell::Shell, DirectoryAnswer};
+use crate::{shell::Shell, DirectoryResponse};
 
 /// Maximum number of addresses in one response.
 const MAX_ADDRESSES: usize = 64;
@@ -39,11 +39,11 @@
                 .await;
             return;
         }
-        let response = DirectoryAnswer {
+        let response = DirectoryResponse {
             addresses,
             ttl: self.shell.settings.directory_ttl,
         };
-        let body = self.shell.dialect.directory_answer(&response);
+        let body = self.shell.dialect.directory_response(&response);
         let mut headers = HeaderMap::new();
         let json = HeaderValue::from_static("application/json");
         headers.insert(header::CONTENT_TYPE, json);
@@ -54,7 +54,7 @@
 impl Service for Directory {
     fn call<'a>(&'a self, exchange: &'a mut Exchange) -> LocalBoxFuture<'a, ()> {
         Box::pin(async move {
-            if self.shell.dialect.asks_readiness(exchange.path()) {
+            if self.shell.dialect.is_readiness_check(exchange.path()) {
                 let status = match self.shell.is_ready() {
                     true => StatusCode::OK,
                     false => StatusCode::SERVICE_UNAVAILABLE,
@@ -64,7 +64,7 @@
             if self
                 .shell
                 .dialect
-                .directory_question(&exchange.head.uri)
+                .directory_query(&exchange.head.uri)
                 .is_some()
             {
                 return self.respond_to_query(exchange).await;
--- a/crates/notchwalk_relay/src/engine_orders.rs
+++ b/crates/notchwalk_relay/src/engine_orders.rs
@@ -31,7 +31,7 @@
     let no_id = http::HeaderValue::from_static("");
     let facts = shell
         .dialect
-        .backend_answer(&no_id, response.status, &response.headers);
+        .backend_response(&no_id, response.status, &response.headers);
     let origin = ResponseOrigin {
         server: None,
         addr: order.addr,
--- a/crates/notchwalk_relay/src/front/accept.rs
+++ b/crates/notchwalk_relay/src/front/accept.rs
@@ -90,7 +90,7 @@
             }
             RouteLookup::Found { route, workspace } => (route, workspace),
         };
-        let caller_timeout = caller.patience.unwrap_or(DEFAULT_CALLER_TIMEOUT);
+        let caller_timeout = caller.timeout.unwrap_or(DEFAULT_CALLER_TIMEOUT);
         let request_timeout = caller_timeout.min(route.timeout.saturating_sub(TIMEOUT_MARGIN));
         let name = workspace.as_ref().map(|(name, _)| name.as_ref());
         let read = self.read_body(exchange, limits.body_bytes, request_timeout, name);
@@ -115,7 +115,7 @@
             deadline,
             prompt_tokens: caller.prompt_tokens,
             answer_tokens: caller
-                .guessed_answer_tokens
+                .estimated_answer_tokens
                 .unwrap_or(default_answer_tokens),
             route: route.clone(),
             content,
--- a/crates/notchwalk_relay/src/lib.rs
+++ b/crates/notchwalk_relay/src/lib.rs
@@ -32,8 +32,8 @@
 
 pub mod prelude;
 
-pub use answer::{AnswerFacts, AnswerWord, ComeBack, SaidLimit};
-pub use daemon::{run, Surroundings};
-pub use dialect::{BackendRequest, CallerFacts, Dialect, DirectoryAnswer};
+pub use answer::{AnnouncedLimit, ResponseFacts, ResponseKind, RetryAfter};
+pub use daemon::{run, Environment};
+pub use dialect::{BackendRequest, CallerFacts, Dialect, DirectoryResponse};
 pub use settings::RelaySettings;
 pub use stream_events::EventSplitter;
--- a/crates/notchwalk_relay/src/prelude.rs
+++ b/crates/notchwalk_relay/src/prelude.rs
@@ -1,6 +1,6 @@
 //! Commonly used names of this crate.
 
 pub use crate::{
-    run, AnswerFacts, AnswerWord, BackendRequest, CallerFacts, ComeBack, Dialect, DirectoryAnswer,
-    RelaySettings, Surroundings,
+    run, BackendRequest, CallerFacts, Dialect, DirectoryResponse, Environment, RelaySettings,
+    ResponseFacts, ResponseKind, RetryAfter,
 };
--- a/crates/notchwalk_relay/src/server_words.rs
+++ b/crates/notchwalk_relay/src/server_words.rs
@@ -5,7 +5,7 @@
 use notchwalk_core::{Instant, LogEvent, LogEventKind};
 use notchwalk_route::{Event, RateLimit, ServerKey, ServerNotice};
 
-use crate::{shell::Shell, AnswerFacts, AnswerWord, ComeBack, SaidLimit};
+use crate::{shell::Shell, AnnouncedLimit, ResponseFacts, ResponseKind, RetryAfter};
 
 /// The longest back-off time that is accepted: a longer one is likely in another unit,
 /// and would exclude the server for too long.
@@ -29,7 +29,7 @@
 /// Applies the notices in the head of any response: to a request, to an order, also to
 /// a different request on the same connection. Called before anything of the response
 /// is relayed.
-pub(crate) fn apply_notices(shell: &Rc<Shell>, origin: ResponseOrigin, facts: &AnswerFacts) {
+pub(crate) fn apply_notices(shell: &Rc<Shell>, origin: ResponseOrigin, facts: &ResponseFacts) {
     let Some(server) = notice_source(shell, origin, facts) else {
         return;
     };
@@ -44,10 +44,10 @@
             },
         );
     }
-    if facts.leaving {
+    if facts.draining {
         apply_notice(shell, server, ServerNotice::Draining);
     }
-    if let Some(backoff) = backoff(shell, server, &facts.wants_nothing_for) {
+    if let Some(backoff) = backoff(shell, server, &facts.retry_after) {
         apply_notice(shell, server, ServerNotice::BackOff(backoff));
     }
 }
@@ -70,13 +70,17 @@
 
 /// Returns the server that a response speaks for: the one it names, else the one that
 /// the request was for, unless the address now belongs to another one.
-fn notice_source(shell: &Shell, origin: ResponseOrigin, facts: &AnswerFacts) -> Option<ServerKey> {
+fn notice_source(
+    shell: &Shell,
+    origin: ResponseOrigin,
+    facts: &ResponseFacts,
+) -> Option<ServerKey> {
     let router = shell.router.borrow();
     let fleet = router.fleet();
     if let Some(instance) = &facts.instance {
         return fleet.by_instance(instance);
     }
-    if facts.word != AnswerWord::Moved {
+    if facts.kind != ResponseKind::Moved {
         return origin.server.or_else(|| fleet.by_addr(origin.addr));
     }
     fleet.other_server_at(origin.addr, origin.server)
@@ -85,18 +89,18 @@
 /// Returns the limit that a response announces, or `Some(None)` if a known limit has
 /// ended; `None` if the response changes nothing. Only the server's own responses can
 /// end a limit.
-fn limit(shell: &Shell, server: ServerKey, facts: &AnswerFacts) -> Option<Option<RateLimit>> {
+fn limit(shell: &Shell, server: ServerKey, facts: &ResponseFacts) -> Option<Option<RateLimit>> {
     match &facts.limit {
-        SaidLimit::Rate(rate) => Some(Some(*rate)),
-        SaidLimit::Faulty { reason, taken } => {
-            let rate = taken.map_or_else(|| "none".to_owned(), |rate| rate.to_string());
+        AnnouncedLimit::Rate(rate) => Some(Some(*rate)),
+        AnnouncedLimit::Invalid { reason, applied } => {
+            let rate = applied.map_or_else(|| "none".to_owned(), |rate| rate.to_string());
             log_invalid(shell, server, reason, &format!("taken_per_second={rate}"));
-            taken.map(Some)
+            applied.map(Some)
         }
-        SaidLimit::NotSaid => {
+        AnnouncedLimit::Absent => {
             let is_own = matches!(
-                facts.word,
-                AnswerWord::Success | AnswerWord::Failure | AnswerWord::NotRun
+                facts.kind,
+                ResponseKind::Success | ResponseKind::Failure | ResponseKind::NotRun
             );
             let router = shell.router.borrow();
             let known = router.fleet().get(server)?.limit();
@@ -107,17 +111,17 @@
 
 /// Returns how long to back off from a server. Invalid values are ignored; longer ones
 /// are capped at [`MAX_BACKOFF`].
-fn backoff(shell: &Shell, server: ServerKey, retry_after: &ComeBack) -> Option<Duration> {
+fn backoff(shell: &Shell, server: ServerKey, retry_after: &RetryAfter) -> Option<Duration> {
     match retry_after {
-        ComeBack::NotSaid => None,
-        ComeBack::After(time) if *time > MAX_BACKOFF => {
+        RetryAfter::Absent => None,
+        RetryAfter::After(time) if *time > MAX_BACKOFF => {
             let reason = format!("{} s exceed the maximum", time.as_secs());
             let taken = format!("taken_ms={}", MAX_BACKOFF.as_millis());
             log_invalid(shell, server, &reason, &taken);
             Some(MAX_BACKOFF)
         }
-        ComeBack::After(time) => Some(*time).filter(|time| !time.is_zero()),
-        ComeBack::Faulty(reason) => {
+        RetryAfter::After(time) => Some(*time).filter(|time| !time.is_zero()),
+        RetryAfter::Invalid(reason) => {
             log_invalid(shell, server, reason, "taken_ms=0");
             None
         }
