--- a/crates/notchwalk_quarantine/src/quarantine/mod.rs
+++ b/crates/notchwalk_quarantine/src/quarantine/mod.rs
@@ -2,15 +2,15 @@
 //!
 //! | file | what it holds |
 //! |---|---|
-//! | `background` | losses of unrelated servers, which raise the required evidence |
+//! | `unrelated_losses` | losses of unrelated servers, which raise the required evidence |
 //! | `evidence` | crashes: how they are confirmed, attributed and cleared |
-//! | `judging` | which contents are quarantined, for how long, and what expires |
+//! | `policy` | which contents are quarantined, for how long, and what expires |
 //! | `peers` | updates received from peers and rebroadcast to them |
 
-mod background;
 mod evidence;
-mod judging;
 mod peers;
+mod policy;
+mod unrelated_losses;
 
 use std::collections::HashMap;
 
@@ -22,7 +22,7 @@
     update::{age_ms, QuarantineUpdate},
     EndReason, Fingerprint, QuarantineFinding, SuspectView, Verdict,
 };
-use judging::{base_threshold, risk, HOLD_AFTER_EXTRA_RUN};
+use policy::{base_threshold, risk, HOLD_AFTER_EXTRA_RUN};
 
 /// The suspects of one node.
 #[derive(Debug, Default)]
--- a/crates/notchwalk_quarantine/src/quarantine/peers.rs
+++ b/crates/notchwalk_quarantine/src/quarantine/peers.rs
@@ -4,7 +4,7 @@
 
 use notchwalk_core::Instant;
 
-use super::{judging::MAX_QUARANTINE, Quarantine};
+use super::{policy::MAX_QUARANTINE, Quarantine};
 use crate::{
     suspect::{Crash, Period, Runner},
     update::{age_ms, saturating_ms, time_of, QuarantineUpdate},
--- a/crates/notchwalk_quarantine/src/quarantine/background.rs
+++ b/crates/notchwalk_quarantine/src/quarantine/unrelated_losses.rs
@@ -7,7 +7,7 @@
 
 use std::{collections::HashSet, time::Duration};
 
-use super::{judging::base_threshold, Quarantine};
+use super::{policy::base_threshold, Quarantine};
 use crate::suspect::Suspect;
 
 /// Limit on the extra score: two isolated incidents. A crashing content costs at most two
--- a/crates/notchwalk_relay/src/attempt.rs
+++ b/crates/notchwalk_relay/src/attempt.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     active_request::ActiveRequest,
-    server_words::{self, ResponseOrigin},
+    server_notices::{self, ResponseOrigin},
     shell::Shell,
     stream_events::EventSplitter,
     BackendRequest, ResponseKind,
@@ -293,7 +293,7 @@
         let facts = shell
             .dialect
             .backend_response(id, response.status, &response.headers);
-        server_words::apply_notices(shell, origin, &facts);
+        server_notices::apply_notices(shell, origin, &facts);
         if facts.kind != ResponseKind::Mismatched {
             break;
         }
--- a/crates/notchwalk_relay/src/effects.rs
+++ b/crates/notchwalk_relay/src/effects.rs
@@ -6,7 +6,7 @@
 use notchwalk_route::{Effect, ServerKey};
 
 use crate::{
-    engine_orders, quarantine, server_words,
+    engine_orders, quarantine, server_notices,
     shell::{EffectDriver, Shell},
 };
 
@@ -30,8 +30,8 @@
                 server,
                 notice,
                 reported_by_peer,
-            } => server_words::log_notice(shell, server, notice, reported_by_peer),
-            Effect::LimitUsedUp { server } => server_words::log_limit_exhausted(shell, server),
+            } => server_notices::log_notice(shell, server, notice, reported_by_peer),
+            Effect::LimitUsedUp { server } => server_notices::log_limit_exhausted(shell, server),
             Effect::Ejected { server, duration } => log_circuit_opened(shell, server, duration),
             // Handled by the task of their request.
             Effect::Send { .. } | Effect::Refuse { .. } | Effect::DeliverFailure { .. } => {}
--- a/crates/notchwalk_relay/src/engine_orders.rs
+++ b/crates/notchwalk_relay/src/engine_orders.rs
@@ -8,7 +8,7 @@
 use notchwalk_route::{Event, FailedReservation, RequestKey, ReservationOrder};
 
 use crate::{
-    server_words::{self, ResponseOrigin},
+    server_notices::{self, ResponseOrigin},
     shell::Shell,
 };
 
@@ -37,7 +37,7 @@
         addr: order.addr,
         sent_at,
     };
-    server_words::apply_notices(shell, origin, &facts);
+    server_notices::apply_notices(shell, origin, &facts);
     Ok(response.status)
 }
 
--- a/crates/notchwalk_relay/src/lib.rs
+++ b/crates/notchwalk_relay/src/lib.rs
@@ -6,7 +6,6 @@
 //! [`notchwalk_platform::RowStore`] gives access to the store.
 
 mod active_request;
-mod answer;
 mod attempt;
 mod config_watch;
 mod daemon;
@@ -22,8 +21,9 @@
 mod presence;
 mod presence_record;
 mod quarantine;
+mod response;
+mod server_notices;
 mod server_watch;
-mod server_words;
 mod settings;
 mod shell;
 mod store_repair;
@@ -32,8 +32,8 @@
 
 pub mod prelude;
 
-pub use answer::{AnnouncedLimit, ResponseFacts, ResponseKind, RetryAfter};
 pub use daemon::{run, Environment};
 pub use dialect::{BackendRequest, CallerFacts, Dialect, DirectoryResponse};
+pub use response::{AnnouncedLimit, ResponseFacts, ResponseKind, RetryAfter};
 pub use settings::RelaySettings;
 pub use stream_events::EventSplitter;
--- a/crates/notchwalk_route/src/lib.rs
+++ b/crates/notchwalk_route/src/lib.rs
@@ -9,11 +9,11 @@
 //! |---|---|
 //! | `site` | configuration: routes, services, workspaces and limits |
 //! | `routes` | lookup of the route and the workspace of a request |
-//! | `first_try` | time since a caller's first attempt |
+//! | `first_attempt` | time since a caller's first attempt |
 //! | `fleet` | backend servers and their availability |
 //! | `server_notice` | notices from servers in response headers |
 //! | `groups` | the subset of servers that a node uses in a large deployment |
-//! | `board` | load of each server from this node and its peers |
+//! | `load_view` | load of each server from this node and its peers |
 //! | `engine_cost` | cost model of an engine |
 //! | `shares` | fair shares of the engines between workspaces |
 //! | `wait_queue` | order of waiting requests |
@@ -22,13 +22,13 @@
 //! | `retry_budget` | budget for retries |
 //! | `router/` | the reducer |
 
-mod board;
 mod effect;
 mod engine_cost;
 mod event;
-mod first_try;
+mod first_attempt;
 mod fleet;
 mod groups;
+mod load_view;
 mod placement;
 mod request;
 mod reservations;
@@ -42,7 +42,6 @@
 
 pub mod prelude;
 
-pub use board::{LoadView, PeerWork, WorkPhase};
 pub use effect::{Assignment, Effect, PlacementReason, PrefillWorker, Refusal, ReservationOrder};
 pub use engine_cost::EngineCost;
 pub use event::{AttemptEnd, Event, FailedReservation};
@@ -51,6 +50,7 @@
     ServerChange, ServerKey, ServerRecord, ServerStage,
 };
 pub use groups::{node_order, Group};
+pub use load_view::{LoadView, PeerWork, WorkPhase};
 pub use request::{RequestFacts, RequestKey};
 pub use retry_budget::RetryBudget;
 pub use router::{Router, RouterConfig};
--- a/crates/notchwalk_route/src/placement/mod.rs
+++ b/crates/notchwalk_route/src/placement/mod.rs
@@ -15,7 +15,7 @@
 use notchwalk_core::Instant;
 
 use crate::{
-    board::ServerLoad, engine_cost::EngineCost, request::Request, EngineParameters, Fleet,
+    engine_cost::EngineCost, load_view::ServerLoad, request::Request, EngineParameters, Fleet,
     LoadView, PlacementReason, ServerKey,
 };
 
--- a/crates/notchwalk_route/src/router/mod.rs
+++ b/crates/notchwalk_route/src/router/mod.rs
@@ -26,7 +26,7 @@
 use slotmap::SlotMap;
 
 use crate::{
-    first_try::FirstAttempts, placement::EnginePlacement, request::Request,
+    first_attempt::FirstAttempts, placement::EnginePlacement, request::Request,
     reservations::Reservations, shares::Shares, wait_queue::WaitQueue, Effect, Event, Fleet,
     LimitUpdate, LoadView, RequestKey, RetryBudget, RouteTable, ServerChange, ServerKey,
     ServerNotice, Service, SiteConfig,
--- a/crates/notchwalk_route/src/router/sending.rs
+++ b/crates/notchwalk_route/src/router/sending.rs
@@ -7,7 +7,7 @@
 
 use super::{after_ms, Router};
 use crate::{
-    board::{Owner, Work, DEFAULT_INTER_TOKEN_MS},
+    load_view::{Owner, Work, DEFAULT_INTER_TOKEN_MS},
     placement::{place_call, Demand, Plan},
     request::Request,
     Assignment, Effect, PrefillWorker, Refusal, RequestFacts, RequestKey, WorkPhase,
