--- a/crates/notchwalkd/src/api_error.rs
+++ b/crates/notchwalkd/src/api_error.rs
@@ -1,30 +1,28 @@
-//! Errors as callers see them: OpenAI-shaped, with a stable code and the
-//! request's outcome.
+//! Error responses to callers: OpenAI-compatible JSON with a stable code and
+//! the outcome of the request.
 
 use http::{header, HeaderMap, HeaderValue, StatusCode};
 use notchwalk_decide::{Failure, FailureCode};
 use notchwalk_http::{Exchange, HttpError};
 use notchwalk_wire::{ApiError, ApiErrorBody, OutcomeWord};
 
-/// An error about to be answered.
+/// An error response to a caller.
 #[derive(Clone, Debug)]
 pub struct ApiFailure {
-    /// The HTTP status.
     pub status: StatusCode,
-    /// The stable code.
+    /// Stable, machine-readable code.
     pub code: &'static str,
-    /// The sentence.
     pub message: String,
-    /// The parameter at fault.
+    /// The invalid parameter or header.
     pub param: Option<String>,
     /// Whether the request ran.
     pub outcome: OutcomeWord,
-    /// When to come back, in milliseconds.
+    /// Delay before a retry, in milliseconds.
     pub retry_after_ms: Option<u64>,
 }
 
 impl ApiFailure {
-    /// Builds the error of a request that did not run.
+    /// Creates the error of a request that did not run.
     pub fn not_run(status: StatusCode, code: &'static str, message: impl Into<String>) -> Self {
         Self {
             status,
@@ -36,14 +34,14 @@
         }
     }
 
-    /// Builds the error of a faulty parameter.
-    pub fn bad_param(code: &'static str, param: &str, message: impl Into<String>) -> Self {
+    /// Creates the error of an invalid or unsupported parameter.
+    pub fn invalid_param(code: &'static str, param: &str, message: impl Into<String>) -> Self {
         let mut failure = Self::not_run(StatusCode::BAD_REQUEST, code, message);
         failure.param = Some(param.to_owned());
         failure
     }
 
-    /// Builds the error of a request that could not be read.
+    /// Creates the error of a request that could not be read.
     pub fn from_http(error: &HttpError) -> Self {
         let (status, code) = match error {
             HttpError::BodyTooLarge(_) => (StatusCode::PAYLOAD_TOO_LARGE, "body_too_large"),
@@ -57,15 +55,15 @@
         Self::not_run(status, code, error.to_string())
     }
 
-    /// Builds the error of a decision.
-    pub fn from_decision(failure: Failure) -> Self {
+    /// Creates the error of a request that the reducer refused or failed.
+    pub fn from_failure(failure: Failure) -> Self {
         let (status, code, message) = describe(failure.code);
         let mut message = message.to_owned();
         let mut retry_after_ms = failure.retry_after_ms;
         if failure.code == FailureCode::Quarantined {
-            // No time to come back: to repeat it would crash servers again.
-            let left = retry_after_ms.take().unwrap_or(0) / 1_000;
-            message += &format!(" for {left} s; to repeat it does not help");
+            // Without `Retry-After`: a retry could crash servers again.
+            let remaining_s = retry_after_ms.take().unwrap_or(0) / 1_000;
+            message += &format!(" for {remaining_s} s; to repeat it does not help");
         }
         Self {
             status,
@@ -77,7 +75,7 @@
         }
     }
 
-    fn kind(&self) -> &'static str {
+    fn error_type(&self) -> &'static str {
         match self.status {
             StatusCode::UNAUTHORIZED => "authentication_error",
             StatusCode::FORBIDDEN => "permission_error",
@@ -87,12 +85,12 @@
         }
     }
 
-    /// Returns the body.
+    /// Returns the JSON body.
     pub fn body(&self) -> ApiError {
         ApiError {
             error: ApiErrorBody {
                 message: self.message.clone(),
-                kind: self.kind().to_owned(),
+                kind: self.error_type().to_owned(),
                 param: self.param.clone(),
                 code: self.code.to_owned(),
                 outcome: self.outcome,
@@ -100,7 +98,7 @@
         }
     }
 
-    /// Answers a request with the error.
+    /// Sends the error as the response to a request.
     pub async fn send(&self, exchange: &mut Exchange, request_id: Option<HeaderValue>) {
         let mut headers = HeaderMap::new();
         let json = HeaderValue::from_static("application/json");
@@ -120,26 +118,34 @@
     }
 }
 
-/// Returns status, code and sentence of each decision.
+/// Returns the status, code and message of a failure.
 fn describe(code: FailureCode) -> (StatusCode, &'static str, &'static str) {
     use FailureCode as Code;
-    const BUSY: StatusCode = StatusCode::TOO_MANY_REQUESTS;
-    const AWAY: StatusCode = StatusCode::SERVICE_UNAVAILABLE;
+    const TOO_MANY: StatusCode = StatusCode::TOO_MANY_REQUESTS;
+    const UNAVAILABLE: StatusCode = StatusCode::SERVICE_UNAVAILABLE;
     match code {
-        Code::NotReady => (AWAY, "not_ready", "no settings bundle is in force yet"),
-        Code::Draining => (AWAY, "draining", "this entry is stopping; use another"),
+        Code::NotReady => (
+            UNAVAILABLE,
+            "not_ready",
+            "no settings bundle is in force yet",
+        ),
+        Code::Draining => (
+            UNAVAILABLE,
+            "draining",
+            "this entry is stopping; use another",
+        ),
         Code::EntryFull => (
-            BUSY,
+            TOO_MANY,
             "entry_full",
             "this entry holds as many requests as it may",
         ),
         Code::WorkspaceQueueFull => (
-            BUSY,
+            TOO_MANY,
             "workspace_queue_full",
             "the workspace has as many requests waiting as it may",
         ),
         Code::DeadlineTooClose => (
-            BUSY,
+            TOO_MANY,
             "deadline_too_close",
             "the request would not finish within its timeout",
         ),
@@ -148,7 +154,11 @@
             "context_length_exceeded",
             "prompt and max_tokens exceed the model's context",
         ),
-        Code::NoServer => (AWAY, "no_server", "no server serves what was asked for"),
+        Code::NoServer => (
+            UNAVAILABLE,
+            "no_server",
+            "no server serves what was asked for",
+        ),
         Code::TimedOut => (StatusCode::GATEWAY_TIMEOUT, "timeout", "the timeout passed"),
         Code::BackendFailed => (
             StatusCode::BAD_GATEWAY,
@@ -161,7 +171,7 @@
             "the service failed after the call was sent; it is not repeated",
         ),
         Code::StoreUnavailable => (
-            AWAY,
+            UNAVAILABLE,
             "store_unavailable",
             "the call could not be claimed, so it was not sent",
         ),
@@ -181,7 +191,7 @@
             "the idempotency key was used for a different request",
         ),
         Code::Suspected => (
-            AWAY,
+            UNAVAILABLE,
             "suspected",
             "servers ended under this request; whether by its fault is not known yet",
         ),
--- a/crates/notchwalkd/src/bundle_texts.rs
+++ b/crates/notchwalkd/src/bundle_source.rs
@@ -1,13 +1,11 @@
-//! A bundle as it is passed on.
+//! A bundle in the form that peers exchange.
 
 use notchwalk_bundle::{Manifest, Part};
 use serde::{Deserialize, Serialize};
 
-/// A bundle's manifest and the texts of its parts.
+/// The signed manifest of a bundle and the texts of its parts.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct BundleTexts {
-    /// The manifest.
+pub struct BundleSource {
     pub manifest: Manifest,
-    /// The parts.
     pub parts: Vec<Part>,
 }
--- a/crates/notchwalkd/src/bundle_watch.rs
+++ b/crates/notchwalkd/src/bundle_watch.rs
@@ -1,6 +1,6 @@
-//! Brings bundles into force: reads the head row, fetches what changed, checks
-//! it and hands it to the reducer. While the store is down, newer bundles come
-//! from peers.
+//! Keeps the active bundle up to date: polls the head row of the platform's table,
+//! fetches the changed parts of a new bundle, verifies it and passes it to the
+//! reducer. While the table is unavailable, newer bundles are requested from peers.
 
 use std::{rc::Rc, sync::Arc, time::Duration};
 
@@ -10,53 +10,56 @@
 use notchwalk_platform::{fetch_bundle, fetch_head, SubmitError};
 use notchwalk_wire::PeerMessage;
 
-use crate::{bundle_texts::BundleTexts, shell::Shell};
+use crate::{bundle_source::BundleSource, shell::Shell};
 
-/// How often the head row is read.
-const READ_EVERY: Duration = Duration::from_millis(400);
+/// Interval between reads of the head row.
+const HEAD_READ_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Reads the head for ever.
+/// Polls the head row until the daemon stops.
 pub async fn watch(shell: Rc<Shell>) {
-    let mut down = false;
-    let mut refused = None;
+    let mut is_unavailable = false;
+    let mut rejected_manifest = None;
     loop {
-        match refresh(&shell, &mut refused).await {
-            Ok(()) if down => {
-                down = false;
+        match refresh(&shell, &mut rejected_manifest).await {
+            Ok(()) if is_unavailable => {
+                is_unavailable = false;
                 LogEvent::new(LogEventKind::PlatformUp, "service=table").emit();
             }
             Ok(()) => {}
             Err(e) => {
-                if !std::mem::replace(&mut down, true) {
+                if !std::mem::replace(&mut is_unavailable, true) {
                     let facts = format!("service=table error={e}");
                     LogEvent::new(LogEventKind::PlatformDown, facts).emit();
                 }
-                ask_peer(&shell);
+                request_from_peer(&shell);
             }
         }
-        monoio::time::sleep(READ_EVERY).await;
+        monoio::time::sleep(HEAD_READ_INTERVAL).await;
     }
 }
 
-async fn refresh(shell: &Rc<Shell>, refused: &mut Option<String>) -> Result<(), SubmitError> {
+async fn refresh(
+    shell: &Rc<Shell>,
+    rejected_manifest: &mut Option<String>,
+) -> Result<(), SubmitError> {
     let Some(head) = fetch_head(&*shell.platform).await? else {
         return Ok(());
     };
-    let in_force = shell.with_node(|node| node.bundle_version());
-    if head.version <= in_force || refused.as_ref() == Some(&head.manifest) {
+    let active_version = shell.with_node(|node| node.bundle_version());
+    if head.version <= active_version || rejected_manifest.as_ref() == Some(&head.manifest) {
         return Ok(());
     }
-    let known = shell
-        .bundle_texts
+    let known_parts = shell
+        .bundle_source
         .borrow()
         .as_ref()
-        .map(|texts| texts.parts.clone());
-    let known = known.unwrap_or_default();
-    let fetched = match fetch_bundle(&*shell.platform, &head.manifest, &known).await {
+        .map(|source| source.parts.clone());
+    let known_parts = known_parts.unwrap_or_default();
+    let fetched = match fetch_bundle(&*shell.platform, &head.manifest, &known_parts).await {
         Ok(fetched) => fetched,
         Err(SubmitError::Bundle(e)) => {
-            refuse(head.version, &e);
-            *refused = Some(head.manifest);
+            log_rejection(head.version, &e);
+            *rejected_manifest = Some(head.manifest);
             return Ok(());
         }
         Err(e) => return Err(e),
@@ -64,31 +67,31 @@
     shell
         .bundle_bytes
         .set(shell.bundle_bytes.get() + fetched.fetched_bytes);
-    let texts = BundleTexts {
+    let source = BundleSource {
         manifest: fetched.manifest,
         parts: fetched.parts,
     };
-    put_in_force(shell, fetched.bundle, texts);
+    activate(shell, fetched.bundle, source);
     Ok(())
 }
 
-fn refuse(version: u64, error: &BundleError) {
+fn log_rejection(version: u64, error: &BundleError) {
     let facts = format!("version={version} reason={error:?}");
     LogEvent::new(LogEventKind::BundleRefused, facts).emit();
 }
 
-fn put_in_force(shell: &Rc<Shell>, bundle: Bundle, texts: BundleTexts) {
+fn activate(shell: &Rc<Shell>, bundle: Bundle, source: BundleSource) {
     let was_ready = shell.with_node(|node| node.bundle_version()) > 0;
     let version = bundle.version;
     shell.step(Event::Bundle(Arc::new(bundle)));
-    *shell.bundle_texts.borrow_mut() = Some(texts);
+    *shell.bundle_source.borrow_mut() = Some(source);
     if !was_ready {
         LogEvent::new(LogEventKind::DaemonReady, format!("version={version}")).emit();
     }
 }
 
-/// Asks a peer that has a newer bundle.
-fn ask_peer(shell: &Rc<Shell>) {
+/// Requests the bundle of a peer that has a newer one.
+fn request_from_peer(shell: &Rc<Shell>) {
     let (peer, have) =
         shell.with_node(|node| (node.peer_with_newer_bundle(), node.bundle_version()));
     if let Some(peer) = peer {
@@ -96,47 +99,47 @@
     }
 }
 
-/// Offers the bundle in force to a peer that has an older one.
+/// Sends the active bundle to a peer if it is newer than the peer's version, `have`.
 pub fn offer(shell: &Rc<Shell>, to: VmId, have: u64) {
-    let texts = shell.bundle_texts.borrow();
-    let Some(texts) = texts.as_ref().filter(|t| t.manifest.version > have) else {
+    let source = shell.bundle_source.borrow();
+    let Some(source) = source.as_ref().filter(|t| t.manifest.version > have) else {
         return;
     };
-    let text = serde_json::to_string(texts).unwrap_or_default();
+    let text = serde_json::to_string(source).unwrap_or_default();
     shell.links.send(to, PeerMessage::BundleOffer(text));
 }
 
-/// Takes in a bundle that a peer offered. Its parts must be those that were
-/// signed. Signatures are checked against the bundle before, if that is the
-/// one in force; otherwise the peer, which proved itself, is relied on.
-pub fn take_offer(shell: &Rc<Shell>, from: VmId, text: &str) {
-    let Ok(texts) = serde_json::from_str::<BundleTexts>(text) else {
+/// Activates a bundle received from a peer if it is newer and valid. Its parts must
+/// match the digests in the manifest. Signatures are verified only if the active
+/// bundle is the direct predecessor; otherwise the authenticated peer is trusted.
+pub fn apply_offer(shell: &Rc<Shell>, from: VmId, text: &str) {
+    let Ok(source) = serde_json::from_str::<BundleSource>(text) else {
         LogEvent::new(LogEventKind::PeerGarbage, format!("vm={}", from.0)).emit();
         return;
     };
-    let version = texts.manifest.version;
-    match check_offer(shell, &texts) {
-        Ok(Some(bundle)) => put_in_force(shell, bundle, texts),
+    let version = source.manifest.version;
+    match check_offer(shell, &source) {
+        Ok(Some(bundle)) => activate(shell, bundle, source),
         Ok(None) => {}
-        Err(e) => refuse(version, &e),
+        Err(e) => log_rejection(version, &e),
     }
 }
 
-fn check_offer(shell: &Shell, texts: &BundleTexts) -> Result<Option<Bundle>, BundleError> {
-    let manifest = &texts.manifest;
-    let in_force = shell.bundle();
-    let present = in_force.as_ref().map_or(0, |b| b.version);
-    if manifest.version <= present {
+fn check_offer(shell: &Shell, source: &BundleSource) -> Result<Option<Bundle>, BundleError> {
+    let manifest = &source.manifest;
+    let active = shell.bundle();
+    let active_version = active.as_ref().map_or(0, |b| b.version);
+    if manifest.version <= active_version {
         return Ok(None);
     }
-    let digests = texts.parts.iter().map(|p| (p.name, p.digest()));
+    let digests = source.parts.iter().map(|p| (p.name, p.digest()));
     if digests.collect::<Vec<_>>() != manifest.parts {
         let reason = "the parts aren't those that were signed";
         return Err(BundleError::Signature(reason.to_owned()));
     }
-    let bundle = Bundle::parse(manifest.version, &texts.parts)?;
-    if let Some(before) = in_force.filter(|b| b.version + 1 == manifest.version) {
-        manifest.verify(&before)?;
+    let bundle = Bundle::parse(manifest.version, &source.parts)?;
+    if let Some(previous) = active.filter(|b| b.version + 1 == manifest.version) {
+        manifest.verify(&previous)?;
     }
     Ok(Some(bundle))
 }
--- a/crates/notchwalkd/src/caller_api.rs
+++ b/crates/notchwalkd/src/caller_api.rs
@@ -1,4 +1,4 @@
-//! The callers' interface: which path does what.
+//! HTTP interface for callers: routing by path.
 
 use std::rc::Rc;
 
@@ -17,13 +17,13 @@
     shell::Shell,
 };
 
-/// Serves callers.
+/// The service behind the callers' listener.
 pub struct CallerApi {
     shell: Rc<Shell>,
 }
 
 impl CallerApi {
-    /// Builds the service.
+    /// Creates the service.
     pub fn new(shell: Rc<Shell>) -> Self {
         Self { shell }
     }
@@ -55,8 +55,8 @@
         }
         match path.as_str() {
             "/v1/entries" => {
-                let answer = self.entries();
-                respond(exchange, &answer).await;
+                let nodes = self.entries();
+                respond(exchange, &nodes).await;
             }
             "/v1/models" => {
                 let caller = self.caller(exchange)?;
@@ -82,12 +82,12 @@
     }
 
     fn entries(&self) -> EntriesAnswer {
-        let (live, ttl) = self
+        let (live_nodes, ttl) = self
             .shell
             .with_node(|node| (node.live_entries(), node.entries_ttl()));
-        let entries = live.into_iter().map(|entry| EntryInfo {
-            address: entry.caller_address,
-            failure_domain: entry.failure_domain,
+        let entries = live_nodes.into_iter().map(|node| EntryInfo {
+            address: node.caller_address,
+            failure_domain: node.failure_domain,
         });
         EntriesAnswer {
             entries: entries.collect(),
@@ -96,7 +96,7 @@
     }
 }
 
-/// Answers with JSON and the caller's request id.
+/// Responds with JSON and echoes the caller's request id.
 async fn respond<T: serde::Serialize>(exchange: &mut Exchange, value: &T) {
     let mut headers = HeaderMap::new();
     let json = HeaderValue::from_static("application/json");
@@ -108,7 +108,7 @@
     exchange.respond(StatusCode::OK, headers, &body).await;
 }
 
-/// The models a workspace may reach, with their adapters and versions.
+/// Returns the models a workspace may use, with their adapters and versions.
 fn models(caller: &Caller) -> ModelList {
     let workspace = caller.bundle.workspace(caller.workspace);
     let mut data = Vec::new();
--- a/crates/notchwalkd/src/channel.rs
+++ b/crates/notchwalkd/src/channel.rs
@@ -1,85 +1,86 @@
-//! What the shell tells the task of a waiting caller, with a count of the
-//! bytes not yet taken.
+//! Channel from the shell to a caller's task that counts unread bytes.
 
 use std::{cell::Cell, rc::Rc};
 
 use local_sync::mpsc::unbounded;
 use notchwalk_decide::{Completion, Dispatch, Failure};
 
-/// A message to a caller's task.
+/// An event for a caller's task.
 #[derive(Debug)]
 pub enum CallerEvent {
-    /// Tokens of the answer.
+    /// The next tokens of the response.
     Tokens(Vec<String>),
-    /// Send the call to this server now (plain services only).
+    /// The call is to be sent to a server (plain services only).
     Send(Dispatch),
-    /// The stored outcome under this key is the answer.
+    /// The response is the outcome stored under this table key.
     Stored(String),
-    /// The request is over.
+    /// The request has completed or failed.
     Finish {
-        /// How.
         result: Result<Completion, Failure>,
-        /// Why the engine ended the answer: `stop` or `length`.
+        /// The engine's finish reason: `stop` or `length`.
         reason: Option<String>,
     },
 }
 
-fn size(event: &CallerEvent) -> usize {
+fn token_bytes(event: &CallerEvent) -> usize {
     match event {
         CallerEvent::Tokens(tokens) => tokens.iter().map(String::len).sum(),
         _ => 0,
     }
 }
 
-/// The shell's end.
+/// The sending half, held by the shell.
 #[derive(Clone)]
 pub struct CallerTx {
     tx: unbounded::Tx<CallerEvent>,
-    unread: Rc<Cell<usize>>,
+    unread_bytes: Rc<Cell<usize>>,
 }
 
-/// The caller's end.
+/// The receiving half, held by the caller's task.
 pub struct CallerRx {
     rx: unbounded::Rx<CallerEvent>,
-    unread: Rc<Cell<usize>>,
+    unread_bytes: Rc<Cell<usize>>,
 }
 
-/// Builds a channel.
+/// Creates a channel.
 pub fn caller_channel() -> (CallerTx, CallerRx) {
     let (tx, rx) = unbounded::channel();
-    let unread = Rc::new(Cell::new(0));
+    let unread_bytes = Rc::new(Cell::new(0));
     let tx = CallerTx {
         tx,
-        unread: unread.clone(),
+        unread_bytes: unread_bytes.clone(),
     };
-    (tx, CallerRx { rx, unread })
+    (tx, CallerRx { rx, unread_bytes })
 }
 
 impl CallerTx {
-    /// Sends a message; one to a task that is gone is dropped.
+    /// Sends an event. The event is dropped if the task has ended.
     pub fn send(&self, event: CallerEvent) {
-        self.unread.set(self.unread.get() + size(&event));
+        self.unread_bytes
+            .set(self.unread_bytes.get() + token_bytes(&event));
         let _ = self.tx.send(event);
     }
 
-    /// Returns the bytes not yet taken.
-    pub fn unread(&self) -> usize {
-        self.unread.get()
+    /// Returns the bytes of tokens sent and not yet received.
+    pub fn unread_bytes(&self) -> usize {
+        self.unread_bytes.get()
     }
 }
 
 impl CallerRx {
-    /// Waits for the next message; `None` when the shell forgot the request.
+    /// Waits for the next event. Returns `None` once the shell has dropped the request.
     pub async fn recv(&mut self) -> Option<CallerEvent> {
         let event = self.rx.recv().await?;
-        self.unread.set(self.unread.get() - size(&event));
+        self.unread_bytes
+            .set(self.unread_bytes.get() - token_bytes(&event));
         Some(event)
     }
 
-    /// Takes a message if one is there.
+    /// Returns the next event if one is queued.
     pub fn try_recv(&mut self) -> Option<CallerEvent> {
         let event = self.rx.try_recv().ok()?;
-        self.unread.set(self.unread.get() - size(&event));
+        self.unread_bytes
+            .set(self.unread_bytes.get() - token_bytes(&event));
         Some(event)
     }
 }
--- a/crates/notchwalkd/src/claim_writer.rs
+++ b/crates/notchwalkd/src/claim_writer.rs
@@ -1,6 +1,5 @@
-//! Writes, reads and releases claims in the platform's table. Writes that come
-//! close together share one transaction, since the table takes only several
-//! hundred writes a second.
+//! Writes, reads and releases claims in the platform's table. Writes are batched
+//! into shared transactions, because the table's write rate is limited.
 
 use std::{rc::Rc, time::Duration};
 
@@ -8,22 +7,22 @@
 use notchwalk_wire::{Condition, Row, TableOp, TableRead, TableTransaction};
 
 use crate::{
-    claims::{ClaimValue, StoredOutcome, Then, Write},
+    claims::{AfterWrite, ClaimValue, PendingWrite, StoredOutcome},
     shell::Shell,
 };
 
-/// How long writes are gathered.
-const GATHER: Duration = Duration::from_millis(4);
-/// Writes in one transaction at the most.
-const MAX_BATCH: usize = 64;
-/// Tries to store an outcome.
-const STORE_TRIES: u32 = 12;
+/// How long writes are collected before the first transaction.
+const BATCH_DELAY: Duration = Duration::from_millis(4);
+/// Maximum number of writes in one transaction.
+const MAX_BATCH_WRITES: usize = 64;
+/// Maximum number of attempts to store an outcome.
+const MAX_STORE_ATTEMPTS: u32 = 12;
 
-fn ttl(shell: &Shell) -> Option<u64> {
+fn outcome_ttl_s(shell: &Shell) -> Option<u64> {
     Some(shell.bundle().map_or(86_400, |b| b.policy.outcome_ttl_s))
 }
 
-/// Writes a claim if there is none.
+/// Inserts a claim unless the key is already claimed.
 pub fn insert(
     shell: &Rc<Shell>,
     request: RequestKey,
@@ -40,27 +39,26 @@
         key,
         condition: Condition::Absent,
         value: Some(value.text()),
-        ttl_s: ttl(shell),
+        ttl_s: outcome_ttl_s(shell),
     };
     push(
         shell,
-        Write {
+        PendingWrite {
             op,
-            then: Then::Claim(request),
+            after: AfterWrite::ReportClaim(request),
         },
     );
 }
 
-/// Adds a write to those that share the next transaction.
-fn push(shell: &Rc<Shell>, write: Write) {
-    shell.claims.waiting.borrow_mut().push(write);
-    if !shell.claims.gathering.replace(true) {
+/// Queues a write for the next transaction.
+fn push(shell: &Rc<Shell>, write: PendingWrite) {
+    shell.claims.pending.borrow_mut().push(write);
+    if !shell.claims.is_flushing.replace(true) {
         notchwalk_http::spawn(flush(shell.clone()));
     }
 }
 
-/// Stores the outcome of a call, with several tries while the table is
-/// down.
+/// Stores the outcome of a call. Failed writes are retried with a backoff.
 pub fn store(
     shell: &Rc<Shell>,
     key: String,
@@ -79,26 +77,28 @@
         key,
         condition: Condition::Value(claimed),
         value: Some(value.text()),
-        ttl_s: ttl(shell),
+        ttl_s: outcome_ttl_s(shell),
     };
-    let then = Then::Stored { tries: STORE_TRIES };
-    push(shell, Write { op, then });
+    let after = AfterWrite::RetryOutcome {
+        attempts_left: MAX_STORE_ATTEMPTS,
+    };
+    push(shell, PendingWrite { op, after });
 }
 
-/// Reads a claim.
+/// Reads a claim and reports it to the reducer.
 pub fn read(shell: &Rc<Shell>, request: RequestKey, key: String) {
     let shell = shell.clone();
     notchwalk_http::spawn(async move {
         let read = shell.platform.read(TableRead { keys: vec![key] }).await;
         let answer = match read {
-            Ok(answer) => answer_of(answer.rows.into_iter().next().flatten()),
+            Ok(response) => claim_answer(response.rows.into_iter().next().flatten()),
             Err(_) => ClaimAnswer::NoAnswer,
         };
         shell.step(Event::Claim { request, answer });
     });
 }
 
-/// Deletes a claim whose call was not sent.
+/// Deletes the claim of a call that was not sent.
 pub fn release(shell: &Rc<Shell>, key: String, token: String, fingerprint: String) {
     let shell = shell.clone();
     notchwalk_http::spawn(async move {
@@ -123,55 +123,67 @@
 }
 
 async fn flush(shell: Rc<Shell>) {
-    monoio::time::sleep(GATHER).await;
+    monoio::time::sleep(BATCH_DELAY).await;
     loop {
         let batch = {
-            let mut waiting = shell.claims.waiting.borrow_mut();
-            let n = waiting.len().min(MAX_BATCH);
-            waiting.drain(..n).collect::<Vec<_>>()
+            let mut pending = shell.claims.pending.borrow_mut();
+            let n = pending.len().min(MAX_BATCH_WRITES);
+            pending.drain(..n).collect::<Vec<_>>()
         };
         if batch.is_empty() {
-            shell.claims.gathering.set(false);
+            shell.claims.is_flushing.set(false);
             return;
         }
         write(&shell, batch).await;
     }
 }
 
-async fn write(shell: &Rc<Shell>, batch: Vec<Write>) {
+async fn write(shell: &Rc<Shell>, batch: Vec<PendingWrite>) {
     let ops = batch.iter().map(|write| write.op.clone()).collect();
     let tx = TableTransaction {
         ops,
         all_or_none: false,
     };
-    let rows = shell.platform.transact(tx).await.map(|answer| answer.rows);
+    let rows = shell
+        .platform
+        .transact(tx)
+        .await
+        .map(|response| response.rows);
     for (i, write) in batch.into_iter().enumerate() {
         let row = rows.as_ref().map(|rows| rows.get(i).cloned().flatten());
-        match write.then {
-            Then::Claim(request) => {
-                let answer = row.map_or(ClaimAnswer::NoAnswer, answer_of);
+        match write.after {
+            AfterWrite::ReportClaim(request) => {
+                let answer = row.map_or(ClaimAnswer::NoAnswer, claim_answer);
                 shell.step(Event::Claim { request, answer });
             }
-            Then::Stored { tries } if row.is_err() && tries > 1 => {
-                let then = Then::Stored { tries: tries - 1 };
-                notchwalk_http::spawn(store_later(shell.clone(), Write { op: write.op, then }));
+            AfterWrite::RetryOutcome { attempts_left } if row.is_err() && attempts_left > 1 => {
+                let after = AfterWrite::RetryOutcome {
+                    attempts_left: attempts_left - 1,
+                };
+                notchwalk_http::spawn(retry_store(
+                    shell.clone(),
+                    PendingWrite {
+                        op: write.op,
+                        after,
+                    },
+                ));
             }
-            Then::Stored { .. } => {}
+            AfterWrite::RetryOutcome { .. } => {}
         }
     }
 }
 
-/// Tries again to store an outcome, after a pause that grows with each try.
-async fn store_later(shell: Rc<Shell>, write: Write) {
-    const PAUSE: Duration = Duration::from_millis(100);
-    let Then::Stored { tries } = write.then else {
+/// Queues the write of an outcome again after an exponential backoff.
+async fn retry_store(shell: Rc<Shell>, write: PendingWrite) {
+    const BASE_DELAY: Duration = Duration::from_millis(100);
+    let AfterWrite::RetryOutcome { attempts_left } = write.after else {
         return;
     };
-    monoio::time::sleep(PAUSE * 2u32.pow((STORE_TRIES - tries).min(8))).await;
+    monoio::time::sleep(BASE_DELAY * 2u32.pow((MAX_STORE_ATTEMPTS - attempts_left).min(8))).await;
     push(&shell, write);
 }
 
-fn answer_of(row: Option<Row>) -> ClaimAnswer {
+fn claim_answer(row: Option<Row>) -> ClaimAnswer {
     let Some(row) = row else {
         return ClaimAnswer::NoRow;
     };
@@ -185,13 +197,13 @@
     }
 }
 
-/// Reads a stored outcome.
+/// Reads a stored outcome. Returns `None` if there is none or the read fails.
 pub async fn read_outcome(shell: &Shell, key: String) -> Option<StoredOutcome> {
-    let answer = shell
+    let response = shell
         .platform
         .read(TableRead { keys: vec![key] })
         .await
         .ok()?;
-    let row = answer.rows.into_iter().next().flatten()?;
+    let row = response.rows.into_iter().next().flatten()?;
     serde_json::from_str::<ClaimValue>(&row.value).ok()?.outcome
 }
--- a/crates/notchwalkd/src/claims.rs
+++ b/crates/notchwalkd/src/claims.rs
@@ -1,4 +1,4 @@
-//! Claims as the table holds them, and those on their way to it.
+//! Claims of idempotency keys: the stored form, and writes waiting for the table.
 
 use std::cell::{Cell, RefCell};
 
@@ -6,60 +6,52 @@
 use notchwalk_wire::TableOp;
 use serde::{Deserialize, Serialize};
 
-/// The value of a claim's row.
+/// The value of a claim's row in the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimValue {
-    /// The token of the owner.
+    /// Identifies the request that owns the claim.
     pub token: String,
-    /// The digest of the call.
+    /// Digest of the call.
     pub fingerprint: String,
-    /// The outcome, once it is known.
+    /// The outcome, once the call has completed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub outcome: Option<StoredOutcome>,
 }
 
-/// A stored answer of a plain service.
+/// A stored response of a plain service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredOutcome {
-    /// The HTTP status.
     pub status: u16,
-    /// The content type.
     pub content_type: String,
-    /// The body; `None` if it was too large to store.
+    /// `None` if the body was too large to store.
     pub body: Option<Vec<u8>>,
 }
 
 impl ClaimValue {
-    /// Returns the text of the row.
+    /// Returns the value as JSON.
     pub fn text(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
 }
 
-/// What follows a write.
-pub enum Then {
-    /// The reducer hears of its claim.
-    Claim(RequestKey),
-    /// An outcome is stored; on failure it is tried again so often.
-    Stored {
-        /// Tries left.
-        tries: u32,
-    },
+/// What to do after a write.
+pub enum AfterWrite {
+    /// Report the claim to the reducer.
+    ReportClaim(RequestKey),
+    /// Retry the write of an outcome if it failed.
+    RetryOutcome { attempts_left: u32 },
 }
 
-/// A write on its way.
-pub struct Write {
-    /// What is written.
+/// A write that waits for a transaction.
+pub struct PendingWrite {
     pub op: TableOp,
-    /// What follows.
-    pub then: Then,
+    pub after: AfterWrite,
 }
 
-/// Claims and outcomes on their way to the table.
+/// Writes of claims and outcomes that wait for a transaction.
 #[derive(Default)]
-pub struct WaitingClaims {
-    /// Those that wait for the next transaction.
-    pub waiting: RefCell<Vec<Write>>,
-    /// Whether a transaction is being gathered.
-    pub gathering: Cell<bool>,
+pub struct ClaimQueue {
+    pub pending: RefCell<Vec<PendingWrite>>,
+    /// Whether a task that writes the pending operations is running.
+    pub is_flushing: Cell<bool>,
 }
--- a/crates/notchwalkd/src/completion_request.rs
+++ b/crates/notchwalkd/src/completion_request.rs
@@ -1,4 +1,4 @@
-//! Reading the bodies of `/v1/completions` and `/v1/chat/completions`.
+//! Parsing of request bodies for `/v1/completions` and `/v1/chat/completions`.
 
 use http::StatusCode;
 use notchwalk_wire::{
@@ -8,7 +8,7 @@
 
 use crate::api_error::ApiFailure;
 
-/// The two interfaces to the same work.
+/// The API that a completion was requested through.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Dialect {
     /// `/v1/completions`.
@@ -17,30 +17,29 @@
     Chat,
 }
 
-/// A request as read from its body.
-pub struct Wanted {
-    /// The model's name, with adapter or version.
+/// A completion request of either dialect.
+pub struct ParsedRequest {
+    /// Name of the model, with its adapter and version if given.
     pub model: String,
-    /// The prompt.
     pub prompt: Prompt,
-    /// The longest answer.
+    /// Limit on generated tokens.
     pub max_tokens: Option<u32>,
-    /// Whether the answer is streamed.
+    /// Whether to stream the response.
     pub stream: bool,
-    /// Whether a stream ends with the usage.
+    /// Whether a streamed response ends with a usage chunk.
     pub include_usage: bool,
-    /// Texts that end the answer.
+    /// Stop sequences.
     pub stop: Vec<String>,
-    /// Sampling parameters as given.
+    /// Sampling parameters, passed through unchanged.
     pub sampling: Map<String, Value>,
 }
 
-/// Reads a body.
+/// Parses a request body.
 ///
 /// # Errors
 ///
-/// Says which parameter is wrong, unknown or not served.
-pub fn parse(dialect: Dialect, body: &[u8]) -> Result<Wanted, ApiFailure> {
+/// Returns which parameter is invalid, unknown or unsupported.
+pub fn parse(dialect: Dialect, body: &[u8]) -> Result<ParsedRequest, ApiFailure> {
     match dialect {
         Dialect::Completions => parse_completion(body),
         Dialect::Chat => parse_chat(body),
@@ -49,11 +48,12 @@
 
 fn unsupported(param: &str) -> ApiFailure {
     let message = format!("{param} is not served");
-    ApiFailure::bad_param("unsupported_parameter", param, message)
+    ApiFailure::invalid_param("unsupported_parameter", param, message)
 }
 
-/// Refuses parameters that would change the answer and aren't served.
-fn refuse_set(params: &[(&str, bool)]) -> Result<(), ApiFailure> {
+/// Rejects the first set parameter. The callers list unsupported parameters that
+/// would change the output.
+fn reject_unsupported(params: &[(&str, bool)]) -> Result<(), ApiFailure> {
     for (name, set) in params {
         if *set {
             return Err(unsupported(name));
@@ -66,7 +66,7 @@
     !matches!(value, None | Some(Value::Null) | Some(Value::Bool(false)))
 }
 
-fn stop_texts(stop: Option<StopInput>) -> Vec<String> {
+fn stop_sequences(stop: Option<StopInput>) -> Vec<String> {
     match stop {
         None => Vec::new(),
         Some(StopInput::One(text)) => vec![text],
@@ -74,12 +74,12 @@
     }
 }
 
-/// Takes the sampling parameters out of a request of either dialect. They are
-/// fields of both, and not a struct flattened into them, since serde can't
-/// refuse unknown fields beside a flattened struct.
-macro_rules! sampling_of {
+/// Collects the sampling parameters of a request of either dialect. Both request
+/// types declare them as fields, because serde can't deny unknown fields next to
+/// a flattened struct.
+macro_rules! sampling_params {
     ($req:ident) => {
-        sampling([
+        given_params([
             ("temperature", $req.temperature),
             ("top_p", $req.top_p),
             ("seed", $req.seed),
@@ -90,8 +90,8 @@
     };
 }
 
-/// Returns the parameters that were given.
-fn sampling(params: [(&str, Option<Value>); 6]) -> Map<String, Value> {
+/// Returns the parameters that are present and not null.
+fn given_params(params: [(&str, Option<Value>); 6]) -> Map<String, Value> {
     let given = params.into_iter().filter_map(|(name, value)| {
         let value = value.filter(|v| !v.is_null())?;
         Some((name.to_owned(), value))
@@ -99,12 +99,12 @@
     given.collect()
 }
 
-fn json_failure(error: &serde_json::Error) -> ApiFailure {
+fn json_error(error: &serde_json::Error) -> ApiFailure {
     let text = error.to_string();
     if let Some(rest) = text.strip_prefix("unknown field `") {
         let name = rest.split('`').next().unwrap_or("");
         let message = format!("{name} is no parameter of this request");
-        return ApiFailure::bad_param("unknown_parameter", name, message);
+        return ApiFailure::invalid_param("unknown_parameter", name, message);
     }
     let code = match error.classify() {
         serde_json::error::Category::Data => "invalid_parameter",
@@ -113,23 +113,23 @@
     ApiFailure::not_run(StatusCode::BAD_REQUEST, code, format!("the body: {text}"))
 }
 
-fn parse_completion(body: &[u8]) -> Result<Wanted, ApiFailure> {
-    let req: CompletionRequest = serde_json::from_slice(body).map_err(|e| json_failure(&e))?;
-    refuse_set(&[
+fn parse_completion(body: &[u8]) -> Result<ParsedRequest, ApiFailure> {
+    let req: CompletionRequest = serde_json::from_slice(body).map_err(|e| json_error(&e))?;
+    reject_unsupported(&[
         ("n", req.n.is_some_and(|n| n != 1)),
         ("best_of", req.best_of.is_some_and(|n| n != 1)),
         ("echo", req.echo == Some(true)),
         ("suffix", is_set(&req.suffix)),
         ("logprobs", is_set(&req.logprobs)),
     ])?;
-    Ok(Wanted {
+    Ok(ParsedRequest {
         model: req.model,
         prompt: single_prompt(req.prompt)?,
         max_tokens: req.max_tokens,
         stream: req.stream.unwrap_or(false),
         include_usage: includes_usage(req.stream_options),
-        stop: stop_texts(req.stop),
-        sampling: sampling_of!(req),
+        stop: stop_sequences(req.stop),
+        sampling: sampling_params!(req),
     })
 }
 
@@ -138,11 +138,11 @@
 }
 
 fn single_prompt(input: PromptInput) -> Result<Prompt, ApiFailure> {
-    let one = || {
+    let batch = || {
         let message = "a batch of prompts is not served; send one prompt a request";
-        ApiFailure::bad_param("unsupported_parameter", "prompt", message)
+        ApiFailure::invalid_param("unsupported_parameter", "prompt", message)
     };
-    let empty = || ApiFailure::bad_param("invalid_parameter", "prompt", "the prompt is empty");
+    let empty = || ApiFailure::invalid_param("invalid_parameter", "prompt", "the prompt is empty");
     match input {
         PromptInput::Text(text) => Ok(Prompt::Text(text)),
         PromptInput::Tokens(tokens) if tokens.is_empty() => Err(empty()),
@@ -150,21 +150,21 @@
         PromptInput::Texts(mut texts) => match (texts.pop(), texts.is_empty()) {
             (Some(text), true) => Ok(Prompt::Text(text)),
             (None, _) => Err(empty()),
-            _ => Err(one()),
+            _ => Err(batch()),
         },
         PromptInput::TokenLists(mut lists) => match (lists.pop(), lists.is_empty()) {
             (Some(tokens), true) => Ok(Prompt::Tokens(tokens)),
             (None, _) => Err(empty()),
-            _ => Err(one()),
+            _ => Err(batch()),
         },
     }
 }
 
-fn parse_chat(body: &[u8]) -> Result<Wanted, ApiFailure> {
-    let req: ChatRequest = serde_json::from_slice(body).map_err(|e| json_failure(&e))?;
+fn parse_chat(body: &[u8]) -> Result<ParsedRequest, ApiFailure> {
+    let req: ChatRequest = serde_json::from_slice(body).map_err(|e| json_error(&e))?;
     let format = req.response_format.as_ref().and_then(|f| f.get("type"));
-    let plain = format.is_none_or(|kind| kind == "text");
-    refuse_set(&[
+    let is_text = format.is_none_or(|kind| kind == "text");
+    reject_unsupported(&[
         ("n", req.n.is_some_and(|n| n != 1)),
         ("tools", is_set(&req.tools)),
         (
@@ -174,11 +174,11 @@
         ("functions", is_set(&req.functions)),
         ("logprobs", is_set(&req.logprobs)),
         ("top_logprobs", is_set(&req.top_logprobs)),
-        ("response_format", !plain),
+        ("response_format", !is_text),
     ])?;
     if req.messages.is_empty() {
         let message = "at least one message is needed";
-        return Err(ApiFailure::bad_param(
+        return Err(ApiFailure::invalid_param(
             "invalid_parameter",
             "messages",
             message,
@@ -188,7 +188,7 @@
     for (i, message) in req.messages.iter().enumerate() {
         let Some(text) = message.text() else {
             let param = format!("messages[{i}].content");
-            return Err(ApiFailure::bad_param(
+            return Err(ApiFailure::invalid_param(
                 "invalid_parameter",
                 &param,
                 "only text is served",
@@ -200,13 +200,13 @@
         prompt.push('\n');
     }
     prompt.push_str("assistant: ");
-    Ok(Wanted {
+    Ok(ParsedRequest {
         model: req.model,
         prompt: Prompt::Text(prompt),
         max_tokens: req.max_completion_tokens.or(req.max_tokens),
         stream: req.stream.unwrap_or(false),
         include_usage: includes_usage(req.stream_options),
-        stop: stop_texts(req.stop),
-        sampling: sampling_of!(req),
+        stop: stop_sequences(req.stop),
+        sampling: sampling_params!(req),
     })
 }
--- a/crates/notchwalkd/src/completions.rs
+++ b/crates/notchwalkd/src/completions.rs
@@ -1,4 +1,4 @@
-//! `/v1/completions` and `/v1/chat/completions`.
+//! Handler of `/v1/completions` and `/v1/chat/completions`.
 
 use std::rc::Rc;
 
@@ -11,30 +11,34 @@
 use notchwalk_wire::Prompt;
 
 use crate::{
-    answer_template::{usage_of, Template},
     api_error::ApiFailure,
     auth::Caller,
     channel::{caller_channel, CallerEvent, CallerRx},
-    completion_request::{self, Dialect, Wanted},
+    completion_request::{self, Dialect, ParsedRequest},
     request_options::RequestOptions,
+    response_template::{usage_from, ResponseTemplate},
     shell::{GeneratePayload, Shell},
 };
 
-/// Tokens of an answer whose request names no limit.
+/// Limit on generated tokens if the request has none.
 const DEFAULT_MAX_TOKENS: u32 = 256;
 
-/// A model with the adapter or version asked for.
-struct Variant<'a> {
+/// A model with the requested adapter and version.
+struct ModelVariant<'a> {
     key: notchwalk_bundle::ModelKey,
     model: &'a Model,
     adapter: Option<String>,
     version: Option<String>,
 }
 
-/// Reads `MODEL`, `MODEL:ADAPTER`, `MODEL@VERSION` or `MODEL:ADAPTER@VERSION`.
-fn resolve<'a>(bundle: &'a Bundle, caller: &Caller, name: &str) -> Result<Variant<'a>, ApiFailure> {
-    let missing = |code, message: String| {
-        let mut failure = ApiFailure::bad_param(code, "model", message);
+/// Resolves `MODEL`, `MODEL:ADAPTER`, `MODEL@VERSION` or `MODEL:ADAPTER@VERSION`.
+fn resolve_model<'a>(
+    bundle: &'a Bundle,
+    caller: &Caller,
+    name: &str,
+) -> Result<ModelVariant<'a>, ApiFailure> {
+    let not_found = |code, message: String| {
+        let mut failure = ApiFailure::invalid_param(code, "model", message);
         failure.status = StatusCode::NOT_FOUND;
         failure
     };
@@ -47,7 +51,7 @@
         None => (rest, None),
     };
     let unknown = || {
-        missing(
+        not_found(
             "model_not_found",
             format!("there is no model {base:?} for this key"),
         )
@@ -59,13 +63,13 @@
     let model = &bundle.models[key.index()];
     if let Some(adapter) = adapter.as_ref().filter(|a| !model.adapters.contains(a)) {
         let message = format!("{base} has no adapter {adapter:?}");
-        return Err(missing("adapter_not_found", message));
+        return Err(not_found("adapter_not_found", message));
     }
     if let Some(version) = version.as_ref().filter(|v| !model.versions.contains(v)) {
         let message = format!("{base} has no version {version:?}");
-        return Err(missing("version_not_found", message));
+        return Err(not_found("version_not_found", message));
     }
-    Ok(Variant {
+    Ok(ModelVariant {
         key,
         model,
         adapter,
@@ -73,11 +77,11 @@
     })
 }
 
-/// Answers one request.
+/// Handles one request.
 ///
 /// # Errors
 ///
-/// Returns what to answer if no answer was begun.
+/// Returns the error response if no response has been started.
 pub async fn handle(
     shell: &Rc<Shell>,
     exchange: &mut Exchange,
@@ -85,24 +89,24 @@
     options: &RequestOptions,
     dialect: Dialect,
 ) -> Result<(), ApiFailure> {
-    refuse_unread(shell, caller)?;
+    check_early_refusal(shell, caller)?;
     let body = read_body(shell, exchange).await?;
-    let wanted = completion_request::parse(dialect, &body)?;
-    let content = content_of(exchange, caller, &body);
+    let parsed = completion_request::parse(dialect, &body)?;
+    let content = content_fingerprint(exchange, caller, &body);
     drop(body);
-    let variant = resolve(&caller.bundle, caller, &wanted.model)?;
-    let max_tokens = wanted.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS);
+    let variant = resolve_model(&caller.bundle, caller, &parsed.model)?;
+    let max_tokens = parsed.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS);
     if max_tokens == 0 {
         let message = "at least one token must be wanted";
-        return Err(ApiFailure::bad_param(
+        return Err(ApiFailure::invalid_param(
             "invalid_parameter",
             "max_tokens",
             message,
         ));
     }
-    let (stream, include_usage) = (wanted.stream, wanted.include_usage);
-    let name = wanted.model.clone();
-    let (work, payload) = build_work(shell, wanted, &variant, max_tokens);
+    let (stream, include_usage) = (parsed.stream, parsed.include_usage);
+    let name = parsed.model.clone();
+    let (work, payload) = build_work(shell, parsed, &variant, max_tokens);
     let (tx, rx) = caller_channel();
     let arrival = |key: CallerKey| Arrival {
         caller: key,
@@ -113,23 +117,23 @@
         timeout_ms: options.timeout_ms,
     };
     let admitted = shell.submit(arrival, tx, Some(Rc::new(payload)));
-    let (request, id) = admitted.map_err(ApiFailure::from_decision)?;
-    let mut answer = Answer {
+    let (request, id) = admitted.map_err(ApiFailure::from_failure)?;
+    let mut response = Response {
         shell,
         request,
         rx,
-        template: Template::new(dialect, &id.to_string(), &name),
+        template: ResponseTemplate::new(dialect, &id.to_string(), &name),
         include_usage,
-        headers: options.answer_headers(),
+        headers: options.response_headers(),
     };
     match stream {
-        true => answer.stream(exchange).await,
-        false => answer.whole(exchange).await,
+        true => response.stream(exchange).await,
+        false => response.send_complete(exchange).await,
     }
 }
 
-/// Returns what identifies a request over its tries.
-fn content_of(exchange: &Exchange, caller: &Caller, body: &[u8]) -> Fingerprint {
+/// Returns a fingerprint that recognizes a repeated request.
+fn content_fingerprint(exchange: &Exchange, caller: &Caller, body: &[u8]) -> Fingerprint {
     let workspace = caller.bundle.workspace(caller.workspace);
     let mut fingerprinting = Fingerprinting::new(&Content {
         workspace: Some(&workspace.name),
@@ -141,13 +145,13 @@
     fingerprinting.finish()
 }
 
-/// Refuses what is refused whatever the body says, before it is read: a
-/// refusal must cost less than the work it refuses.
-fn refuse_unread(shell: &Shell, caller: &Caller) -> Result<(), ApiFailure> {
+/// Refuses requests that can be refused without reading their bodies, so that
+/// refusals stay cheap under overload.
+fn check_early_refusal(shell: &Shell, caller: &Caller) -> Result<(), ApiFailure> {
     let now = shell.now();
     let refusal = shell.with_node(|node| node.early_refusal(now, caller.workspace));
     match refusal {
-        Some(failure) => Err(ApiFailure::from_decision(failure)),
+        Some(failure) => Err(ApiFailure::from_failure(failure)),
         None => Ok(()),
     }
 }
@@ -162,12 +166,12 @@
 
 fn build_work(
     shell: &Shell,
-    wanted: Wanted,
-    variant: &Variant<'_>,
+    parsed: ParsedRequest,
+    variant: &ModelVariant<'_>,
     max_tokens: u32,
 ) -> (Work, GeneratePayload) {
     let model = &variant.model.name;
-    let (prompt_tokens, prefix, text_bytes) = match &wanted.prompt {
+    let (prompt_tokens, prefix, text_bytes) = match &parsed.prompt {
         Prompt::Text(text) => {
             let estimate = shell.with_node(|node| node.estimate_tokens(variant.key, text.len()));
             (
@@ -191,57 +195,59 @@
         adapter: variant.adapter.clone(),
         version: variant.version.clone(),
         max_tokens,
-        stop: wanted.stop,
-        sampling: wanted.sampling,
-        prompt: wanted.prompt,
+        stop: parsed.stop,
+        sampling: parsed.sampling,
+        prompt: parsed.prompt,
         text_bytes,
     };
     (work, payload)
 }
 
-/// An answer in the making.
-struct Answer<'a> {
+/// A response being sent.
+struct Response<'a> {
     shell: &'a Rc<Shell>,
     request: RequestKey,
     rx: CallerRx,
-    template: Template,
+    template: ResponseTemplate,
     include_usage: bool,
     headers: HeaderMap,
 }
 
-enum Next {
+enum NextEvent {
     Event(CallerEvent),
-    Gone,
+    Disconnected,
 }
 
-impl Answer<'_> {
-    /// Waits for the next message, or for the caller to go away.
-    async fn next(&mut self, exchange: &mut Exchange) -> Next {
+impl Response<'_> {
+    /// Waits for the next event or for the caller to disconnect.
+    async fn next(&mut self, exchange: &mut Exchange) -> NextEvent {
         if let Some(event) = self.rx.try_recv() {
-            return Next::Event(event);
+            return NextEvent::Event(event);
         }
-        let gone = exchange.peer_closed();
+        let disconnected = exchange.peer_closed();
         monoio::select! {
-            event = self.rx.recv() => event.map_or(Next::Gone, Next::Event),
-            () = gone => Next::Gone,
+            event = self.rx.recv() => event.map_or(NextEvent::Disconnected, NextEvent::Event),
+            () = disconnected => NextEvent::Disconnected,
         }
     }
 
-    fn caller_gone(&self) {
+    fn report_disconnect(&self) {
         self.shell.step(Event::CallerGone(self.request));
     }
 
-    async fn whole(&mut self, exchange: &mut Exchange) -> Result<(), ApiFailure> {
+    async fn send_complete(&mut self, exchange: &mut Exchange) -> Result<(), ApiFailure> {
         let mut text = String::new();
         loop {
             match self.next(exchange).await {
-                Next::Event(CallerEvent::Tokens(tokens)) => {
+                NextEvent::Event(CallerEvent::Tokens(tokens)) => {
                     tokens.iter().for_each(|token| text.push_str(token));
                 }
-                Next::Event(CallerEvent::Finish { result, reason }) => {
-                    let completion = result.map_err(ApiFailure::from_decision)?;
+                NextEvent::Event(CallerEvent::Finish { result, reason }) => {
+                    let completion = result.map_err(ApiFailure::from_failure)?;
                     let reason = reason.as_deref().unwrap_or("stop");
-                    let body = self.template.whole(text, reason, usage_of(&completion));
+                    let body = self
+                        .template
+                        .full_body(text, reason, usage_from(&completion));
                     let mut headers = std::mem::take(&mut self.headers);
                     let json = HeaderValue::from_static("application/json");
                     headers.insert(header::CONTENT_TYPE, json);
@@ -249,9 +255,9 @@
                     exchange.respond(StatusCode::OK, headers, &body).await;
                     return Ok(());
                 }
-                Next::Event(_) => {}
-                Next::Gone => {
-                    self.caller_gone();
+                NextEvent::Event(_) => {}
+                NextEvent::Disconnected => {
+                    self.report_disconnect();
                     exchange.abort();
                     return Ok(());
                 }
@@ -260,38 +266,38 @@
     }
 
     async fn stream(&mut self, exchange: &mut Exchange) -> Result<(), ApiFailure> {
-        let mut begun = false;
+        let mut started = false;
         loop {
             let mut buf = Vec::new();
-            let mut over = None;
+            let mut end = None;
             match self.next(exchange).await {
-                Next::Event(event) => self.render(event, &mut buf, &mut over),
-                Next::Gone => {
-                    self.caller_gone();
+                NextEvent::Event(event) => self.render(event, &mut buf, &mut end),
+                NextEvent::Disconnected => {
+                    self.report_disconnect();
                     exchange.abort();
                     return Ok(());
                 }
             }
-            // All that waits goes out in one write.
-            while let (None, Some(event)) = (&over, self.rx.try_recv()) {
-                self.render(event, &mut buf, &mut over);
+            // Coalesces all pending events into one write.
+            while let (None, Some(event)) = (&end, self.rx.try_recv()) {
+                self.render(event, &mut buf, &mut end);
             }
-            if let (false, Some(Err(failure))) = (begun, &over) {
+            if let (false, Some(Err(failure))) = (started, &end) {
                 return Err(failure.clone());
             }
-            let whole = matches!(over, Some(Ok(())));
-            if let Some(Err(failure)) = &over {
+            let is_complete = matches!(end, Some(Ok(())));
+            if let Some(Err(failure)) = &end {
                 let error = serde_json::to_string(&failure.body()).unwrap_or_default();
                 buf.extend_from_slice(format!("data: {error}\n\n").as_bytes());
             }
-            let sent = self.send(exchange, &buf, &mut begun).await;
+            let sent = self.send(exchange, &buf, &mut started).await;
             if sent.is_err() {
-                self.caller_gone();
+                self.report_disconnect();
                 exchange.abort();
                 return Ok(());
             }
-            if over.is_some() {
-                if !whole {
+            if end.is_some() {
+                if !is_complete {
                     exchange.close_after();
                 }
                 let _ = exchange.finish_stream().await;
@@ -304,27 +310,27 @@
         &self,
         event: CallerEvent,
         buf: &mut Vec<u8>,
-        over: &mut Option<Result<(), ApiFailure>>,
+        end: &mut Option<Result<(), ApiFailure>>,
     ) {
         match event {
             CallerEvent::Tokens(tokens) => {
                 for token in &tokens {
-                    self.template.token_into(buf, token);
+                    self.template.write_token(buf, token);
                 }
             }
             CallerEvent::Finish {
                 result: Ok(completion),
                 reason,
             } => {
-                let usage = self.include_usage.then(|| usage_of(&completion));
+                let usage = self.include_usage.then(|| usage_from(&completion));
                 let reason = reason.as_deref().unwrap_or("stop");
-                buf.extend_from_slice(&self.template.closing(reason, usage));
-                *over = Some(Ok(()));
+                buf.extend_from_slice(&self.template.closing_chunks(reason, usage));
+                *end = Some(Ok(()));
             }
             CallerEvent::Finish {
                 result: Err(failure),
                 ..
-            } => *over = Some(Err(ApiFailure::from_decision(failure))),
+            } => *end = Some(Err(ApiFailure::from_failure(failure))),
             CallerEvent::Send(_) | CallerEvent::Stored(_) => {}
         }
     }
@@ -333,19 +339,19 @@
         &mut self,
         exchange: &mut Exchange,
         data: &[u8],
-        begun: &mut bool,
+        started: &mut bool,
     ) -> Result<(), notchwalk_http::HttpError> {
-        if *begun {
+        if *started {
             let mut framed = Vec::with_capacity(data.len() + 16);
             chunk_into(&mut framed, data);
             return exchange.write_framed(&framed).await;
         }
-        *begun = true;
+        *started = true;
         let mut headers = std::mem::take(&mut self.headers);
-        let kind = HeaderValue::from_static("text/event-stream; charset=utf-8");
-        headers.insert(header::CONTENT_TYPE, kind);
+        let content_type = HeaderValue::from_static("text/event-stream; charset=utf-8");
+        headers.insert(header::CONTENT_TYPE, content_type);
         headers.insert(header::CACHE_CONTROL, HeaderValue::from_static("no-cache"));
-        let mut first = self.template.opening();
+        let mut first = self.template.opening_chunk();
         first.extend_from_slice(data);
         exchange.start_stream(StatusCode::OK, headers, &first).await
     }
--- a/crates/notchwalkd/src/daemon.rs
+++ b/crates/notchwalkd/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Starting and ending a daemon.
+//! Startup and shutdown of a daemon.
 
 use std::{
     net::{SocketAddr, TcpListener as StdListener},
@@ -16,25 +16,25 @@
 use notchwalk_platform::HttpPlatform;
 
 use crate::{
-    bundle_watch, caller_api::CallerApi, effects::Effects, operator_api::OperatorApi, peer_link,
-    settings::DaemonSettings, shell::Shell, vm_watch,
+    bundle_watch, caller_api::CallerApi, effects::DaemonEffects, operator_api::OperatorApi,
+    peer_link, settings::DaemonSettings, shell::Shell, vm_watch,
 };
 
-/// How often the reducer hears that time passed.
-const TICK: Duration = Duration::from_millis(5);
+/// Interval between `Event::Tick`s.
+const TICK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The addresses a daemon listens on, ports included.
+/// The addresses a daemon listens on, with the ports actually bound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BoundAddresses {
-    /// For callers.
+    /// Callers' interface.
     pub caller: SocketAddr,
-    /// For other daemons.
+    /// Links from peers.
     pub peer: SocketAddr,
-    /// For operators.
+    /// Operators' interface.
     pub operator: SocketAddr,
 }
 
-/// A daemon's listening sockets, bound before it starts.
+/// The listening sockets of a daemon, bound before it starts.
 pub struct Listeners {
     caller: StdListener,
     peer: StdListener,
@@ -42,11 +42,11 @@
 }
 
 impl Listeners {
-    /// Binds all addresses of the settings.
+    /// Binds all addresses given in the settings.
     ///
     /// # Errors
     ///
-    /// Fails if one can't be bound.
+    /// Fails if an address can't be bound.
     pub fn bind(settings: &DaemonSettings) -> Result<Self, DaemonError> {
         let mut listen = settings.listen;
         Ok(Self {
@@ -60,7 +60,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the system can't tell them.
+    /// Fails if the local address of a socket can't be read.
     pub fn addresses(&self) -> Result<BoundAddresses, DaemonError> {
         let addr = |listener: &StdListener| listener.local_addr().map_err(DaemonError::Runtime);
         Ok(BoundAddresses {
@@ -71,7 +71,8 @@
     }
 }
 
-/// Runs a daemon on this thread until a signal stops it and its drain is over.
+/// Runs a daemon on this thread until it has drained after a stop signal, or
+/// until it is killed.
 ///
 /// # Errors
 ///
@@ -101,7 +102,7 @@
         BootNumber(boot_number()),
         client,
         platform,
-        Box::new(Effects),
+        Box::new(DaemonEffects),
     );
     let listener = |std| TcpListener::from_std(std).map_err(DaemonError::Runtime);
     let serve_on = |std, service: Rc<dyn Service>| -> Result<(), DaemonError> {
@@ -135,67 +136,67 @@
             draining = true;
             shell.step(Event::Drain);
         }
-        shell.notice_suspension();
+        shell.check_suspension();
         shell.step(Event::Tick);
         log_sink::flush();
-        monoio::time::sleep(TICK).await;
+        monoio::time::sleep(TICK_INTERVAL).await;
     }
 }
 
-/// A daemon that runs in a thread of this process, for demos and tests.
+/// A daemon running in a thread of this process, for demos and tests.
 pub struct RunningDaemon {
-    /// Where it listens.
+    /// The addresses it listens on.
     pub addresses: BoundAddresses,
     signals: Signals,
     thread: Option<JoinHandle<Result<(), DaemonError>>>,
 }
 
 impl RunningDaemon {
-    /// Tells it to drain and end.
+    /// Starts the drain; the daemon stops once it is done.
     pub fn stop(&self) {
         self.signals.stop.store(true, Ordering::Relaxed);
     }
 
-    /// Ends it at once, as a crash would.
+    /// Stops the daemon without a drain, as a crash would.
     pub fn kill(&self) {
         self.signals.kill.store(true, Ordering::Relaxed);
     }
 
-    /// Tells whether it has ended.
+    /// Returns whether the daemon's thread has ended.
     pub fn is_finished(&self) -> bool {
         self.thread.as_ref().is_none_or(JoinHandle::is_finished)
     }
 
-    /// Waits for its end.
+    /// Waits until the daemon has stopped.
     ///
     /// # Errors
     ///
-    /// Returns the daemon's own error.
+    /// Returns the error the daemon ended with.
     ///
     /// # Panics
     ///
     /// Panics if the daemon's thread panicked.
     pub fn join(mut self) -> Result<(), DaemonError> {
         match self.thread.take() {
-            Some(thread) => thread.join().expect("the daemon's thread panicked"),
+            Some(thread) => thread.join().expect("daemon thread panicked"),
             None => Ok(()),
         }
     }
 }
 
-/// Starts a daemon in a thread of its own.
+/// Starts a daemon in its own thread.
 ///
 /// # Errors
 ///
-/// Fails if an address can't be bound.
+/// Fails if an address can't be bound or the thread can't be spawned.
 pub fn start_in_thread(settings: DaemonSettings) -> Result<RunningDaemon, DaemonError> {
     let listeners = Listeners::bind(&settings)?;
     let addresses = listeners.addresses()?;
     let signals = Signals::default();
-    let seen = signals.clone();
+    let thread_signals = signals.clone();
     let builder = std::thread::Builder::new().name(format!("entry-{}", settings.vm.0));
     let thread = builder
-        .spawn(move || run_until_stopped(settings, listeners, seen))
+        .spawn(move || run_until_stopped(settings, listeners, thread_signals))
         .map_err(DaemonError::Runtime)?;
     Ok(RunningDaemon {
         addresses,
--- a/crates/notchwalkd/src/effects.rs
+++ b/crates/notchwalkd/src/effects.rs
@@ -1,4 +1,4 @@
-//! Which driver carries out which effect.
+//! Dispatch of reducer effects to the drivers that execute them.
 
 use std::rc::Rc;
 
@@ -7,14 +7,14 @@
 use crate::{
     channel::CallerEvent,
     claim_writer, engine_driver, order_driver,
-    shell::{EffectDriver, Shell},
+    shell::{EffectHandler, Shell},
 };
 
-/// All drivers of effects. A new effect gets its line here.
-pub struct Effects;
+/// Executes effects by passing each to its driver. New effects are added here.
+pub struct DaemonEffects;
 
-impl EffectDriver for Effects {
-    fn carry_out(&self, shell: &Rc<Shell>, effect: Effect) {
+impl EffectHandler for DaemonEffects {
+    fn handle(&self, shell: &Rc<Shell>, effect: Effect) {
         match effect {
             Effect::Dispatch(dispatch) => {
                 let payload = shell.payload(dispatch.request);
@@ -23,15 +23,15 @@
                         dispatch.request,
                         engine_driver::generate(shell.clone(), dispatch, payload),
                     ),
-                    None => shell.tell(dispatch.request, CallerEvent::Send(dispatch)),
+                    None => shell.send_to_caller(dispatch.request, CallerEvent::Send(dispatch)),
                 }
             }
             Effect::Segment(order) => {
                 if order.from == 0 {
-                    shell.forget_tickets(order.request);
+                    shell.clear_tickets(order.request);
                 }
                 if let Some(payload) = shell.payload(order.request) {
-                    let task = engine_driver::compute_segment(shell.clone(), order, payload);
+                    let task = engine_driver::prefill_segment(shell.clone(), order, payload);
                     shell.spawn_attempt(order.request, task);
                 }
             }
@@ -39,7 +39,7 @@
                 notchwalk_http::spawn(engine_driver::cancel(shell.clone(), server, id, up_to));
             }
             Effect::AskHoldings(server) => {
-                notchwalk_http::spawn(engine_driver::ask_holdings(shell.clone(), server));
+                notchwalk_http::spawn(engine_driver::query_holdings(shell.clone(), server));
             }
             Effect::ClaimInsert {
                 request,
@@ -64,9 +64,14 @@
                 fence,
                 wanted,
             } => {
-                notchwalk_http::spawn(order_driver::give(shell.clone(), server, fence, wanted));
+                notchwalk_http::spawn(order_driver::send_order(
+                    shell.clone(),
+                    server,
+                    fence,
+                    wanted,
+                ));
             }
-            // The shell has them, which keeps open requests.
+            // Executed by the shell, which owns the open requests.
             Effect::Admitted { .. }
             | Effect::Refuse { .. }
             | Effect::Deliver { .. }
--- a/crates/notchwalkd/src/engine_driver.rs
+++ b/crates/notchwalkd/src/engine_driver.rs
@@ -1,4 +1,4 @@
-//! Carries out what the reducer asks of engines.
+//! Sends the reducer's requests to engines and feeds their responses back.
 
 use std::{rc::Rc, time::Duration};
 
@@ -16,12 +16,12 @@
     sse::SseReader,
 };
 
-/// How long small calls to engines may take.
+/// Timeout of cancel and holdings calls.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// The largest answer to a small call, in bytes.
-const MAX_ANSWER: usize = 16 << 20;
+/// Maximum size of a response that isn't streamed, in bytes.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// Runs one attempt of a generation to its end.
+/// Runs one attempt of a generation and reports its end to the reducer.
 pub async fn generate(shell: Rc<Shell>, dispatch: Dispatch, payload: Rc<GeneratePayload>) {
     let end = stream_attempt(&shell, &dispatch, &payload).await;
     shell.step(Event::AttemptEnded {
@@ -58,22 +58,22 @@
     };
     let req = OutgoingRequest::new(Method::POST, "/v1/generate").with_json(&body);
     match shell.client.stream(addr, req).await {
-        Ok(answer) if answer.status == StatusCode::OK => {
-            read_frames(shell, dispatch.request, payload, answer).await
+        Ok(response) if response.status == StatusCode::OK => {
+            read_frames(shell, dispatch.request, payload, response).await
         }
-        Ok(answer) => read_refusal(answer).await,
+        Ok(response) => read_refusal(response).await,
         Err(e) if e.nothing_sent() => AttemptEnd::NotSent,
         Err(_) => AttemptEnd::Broken,
     }
 }
 
-/// Reads an engine's answer that is no stream: a refusal before any work, if
-/// it says so itself.
-async fn read_refusal(answer: StreamedResponse) -> AttemptEnd {
-    let Ok(whole) = answer.whole(MAX_ANSWER).await else {
+/// Reads a response that isn't a stream. The attempt counts as refused only if the
+/// body is an explicit refusal.
+async fn read_refusal(response: StreamedResponse) -> AttemptEnd {
+    let Ok(body) = response.whole(MAX_RESPONSE_BYTES).await else {
         return AttemptEnd::Broken;
     };
-    match whole.json::<EngineRefusal>() {
+    match body.json::<EngineRefusal>() {
         Ok(refusal) => AttemptEnd::Refused { code: refusal.code },
         Err(_) => AttemptEnd::Broken,
     }
@@ -83,73 +83,76 @@
     shell: &Rc<Shell>,
     request: RequestKey,
     payload: &GeneratePayload,
-    mut answer: StreamedResponse,
+    mut response: StreamedResponse,
 ) -> AttemptEnd {
     let mut sse = SseReader::default();
     loop {
-        match answer.next().await {
-            Ok(Some(piece)) if sse.push(&piece) => {}
+        match response.next().await {
+            Ok(Some(chunk)) if sse.push(&chunk) => {}
             _ => return AttemptEnd::Broken,
         }
-        // Everything that has arrived is passed on in one go.
-        while let Ok(Some(piece)) = answer.buffered() {
-            if !sse.push(&piece) {
+        // Drains the receive buffer, so that consecutive frames are fed as one.
+        while let Ok(Some(chunk)) = response.buffered() {
+            if !sse.push(&chunk) {
                 return AttemptEnd::Broken;
             }
         }
-        if let Some(end) = take_lines(shell, request, payload, &mut sse) {
-            drain_tail(answer).await;
+        if let Some(end) = process_frames(shell, request, payload, &mut sse) {
+            drain_tail(response).await;
             return end;
         }
     }
 }
 
-/// Feeds all whole frames; consecutive ones go to the reducer as one. Returns
-/// the attempt's end if it was among them.
-fn take_lines(
+/// Feeds all complete frames to the reducer, merging consecutive ones. Returns the
+/// end of the attempt if one of the frames finishes it.
+fn process_frames(
     shell: &Rc<Shell>,
     request: RequestKey,
     payload: &GeneratePayload,
     sse: &mut SseReader,
 ) -> Option<AttemptEnd> {
-    let own = shell.with_node(|node| node.request_id(request))?;
+    let own_id = shell.with_node(|node| node.request_id(request))?;
     let mut batch: Option<EngineFrame> = None;
     while let Some(line) = sse.next_data() {
         let Ok(mut frame) = serde_json::from_slice::<EngineFrame>(line) else {
             return Some(AttemptEnd::Broken);
         };
-        let finish = frame.finish.take().filter(|_| frame.request == own);
+        let finish = frame.finish.take().filter(|_| frame.request == own_id);
         match &mut batch {
-            Some(before) if follows(before, &frame) => before.tokens.append(&mut frame.tokens),
+            Some(previous) if is_continuation(previous, &frame) => {
+                previous.tokens.append(&mut frame.tokens)
+            }
             _ => {
-                if let Some(before) = batch.replace(frame) {
-                    shell.frame(request, before);
+                if let Some(previous) = batch.replace(frame) {
+                    shell.feed_frame(request, previous);
                 }
             }
         }
         if let Some(finish) = finish {
-            feed(shell, request, batch);
-            return Some(finished(shell, request, payload, finish));
+            feed_batch(shell, request, batch);
+            return Some(record_finish(shell, request, payload, finish));
         }
     }
-    feed(shell, request, batch);
+    feed_batch(shell, request, batch);
     None
 }
 
-fn feed(shell: &Rc<Shell>, request: RequestKey, batch: Option<EngineFrame>) {
+fn feed_batch(shell: &Rc<Shell>, request: RequestKey, batch: Option<EngineFrame>) {
     if let Some(frame) = batch.filter(|f| !f.tokens.is_empty()) {
-        shell.frame(request, frame);
+        shell.feed_frame(request, frame);
     }
 }
 
-/// Tells whether a frame carries the tokens right after those of another.
-fn follows(before: &EngineFrame, frame: &EngineFrame) -> bool {
-    before.request == frame.request
-        && before.attempt == frame.attempt
-        && u64::from(before.offset) + before.tokens.len() as u64 == u64::from(frame.offset)
+/// Returns whether the tokens of `frame` directly follow those of `previous`.
+fn is_continuation(previous: &EngineFrame, frame: &EngineFrame) -> bool {
+    previous.request == frame.request
+        && previous.attempt == frame.attempt
+        && u64::from(previous.offset) + previous.tokens.len() as u64 == u64::from(frame.offset)
 }
 
-fn finished(
+/// Records the finish reason and token counts of a completed attempt.
+fn record_finish(
     shell: &Rc<Shell>,
     request: RequestKey,
     payload: &GeneratePayload,
@@ -166,21 +169,21 @@
     }
 }
 
-/// Reads the end of a finished stream, so that its connection can be used
-/// again.
-async fn drain_tail(mut answer: StreamedResponse) {
+/// Reads the rest of a finished stream, so that its connection can be reused.
+async fn drain_tail(mut response: StreamedResponse) {
     const TAIL_TIMEOUT: Duration = Duration::from_millis(50);
-    let rest = async { while let Ok(Some(_)) = answer.next().await {} };
+    let rest = async { while let Ok(Some(_)) = response.next().await {} };
     if monoio::time::timeout(TAIL_TIMEOUT, rest).await.is_ok() {
-        answer.release();
+        response.release();
     }
 }
 
-/// Has one segment of a huge prompt computed.
-pub async fn compute_segment(shell: Rc<Shell>, order: SegmentOrder, payload: Rc<GeneratePayload>) {
-    let event = match segment(&shell, &order, &payload).await {
-        Ok(answer) => {
-            shell.add_ticket(order.request, answer.ticket);
+/// Requests the prefill of one segment of a long prompt and reports the result to
+/// the reducer.
+pub async fn prefill_segment(shell: Rc<Shell>, order: SegmentOrder, payload: Rc<GeneratePayload>) {
+    let event = match request_segment(&shell, &order, &payload).await {
+        Ok(response) => {
+            shell.add_ticket(order.request, response.ticket);
             Event::SegmentReady {
                 request: order.request,
                 attempt: order.attempt,
@@ -195,7 +198,7 @@
     shell.step(event);
 }
 
-async fn segment(
+async fn request_segment(
     shell: &Rc<Shell>,
     order: &SegmentOrder,
     payload: &GeneratePayload,
@@ -214,25 +217,31 @@
     };
     let req = OutgoingRequest::new(Method::POST, "/v1/kv/prefill").with_json(&body);
     let timeout = Duration::from_millis(order.timeout_ms);
-    let sent = shell.client.send(addr, req, timeout, MAX_ANSWER).await;
-    let answer = sent.map_err(|e| match e.nothing_sent() {
+    let sent = shell
+        .client
+        .send(addr, req, timeout, MAX_RESPONSE_BYTES)
+        .await;
+    let response = sent.map_err(|e| match e.nothing_sent() {
         true => AttemptEnd::NotSent,
         false => AttemptEnd::Broken,
     })?;
-    if let Ok(refusal) = answer.json::<EngineRefusal>() {
+    if let Ok(refusal) = response.json::<EngineRefusal>() {
         return Err(AttemptEnd::Refused { code: refusal.code });
     }
-    answer.json().map_err(|_| AttemptEnd::Broken)
+    response.json().map_err(|_| AttemptEnd::Broken)
 }
 
-/// Ends an engine's work for a request.
+/// Cancels an engine's work for a request, up to and including attempt `up_to`.
 pub async fn cancel(shell: Rc<Shell>, server: ServerId, id: RequestId, up_to: Attempt) {
     let confirmed = match shell.server_address(server) {
         Some(addr) => {
             let body = CancelRequest { request: id, up_to };
             let req = OutgoingRequest::new(Method::POST, "/v1/cancel").with_json(&body);
-            let answer = shell.client.send(addr, req, CALL_TIMEOUT, MAX_ANSWER).await;
-            answer.is_ok_and(|a| a.status.is_success() && a.json::<CancelAnswer>().is_ok())
+            let response = shell
+                .client
+                .send(addr, req, CALL_TIMEOUT, MAX_RESPONSE_BYTES)
+                .await;
+            response.is_ok_and(|a| a.status.is_success() && a.json::<CancelAnswer>().is_ok())
         }
         None => false,
     };
@@ -243,16 +252,20 @@
     });
 }
 
-/// Asks an engine what it holds.
-pub async fn ask_holdings(shell: Rc<Shell>, server: ServerId) {
+/// Queries the memory an engine holds for requests and reports it to the reducer.
+pub async fn query_holdings(shell: Rc<Shell>, server: ServerId) {
     let Some(addr) = shell.server_address(server) else {
         return;
     };
     let req = OutgoingRequest::new(Method::GET, "/v1/holdings");
-    let Ok(answer) = shell.client.send(addr, req, CALL_TIMEOUT, MAX_ANSWER).await else {
+    let Ok(response) = shell
+        .client
+        .send(addr, req, CALL_TIMEOUT, MAX_RESPONSE_BYTES)
+        .await
+    else {
         return;
     };
-    if let Ok(holdings) = answer.json::<Holdings>() {
+    if let Ok(holdings) = response.json::<Holdings>() {
         shell.step(Event::Holdings {
             server,
             holdings: holdings.holdings,
--- a/crates/notchwalkd/src/engine_poll.rs
+++ b/crates/notchwalkd/src/engine_poll.rs
@@ -1,4 +1,4 @@
-//! Asks engines for their load and cache events.
+//! Polls engines for load reports and cache events.
 
 use std::{rc::Rc, time::Duration};
 
@@ -10,23 +10,23 @@
 
 use crate::shell::Shell;
 
-/// How often an engine is asked for its load.
-const LOAD_EVERY: Duration = Duration::from_millis(200);
-/// Of so many load questions, one is followed by one for cache events.
-const CACHE_EVERY: u32 = 3;
-/// How long an answer may take.
-const TIMEOUT: Duration = Duration::from_millis(800);
-/// The largest answer, in bytes.
-const MAX_ANSWER: usize = 4 << 20;
+/// Interval between load polls of an engine.
+const LOAD_POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// Number of load polls for each poll of cache events.
+const LOAD_POLLS_PER_CACHE_POLL: u32 = 3;
+const POLL_TIMEOUT: Duration = Duration::from_millis(800);
+/// Maximum size of a response, in bytes.
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
-/// Polls one engine until the VM list no longer names it.
+/// Polls an engine until it is removed from the VM list.
 pub async fn poll(shell: Rc<Shell>, server: ServerId) {
-    let mut round: u32 = server.0;
+    // Starts at the server's id to spread the cache polls of different engines.
+    let mut polls: u32 = server.0;
     loop {
         let Some(addr) = shell.server_address(server) else {
             return;
         };
-        let load = ask::<LoadReport>(&shell, addr, "/v1/load").await;
+        let load = get_json::<LoadReport>(&shell, addr, "/v1/load").await;
         shell.step(match load {
             Some(report) => Event::Load {
                 server,
@@ -34,28 +34,28 @@
             },
             None => Event::LoadFailed(server),
         });
-        round = round.wrapping_add(1);
-        if round % CACHE_EVERY == 0 {
+        polls = polls.wrapping_add(1);
+        if polls % LOAD_POLLS_PER_CACHE_POLL == 0 {
             let after = shell.with_node(|node| node.cache_events_after(server));
             let path = format!("/v1/cache/events?after={after}");
-            if let Some(events) = ask::<CacheEvents>(&shell, addr, &path).await {
+            if let Some(events) = get_json::<CacheEvents>(&shell, addr, &path).await {
                 shell.step(Event::Cache { server, events });
             }
         }
-        monoio::time::sleep(LOAD_EVERY).await;
+        monoio::time::sleep(LOAD_POLL_INTERVAL).await;
     }
 }
 
-async fn ask<T: serde::de::DeserializeOwned>(
+async fn get_json<T: serde::de::DeserializeOwned>(
     shell: &Rc<Shell>,
     addr: std::net::SocketAddr,
     path: &str,
 ) -> Option<T> {
     let req = OutgoingRequest::new(Method::GET, path);
-    let answer = shell
+    let response = shell
         .client
-        .send(addr, req, TIMEOUT, MAX_ANSWER)
+        .send(addr, req, POLL_TIMEOUT, MAX_RESPONSE_BYTES)
         .await
         .ok()?;
-    answer.json().ok()
+    response.json().ok()
 }
--- a/crates/notchwalkd/src/lib.rs
+++ b/crates/notchwalkd/src/lib.rs
@@ -1,10 +1,10 @@
-//! The entry daemon: drivers that turn sockets and timers into events of the
-//! reducer, and its effects into I/O. No decision stands here.
+//! The node daemon: drivers that turn socket and timer activity into reducer
+//! events, and execute the reducer's effects as I/O. All decisions are made by
+//! the reducer in `notchwalk_decide`.
 
-mod answer_template;
 mod api_error;
 mod auth;
-mod bundle_texts;
+mod bundle_source;
 mod bundle_watch;
 mod caller_api;
 mod channel;
@@ -19,10 +19,11 @@
 mod metrics;
 mod operator_api;
 mod order_driver;
+pub mod peer_auth;
 mod peer_link;
 mod peer_links;
-pub mod peer_proof;
 mod request_options;
+mod response_template;
 mod service_proxy;
 mod settings;
 mod shell;
@@ -32,5 +33,5 @@
 pub mod prelude;
 
 pub use daemon::{run_until_stopped, start_in_thread, BoundAddresses, Listeners, RunningDaemon};
-pub use peer_proof::{PeerKey, PeerKeys};
+pub use peer_auth::{PeerKey, PeerKeys};
 pub use settings::{DaemonSettings, ListenAddresses};
--- a/crates/notchwalkd/src/main.rs
+++ b/crates/notchwalkd/src/main.rs
@@ -1,4 +1,4 @@
-//! `notchwalkd`: the entry daemon.
+//! Command line of the node daemon.
 
 use std::{path::PathBuf, process::ExitCode};
 
--- a/crates/notchwalkd/src/metrics.rs
+++ b/crates/notchwalkd/src/metrics.rs
@@ -4,7 +4,7 @@
 use notchwalk_decide::Node;
 use prometheus::{Gauge, IntGauge};
 
-/// The gauges of one daemon, set when they are asked for.
+/// The metrics of one daemon, updated when they are rendered.
 pub struct Metrics {
     set: MetricSet,
     counters: Vec<(&'static str, IntGauge)>,
@@ -18,8 +18,8 @@
     retry_budget: Gauge,
 }
 
-/// Names of the counts since the boot, with their help.
-const COUNTS: [(&str, &str); 12] = [
+/// Names and help texts of the counters, in the order that [`Metrics::text`] sets them.
+const COUNTERS: [(&str, &str); 12] = [
     ("notchwalk_arrived_total", "Requests that came"),
     ("notchwalk_refused_total", "Requests refused at the door"),
     ("notchwalk_completed_total", "Requests answered whole"),
@@ -53,14 +53,14 @@
 ];
 
 impl Metrics {
-    /// Builds the registry.
+    /// Registers all metrics.
     ///
     /// # Panics
     ///
-    /// Panics if two metrics have the same name, which is a bug.
+    /// Panics if two metrics have the same name.
     pub fn new() -> Self {
         let set = MetricSet::new();
-        let counters = COUNTS
+        let counters = COUNTERS
             .map(|(name, help)| (name, set.gauge(name, help)))
             .to_vec();
         Self {
@@ -80,8 +80,8 @@
         }
     }
 
-    /// Returns the text of all metrics.
-    pub fn text(&self, node: &Node, sent: Traffic) -> String {
+    /// Updates all metrics and renders them in Prometheus' text format.
+    pub fn text(&self, node: &Node, traffic: Traffic) -> String {
         let c = node.counters();
         let counts = [
             c.arrived,
@@ -106,18 +106,18 @@
         self.bundle_version.set(node.bundle_version() as i64);
         self.ready.set(i64::from(node.is_ready()));
         self.retry_budget.set(node.retry_budget());
-        self.bundle_bytes.set(sent.bundle_bytes as i64);
-        self.peer_bytes.set(sent.peer_bytes as i64);
+        self.bundle_bytes.set(traffic.bundle_bytes as i64);
+        self.peer_bytes.set(traffic.peer_bytes as i64);
         self.set.text()
     }
 }
 
-/// Bytes that a daemon moved besides answers, since its start.
+/// Control-plane traffic since the daemon started, in bytes.
 #[derive(Clone, Copy, Debug)]
 pub struct Traffic {
-    /// Sent to other daemons.
+    /// Sent to peers.
     pub peer_bytes: u64,
-    /// Fetched for bundles.
+    /// Fetched from the platform for bundles.
     pub bundle_bytes: u64,
 }
 
--- a/crates/notchwalkd/src/operator_api.rs
+++ b/crates/notchwalkd/src/operator_api.rs
@@ -1,5 +1,5 @@
-//! The operators' interface of one daemon: health, metrics, the dump, and the
-//! order to drain.
+//! HTTP interface for operators: health, readiness, metrics, state dump and
+//! drain.
 
 use std::rc::Rc;
 
@@ -10,13 +10,13 @@
 
 use crate::{api_error::ApiFailure, shell::Shell};
 
-/// Serves operators.
+/// The service behind the operators' listener.
 pub struct OperatorApi {
     shell: Rc<Shell>,
 }
 
 impl OperatorApi {
-    /// Builds the service.
+    /// Creates the service.
     pub fn new(shell: Rc<Shell>) -> Self {
         Self { shell }
     }
--- a/crates/notchwalkd/src/order_driver.rs
+++ b/crates/notchwalkd/src/order_driver.rs
@@ -1,4 +1,5 @@
-//! Carries out orders and keeps the order lease's row.
+//! Sends orders to engines, and reads and writes the order lease in the
+//! platform's table.
 
 use std::{rc::Rc, time::Duration};
 
@@ -12,32 +13,33 @@
 
 use crate::shell::Shell;
 
-/// The lease's row.
+/// Table key of the order lease.
 const LEASE_KEY: &str = "lease/orders";
-/// How long an engine may take to answer an order.
-const TIMEOUT: Duration = Duration::from_secs(5);
-/// Bytes of a version or adapter, as the weight store counts them.
-const WEIGHT_BYTES: u64 = 1 << 20;
-/// The longest that the weight store's turn is waited for.
-const MAX_WEIGHT_WAIT: Duration = Duration::from_secs(20);
+/// Timeout of an order's response.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Bytes reserved at the weight store for one version or adapter.
+const WEIGHT_RESERVATION_BYTES: u64 = 1 << 20;
+/// Upper bound on the wait that the weight store asks for.
+const MAX_WEIGHT_STORE_WAIT: Duration = Duration::from_secs(20);
 
-fn parse(row: Option<Row>) -> Option<LeaseRow> {
+fn parse_lease(row: Option<Row>) -> Option<LeaseRow> {
     row.and_then(|row| serde_json::from_str(&row.value).ok())
 }
 
-/// Reads the lease's row.
+/// Reads the lease and reports it to the reducer.
 pub async fn read_lease(shell: Rc<Shell>) {
     let keys = vec![LEASE_KEY.to_owned()];
     shell.step(match shell.platform.read(TableRead { keys }).await {
-        Ok(answer) => Event::Lease {
-            row: parse(answer.rows.into_iter().next().flatten()),
+        Ok(response) => Event::Lease {
+            row: parse_lease(response.rows.into_iter().next().flatten()),
             applied: false,
         },
         Err(_) => Event::LeaseUnanswered,
     });
 }
 
-/// Writes the lease's row if it is as expected.
+/// Writes the lease if the table still holds `expected`, and reports the result to
+/// the reducer.
 pub async fn write_lease(shell: Rc<Shell>, expected: Option<LeaseRow>, row: LeaseRow) {
     let text = |row: &LeaseRow| serde_json::to_string(row).unwrap_or_default();
     let op = TableOp {
@@ -51,35 +53,39 @@
         all_or_none: true,
     };
     shell.step(match shell.platform.transact(tx).await {
-        Ok(answer) => Event::Lease {
-            applied: answer.applied.first() == Some(&true),
-            row: parse(answer.rows.into_iter().next().flatten()),
+        Ok(response) => Event::Lease {
+            applied: response.applied.first() == Some(&true),
+            row: parse_lease(response.rows.into_iter().next().flatten()),
         },
         Err(_) => Event::LeaseUnanswered,
     });
 }
 
-/// Gives an order: waits for the weight store's turn, then looks at the lease
-/// once more.
-pub async fn give(shell: Rc<Shell>, server: ServerId, fence: u64, wanted: WantedState) {
-    let accepted = try_give(&shell, server, fence, wanted)
+/// Sends an order to an engine and reports the result to the reducer. The lease is
+/// checked again after the wait for the weight store.
+pub async fn send_order(shell: Rc<Shell>, server: ServerId, fence: u64, wanted: WantedState) {
+    let accepted = try_send_order(&shell, server, fence, wanted)
         .await
         .unwrap_or(true);
     shell.step(Event::OrderEnded { server, accepted });
 }
 
-/// Returns whether the engine took it; `None` if it was not given or not
-/// answered, so that it may be given again.
-async fn try_give(
+/// Returns whether the engine accepted the order; `None` if the order was not sent
+/// or not answered and may be sent again.
+async fn try_send_order(
     shell: &Rc<Shell>,
     server: ServerId,
     fence: u64,
     wanted: WantedState,
 ) -> Option<bool> {
     if !matches!(wanted, WantedState::VersionUnloaded { .. }) {
-        let wait = shell.platform.reserve(WEIGHT_BYTES).await.ok()?;
+        let wait = shell
+            .platform
+            .reserve(WEIGHT_RESERVATION_BYTES)
+            .await
+            .ok()?;
         let wait = Duration::from_secs_f64(wait.max(0.0));
-        monoio::time::sleep(wait.min(MAX_WEIGHT_WAIT)).await;
+        monoio::time::sleep(wait.min(MAX_WEIGHT_STORE_WAIT)).await;
     }
     let addr = shell.server_address(server)?;
     let mut conn = shell.client.connection(addr, Reuse::Pooled).await.ok()?;
@@ -89,7 +95,10 @@
     let req = OutgoingRequest::new(Method::POST, "/v1/orders");
     let req = req.with_json(&OrderRequest { fence, wanted });
     let sent = shell.client.send_on(addr, conn, req);
-    let answer = monoio::time::timeout(TIMEOUT, sent).await.ok()?.ok()?;
-    let answer = answer.whole(1 << 16).await.ok()?;
-    Some(answer.json::<OrderAnswer>().ok()?.accepted)
+    let response = monoio::time::timeout(ORDER_TIMEOUT, sent)
+        .await
+        .ok()?
+        .ok()?;
+    let response = response.whole(1 << 16).await.ok()?;
+    Some(response.json::<OrderAnswer>().ok()?.accepted)
 }
--- a/crates/notchwalkd/src/peer_proof.rs
+++ b/crates/notchwalkd/src/peer_auth.rs
@@ -1,15 +1,17 @@
-//! How daemons prove themselves to each other: both know a key from their
-//! settings. Each sends a random number; each answers with a keyed hash over
-//! both numbers. Every later frame carries a keyed hash over its number in the
-//! stream and its bytes, so that frames can be neither forged nor replayed.
+//! Authentication of links between daemons by a pre-shared key.
+//!
+//! Both sides send a nonce, from which a session key is derived. The connecting side
+//! proves that it knows the shared key with a MAC under the session key. Every later
+//! frame carries a MAC over its sequence number and payload, so that frames can be
+//! neither forged nor replayed.
 
 use notchwalk_core::{BootNumber, VmId};
 use serde::{Deserialize, Serialize};
 
-/// Bytes of keys, random numbers and hashes.
+/// Length of keys, nonces and MACs, in bytes.
 pub const PROOF_BYTES: usize = 32;
 
-/// A key shared by all daemons.
+/// A pre-shared key of all daemons.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub struct PeerKey([u8; PROOF_BYTES]);
 
@@ -20,33 +22,33 @@
 }
 
 impl PeerKey {
-    /// Makes a new key from the system's random numbers.
+    /// Generates a new random key.
     pub fn random() -> Self {
         Self(rand::random())
     }
 
-    /// Returns the key as settings hold it.
+    /// Returns the key in hex, as in a settings file.
     pub fn to_hex(&self) -> String {
         blake3::Hash::from_bytes(self.0).to_hex().to_string()
     }
 }
 
-/// The keys in force: the first is used, all are accepted, so that a key can
-/// be replaced one daemon at a time.
+/// The configured keys. Outgoing links use the first, incoming links accept all, so
+/// that a key can be rotated one daemon at a time.
 #[derive(Clone, Debug)]
 pub struct PeerKeys(Vec<PeerKey>);
 
 impl PeerKeys {
-    /// Holds a single key.
+    /// Creates a set of one key.
     pub fn single(key: PeerKey) -> Self {
         Self(vec![key])
     }
 
-    /// Reads keys of 64 hex digits each.
+    /// Parses keys of 64 hex digits each.
     ///
     /// # Errors
     ///
-    /// Says what is wrong, in a sentence.
+    /// Returns a message if there are no keys or one is malformed.
     pub fn parse(keys: &[String]) -> Result<Self, &'static str> {
         if keys.is_empty() {
             return Err("at least one key is needed: 64 hex digits");
@@ -59,43 +61,43 @@
         ))
     }
 
-    /// Returns the key to prove oneself with.
+    /// Returns the key for outgoing links.
     pub fn first(&self) -> PeerKey {
         self.0[0]
     }
 
-    /// Returns all accepted keys.
+    /// Returns the keys accepted on incoming links.
     pub fn all(&self) -> &[PeerKey] {
         &self.0
     }
 }
 
-/// The first message of the side that connects.
+/// The first handshake message, sent by the connecting side.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// Who connects.
+    /// VM of the connecting daemon.
     pub vm: VmId,
-    /// Its boot.
+    /// Boot number of the connecting daemon.
     pub boot: BootNumber,
-    /// A random number.
+    /// Random bytes, new for each connection.
     pub nonce: [u8; PROOF_BYTES],
 }
 
-/// The answer of the other side.
+/// The accepting side's reply to [`Hello`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Challenge {
-    /// A random number.
+    /// Random bytes, new for each connection.
     pub nonce: [u8; PROOF_BYTES],
 }
 
-/// The proof of the side that connects.
+/// The connecting side's reply to [`Challenge`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Proof {
-    /// The keyed hash over both numbers and the name.
+    /// MAC under the session key, see [`session_proof`].
     pub mac: [u8; PROOF_BYTES],
 }
 
-/// Returns the key of one connection.
+/// Derives the session key of one connection from the handshake.
 pub fn session_key(key: PeerKey, hello: &Hello, challenge: &Challenge) -> [u8; PROOF_BYTES] {
     let mut hasher = blake3::Hasher::new_keyed(&key.0);
     hasher.update(b"notchwalk peer session v1");
@@ -106,35 +108,36 @@
     *hasher.finalize().as_bytes()
 }
 
-/// Returns the proof that belongs to a connection's key.
-pub fn proof_of(session: &[u8; PROOF_BYTES]) -> Proof {
+/// Returns the proof of knowing a session key.
+pub fn session_proof(session: &[u8; PROOF_BYTES]) -> Proof {
     Proof {
         mac: *blake3::keyed_hash(session, b"notchwalk peer proof v1").as_bytes(),
     }
 }
 
-/// Compares in constant time.
-pub fn same(a: &[u8; PROOF_BYTES], b: &[u8; PROOF_BYTES]) -> bool {
+/// Compares two MACs in constant time.
+pub fn macs_equal(a: &[u8; PROOF_BYTES], b: &[u8; PROOF_BYTES]) -> bool {
     blake3::Hash::from_bytes(*a) == blake3::Hash::from_bytes(*b)
 }
 
-/// Puts the hash of frame number `n` before its bytes.
-pub fn seal(session: &[u8; PROOF_BYTES], n: u64, payload: &[u8]) -> Vec<u8> {
-    let mut sealed = frame_mac(session, n, payload).to_vec();
+/// Returns a frame: the MAC over the sequence number and payload, then the payload.
+pub fn seal(session: &[u8; PROOF_BYTES], sequence: u64, payload: &[u8]) -> Vec<u8> {
+    let mut sealed = frame_mac(session, sequence, payload).to_vec();
     sealed.extend_from_slice(payload);
     sealed
 }
 
-/// Returns the bytes of frame number `n`, if its hash fits.
-pub fn open<'a>(session: &[u8; PROOF_BYTES], n: u64, sealed: &'a [u8]) -> Option<&'a [u8]> {
+/// Returns the payload of a sealed frame; `None` if its MAC doesn't match it and the
+/// sequence number.
+pub fn open<'a>(session: &[u8; PROOF_BYTES], sequence: u64, sealed: &'a [u8]) -> Option<&'a [u8]> {
     let (mac, payload) = sealed.split_at_checked(PROOF_BYTES)?;
     let mac = mac.try_into().ok()?;
-    same(&frame_mac(session, n, payload), mac).then_some(payload)
+    macs_equal(&frame_mac(session, sequence, payload), mac).then_some(payload)
 }
 
-fn frame_mac(session: &[u8; PROOF_BYTES], n: u64, payload: &[u8]) -> [u8; PROOF_BYTES] {
+fn frame_mac(session: &[u8; PROOF_BYTES], sequence: u64, payload: &[u8]) -> [u8; PROOF_BYTES] {
     let mut hasher = blake3::Hasher::new_keyed(session);
-    hasher.update(&n.to_le_bytes());
+    hasher.update(&sequence.to_le_bytes());
     hasher.update(payload);
     *hasher.finalize().as_bytes()
 }
--- a/crates/notchwalkd/src/peer_link.rs
+++ b/crates/notchwalkd/src/peer_link.rs
@@ -1,6 +1,6 @@
-//! Links between daemons: WebSocket, with every frame sealed (see
-//! `peer_proof`). Each daemon sends on the links it opened and listens on
-//! those the others opened.
+//! WebSocket links between daemons, with authenticated frames (see `peer_auth`).
+//! Links are unidirectional: each daemon sends on the links it opened and receives
+//! on those opened by its peers.
 
 use std::{cell::Cell, collections::HashMap, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -21,44 +21,43 @@
 
 use crate::{
     bundle_watch,
+    peer_auth::{self, Challenge, Hello, Proof, PROOF_BYTES},
     peer_links::Outbox,
-    peer_proof::{self, Challenge, Hello, Proof, PROOF_BYTES},
     shell::Shell,
 };
 
-/// The largest message; a bundle offered to a peer is the largest.
-const MAX_MESSAGE: usize = 32 << 20;
-/// How long connecting and proving may take.
-const PROVE_WITHIN: Duration = Duration::from_secs(3);
-/// How long a link may be silent before it is closed.
-const SILENCE: Duration = Duration::from_secs(30);
-/// How long one frame may take to send.
-const SEND_WITHIN: Duration = Duration::from_secs(3);
-/// Links that others may open at the same time.
-const MAX_INCOMING: usize = 1_024;
+/// Maximum size of a message. Bundles are the largest messages.
+const MAX_MESSAGE_BYTES: usize = 32 << 20;
+/// Timeout of connecting and authenticating.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
+/// How long an incoming link may be idle before it is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Timeout of sending one frame.
+const SEND_TIMEOUT: Duration = Duration::from_secs(3);
+/// Maximum number of concurrent incoming links.
+const MAX_INCOMING_LINKS: usize = 1_024;
 
 type Socket = WebSocketStream<TcpStreamPoll>;
 
-/// Opens links to new peers and drops those to peers that are no longer
-/// listed.
-pub fn keep_links(shell: &Rc<Shell>, peers: HashMap<VmId, SocketAddr>) {
+/// Opens links to new peers and closes those to peers that are no longer listed.
+pub fn sync_links(shell: &Rc<Shell>, peers: HashMap<VmId, SocketAddr>) {
     shell.links.retain(&peers);
     for (vm, addr) in peers {
         if let Some(outbox) = shell.links.open(vm, addr) {
-            notchwalk_http::spawn(keep_link(shell.clone(), addr, outbox));
+            notchwalk_http::spawn(run_link(shell.clone(), addr, outbox));
         }
     }
 }
 
-/// Keeps one link open until its sender is dropped.
-async fn keep_link(shell: Rc<Shell>, addr: SocketAddr, mut outbox: Outbox) {
-    const FIRST_PAUSE: Duration = Duration::from_millis(100);
-    const MAX_PAUSE: Duration = Duration::from_secs(2);
-    let mut pause = FIRST_PAUSE;
+/// Keeps one link connected, with backoff, until it is removed.
+async fn run_link(shell: Rc<Shell>, addr: SocketAddr, mut outbox: Outbox) {
+    const MIN_BACKOFF: Duration = Duration::from_millis(100);
+    const MAX_BACKOFF: Duration = Duration::from_secs(2);
+    let mut backoff = MIN_BACKOFF;
     loop {
-        let opened = monoio::time::timeout(PROVE_WITHIN, open_link(&shell, addr)).await;
+        let opened = monoio::time::timeout(HANDSHAKE_TIMEOUT, open_link(&shell, addr)).await;
         if let Ok(Some((socket, session))) = opened {
-            pause = FIRST_PAUSE;
+            backoff = MIN_BACKOFF;
             if send_all(&shell, socket, session, &mut outbox).await {
                 return;
             }
@@ -66,16 +65,16 @@
         if outbox.clear() {
             return;
         }
-        let jittered = pause.mul_f64(rand::random_range(0.5..1.5));
+        let jittered = backoff.mul_f64(rand::random_range(0.5..1.5));
         monoio::time::sleep(jittered).await;
-        pause = (pause * 2).min(MAX_PAUSE);
+        backoff = (backoff * 2).min(MAX_BACKOFF);
     }
 }
 
 fn ws_config() -> WebSocketConfig {
     WebSocketConfig::default()
-        .max_message_size(Some(MAX_MESSAGE))
-        .max_frame_size(Some(MAX_MESSAGE))
+        .max_message_size(Some(MAX_MESSAGE_BYTES))
+        .max_frame_size(Some(MAX_MESSAGE_BYTES))
 }
 
 async fn open_link(shell: &Shell, addr: SocketAddr) -> Option<(Socket, [u8; PROOF_BYTES])> {
@@ -92,8 +91,8 @@
     };
     send(&mut socket, &hello).await?;
     let challenge: Challenge = receive(&mut socket).await?;
-    let session = peer_proof::session_key(shell.settings.peer_keys.first(), &hello, &challenge);
-    send(&mut socket, &peer_proof::proof_of(&session)).await?;
+    let session = peer_auth::session_key(shell.settings.peer_keys.first(), &hello, &challenge);
+    send(&mut socket, &peer_auth::session_proof(&session)).await?;
     Some((socket, session))
 }
 
@@ -112,22 +111,22 @@
     }
 }
 
-/// Sends until the link breaks or its sender is dropped; tells whether it was
-/// dropped.
+/// Sends queued messages until the connection fails or the link is removed. Returns
+/// whether the link is removed.
 async fn send_all(
     shell: &Shell,
     mut socket: Socket,
     session: [u8; PROOF_BYTES],
     outbox: &mut Outbox,
 ) -> bool {
-    let mut n = 0;
-    while let Some(message) = outbox.next().await {
-        let sealed = peer_proof::seal(&session, n, &to_cbor(&message));
-        n += 1;
-        shell.links.note_sent(sealed.len() as u64);
+    let mut sequence = 0;
+    while let Some(message) = outbox.recv().await {
+        let sealed = peer_auth::seal(&session, sequence, &to_cbor(&message));
+        sequence += 1;
+        shell.links.add_sent_bytes(sealed.len() as u64);
         let sending = socket.send(Message::Binary(sealed.into()));
         if !matches!(
-            monoio::time::timeout(SEND_WITHIN, sending).await,
+            monoio::time::timeout(SEND_TIMEOUT, sending).await,
             Ok(Ok(()))
         ) {
             return false;
@@ -136,35 +135,36 @@
     true
 }
 
-/// Accepts the links that others open.
+/// Accepts links from peers.
 pub async fn accept(shell: Rc<Shell>, listener: TcpListener) {
-    let open = Rc::new(Cell::new(0_usize));
+    let open_links = Rc::new(Cell::new(0_usize));
     loop {
         let Ok((stream, from)) = listener.accept().await else {
             monoio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
-        if open.get() >= MAX_INCOMING {
+        if open_links.get() >= MAX_INCOMING_LINKS {
             continue;
         }
-        open.set(open.get() + 1);
-        let (shell, open) = (shell.clone(), open.clone());
+        open_links.set(open_links.get() + 1);
+        let (shell, open_links) = (shell.clone(), open_links.clone());
         notchwalk_http::spawn(async move {
             serve_link(&shell, stream, from).await;
-            open.set(open.get() - 1);
+            open_links.set(open_links.get() - 1);
         });
     }
 }
 
+/// Authenticates an incoming link and feeds its messages to the reducer.
 async fn serve_link(shell: &Rc<Shell>, stream: TcpStream, from: SocketAddr) {
-    let proved = monoio::time::timeout(PROVE_WITHIN, prove(shell, stream)).await;
-    let Ok(Some((mut socket, session, vm))) = proved else {
+    let authenticated = monoio::time::timeout(HANDSHAKE_TIMEOUT, authenticate(shell, stream)).await;
+    let Ok(Some((mut socket, session, vm))) = authenticated else {
         LogEvent::new(LogEventKind::PeerRejected, format!("from={from}")).emit();
         return;
     };
-    let mut n = 0;
+    let mut sequence = 0;
     loop {
-        let next = monoio::time::timeout(SILENCE, socket.next()).await;
+        let next = monoio::time::timeout(IDLE_TIMEOUT, socket.next()).await;
         let Ok(Some(Ok(message))) = next else {
             return;
         };
@@ -173,23 +173,26 @@
             Message::Ping(_) | Message::Pong(_) => continue,
             _ => return,
         };
-        let payload = peer_proof::open(&session, n, &data);
+        let payload = peer_auth::open(&session, sequence, &data);
         let message = payload.and_then(|p| from_cbor::<PeerMessage>(p).ok());
         let Some(message) = message else {
             LogEvent::new(LogEventKind::PeerGarbage, format!("vm={}", vm.0)).emit();
             return;
         };
-        n += 1;
+        sequence += 1;
         match message {
             PeerMessage::BundleAsk(have) => bundle_watch::offer(shell, vm, have),
-            PeerMessage::BundleOffer(text) => bundle_watch::take_offer(shell, vm, &text),
+            PeerMessage::BundleOffer(text) => bundle_watch::apply_offer(shell, vm, &text),
             message => shell.step(Event::Peer { from: vm, message }),
         }
     }
 }
 
-/// Lets the other side prove itself.
-async fn prove(shell: &Shell, stream: TcpStream) -> Option<(Socket, [u8; PROOF_BYTES], VmId)> {
+/// Authenticates the connecting side. Returns its session key and VM.
+async fn authenticate(
+    shell: &Shell,
+    stream: TcpStream,
+) -> Option<(Socket, [u8; PROOF_BYTES], VmId)> {
     stream.set_nodelay(true).ok()?;
     let io = stream.into_poll_io().ok()?;
     let mut socket = accept_async_with_config(io, Some(ws_config())).await.ok()?;
@@ -200,8 +203,8 @@
     send(&mut socket, &challenge).await?;
     let proof: Proof = receive(&mut socket).await?;
     for key in shell.settings.peer_keys.all() {
-        let session = peer_proof::session_key(*key, &hello, &challenge);
-        if peer_proof::same(&peer_proof::proof_of(&session).mac, &proof.mac) {
+        let session = peer_auth::session_key(*key, &hello, &challenge);
+        if peer_auth::macs_equal(&peer_auth::session_proof(&session).mac, &proof.mac) {
             return Some((socket, session, hello.vm));
         }
     }
--- a/crates/notchwalkd/src/peer_links.rs
+++ b/crates/notchwalkd/src/peer_links.rs
@@ -1,4 +1,4 @@
-//! The messages that wait for links to other daemons.
+//! Queues of messages for the outgoing links to peers.
 
 use std::{
     cell::{Cell, RefCell},
@@ -11,35 +11,34 @@
 use notchwalk_core::VmId;
 use notchwalk_wire::PeerMessage;
 
-/// Messages that wait for a peer at the most; later ones are dropped.
-const MAX_WAITING: usize = 64;
+/// Maximum number of messages queued for a peer. Further messages are dropped.
+const MAX_QUEUED_MESSAGES: usize = 64;
 
 struct Link {
     addr: SocketAddr,
     tx: unbounded::Tx<PeerMessage>,
-    waiting: Rc<Cell<usize>>,
+    queued: Rc<Cell<usize>>,
 }
 
-/// The receiving end of a link's messages.
+/// The receiving half of a link's queue.
 pub struct Outbox {
     rx: unbounded::Rx<PeerMessage>,
-    waiting: Rc<Cell<usize>>,
+    queued: Rc<Cell<usize>>,
 }
 
 impl Outbox {
-    /// Waits for the next message; `None` when the link is to end.
-    pub async fn next(&mut self) -> Option<PeerMessage> {
+    /// Waits for the next message. Returns `None` once the link is removed.
+    pub async fn recv(&mut self) -> Option<PeerMessage> {
         let message = self.rx.recv().await?;
-        self.waiting.set(self.waiting.get() - 1);
+        self.queued.set(self.queued.get() - 1);
         Some(message)
     }
 
-    /// Drops what waited while there was no link; tells whether the link is
-    /// to end.
+    /// Drops all queued messages. Returns whether the link is removed.
     pub fn clear(&mut self) -> bool {
         loop {
             match self.rx.try_recv() {
-                Ok(_) => self.waiting.set(self.waiting.get() - 1),
+                Ok(_) => self.queued.set(self.queued.get() - 1),
                 Err(local_sync::mpsc::TryRecvError::Disconnected) => return true,
                 Err(_) => return false,
             }
@@ -47,7 +46,7 @@
     }
 }
 
-/// The links this daemon opened.
+/// The outgoing links of this daemon.
 #[derive(Default)]
 pub struct PeerLinks {
     links: RefCell<HashMap<VmId, Link>>,
@@ -55,45 +54,47 @@
 }
 
 impl PeerLinks {
-    /// Sends a message, unless too many wait already.
+    /// Queues a message for a peer. The message is dropped if there is no link or its
+    /// queue is full.
     pub fn send(&self, to: VmId, message: PeerMessage) {
         let links = self.links.borrow();
         let Some(link) = links.get(&to) else {
             return;
         };
-        if link.waiting.get() < MAX_WAITING && link.tx.send(message).is_ok() {
-            link.waiting.set(link.waiting.get() + 1);
+        if link.queued.get() < MAX_QUEUED_MESSAGES && link.tx.send(message).is_ok() {
+            link.queued.set(link.queued.get() + 1);
         }
     }
 
-    /// Forgets links to peers that are not listed, or moved: each ends.
+    /// Removes links to peers that are no longer listed or have another address. The
+    /// task of a removed link ends.
     pub fn retain(&self, peers: &HashMap<VmId, SocketAddr>) {
         let mut links = self.links.borrow_mut();
         links.retain(|vm, link| peers.get(vm) == Some(&link.addr));
     }
 
-    /// Makes room for a link to a peer; `None` if there is one.
+    /// Adds a link to a peer. Returns `None` if there is one already.
     pub fn open(&self, vm: VmId, addr: SocketAddr) -> Option<Outbox> {
         let mut links = self.links.borrow_mut();
         if links.contains_key(&vm) {
             return None;
         }
         let (tx, rx) = unbounded::channel();
-        let waiting = Rc::new(Cell::new(0));
+        let queued = Rc::new(Cell::new(0));
         let outbox = Outbox {
             rx,
-            waiting: waiting.clone(),
+            queued: queued.clone(),
         };
-        links.insert(vm, Link { addr, tx, waiting });
+        links.insert(vm, Link { addr, tx, queued });
         Some(outbox)
     }
 
-    /// Counts bytes sent to a peer.
-    pub fn note_sent(&self, bytes: u64) {
+    /// Adds to the bytes sent to peers.
+    pub fn add_sent_bytes(&self, bytes: u64) {
         self.sent_bytes.set(self.sent_bytes.get() + bytes);
     }
 
-    /// Returns the bytes sent to peers since the start.
+    /// Returns the bytes sent to peers since the daemon started.
     pub fn sent_bytes(&self) -> u64 {
         self.sent_bytes.get()
     }
--- a/crates/notchwalkd/src/prelude.rs
+++ b/crates/notchwalkd/src/prelude.rs
@@ -1,3 +1,3 @@
-//! The names that programs starting daemons need.
+//! Common imports for programs that start daemons.
 
 pub use crate::{run_until_stopped, start_in_thread, DaemonSettings, Listeners, RunningDaemon};
--- a/crates/notchwalkd/src/request_options.rs
+++ b/crates/notchwalkd/src/request_options.rs
@@ -1,39 +1,39 @@
-//! What callers ask for in headers.
+//! Per-request options from headers.
 
 use http::{HeaderMap, HeaderValue};
 use notchwalk_http::Exchange;
 
 use crate::api_error::ApiFailure;
 
-/// The longest request id that is echoed.
-const MAX_REQUEST_ID: usize = 200;
+/// Longer request ids are not echoed.
+const MAX_REQUEST_ID_BYTES: usize = 200;
 
-/// What callers ask for in headers.
+/// Options of one request, given in headers.
 pub struct RequestOptions {
     /// `x-notchwalk-priority`.
     pub priority: Option<u8>,
     /// `x-notchwalk-timeout-ms`.
     pub timeout_ms: Option<u64>,
-    /// `x-request-id`, echoed.
+    /// `x-request-id`, echoed in the response.
     pub request_id: Option<HeaderValue>,
 }
 
 impl RequestOptions {
-    /// Reads them.
+    /// Parses the options.
     ///
     /// # Errors
     ///
-    /// Fails for a header that is no number in its range.
+    /// Fails if a header is not a number in its range.
     pub fn read(exchange: &Exchange) -> Result<Self, ApiFailure> {
         Ok(Self {
-            priority: number(exchange, "x-notchwalk-priority", 9)?,
-            timeout_ms: number(exchange, "x-notchwalk-timeout-ms", u64::MAX)?,
+            priority: parse_number(exchange, "x-notchwalk-priority", 9)?,
+            timeout_ms: parse_number(exchange, "x-notchwalk-timeout-ms", u64::MAX)?,
             request_id: request_id(exchange),
         })
     }
 
-    /// Returns the headers that every answer carries.
-    pub fn answer_headers(&self) -> HeaderMap {
+    /// Returns the headers that every response to the request carries.
+    pub fn response_headers(&self) -> HeaderMap {
         let mut headers = HeaderMap::new();
         if let Some(id) = &self.request_id {
             headers.insert("x-request-id", id.clone());
@@ -42,13 +42,13 @@
     }
 }
 
-/// Returns the id that a caller gave its request, unless it is too long to echo.
+/// Returns the caller's `x-request-id`, unless it is too long to echo.
 pub(crate) fn request_id(exchange: &Exchange) -> Option<HeaderValue> {
     let id = exchange.head.headers.get("x-request-id")?;
-    (id.len() <= MAX_REQUEST_ID).then(|| id.clone())
+    (id.len() <= MAX_REQUEST_ID_BYTES).then(|| id.clone())
 }
 
-fn number<T>(exchange: &Exchange, name: &str, max: T) -> Result<Option<T>, ApiFailure>
+fn parse_number<T>(exchange: &Exchange, name: &str, max: T) -> Result<Option<T>, ApiFailure>
 where
     T: std::str::FromStr + PartialOrd + std::fmt::Display,
 {
@@ -59,7 +59,7 @@
         Ok(value) if value <= max => Ok(Some(value)),
         _ => {
             let message = format!("{name} is a whole number, at most {max}");
-            Err(ApiFailure::bad_param("invalid_header", name, message))
+            Err(ApiFailure::invalid_param("invalid_header", name, message))
         }
     }
 }
--- a/crates/notchwalkd/src/answer_template.rs
+++ b/crates/notchwalkd/src/response_template.rs
@@ -1,4 +1,4 @@
-//! How answers look in both dialects: chunks of a stream, and whole bodies.
+//! Response bodies of both dialects: stream chunks and complete JSON bodies.
 
 use std::time::SystemTime;
 
@@ -8,17 +8,18 @@
 
 use crate::completion_request::Dialect;
 
-/// The parts of a chunk that stay the same over a stream.
-pub struct Template {
+/// Renders the response to one completion request.
+pub struct ResponseTemplate {
     dialect: Dialect,
     id: String,
     model: String,
     created: u64,
-    before_text: String,
+    /// The chunk of a token up to the token's text.
+    token_prefix: String,
 }
 
-impl Template {
-    /// Builds the template of one answer.
+impl ResponseTemplate {
+    /// Creates the template. `id` is the request's id.
     pub fn new(dialect: Dialect, id: &str, model: &str) -> Self {
         let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
         let created = since.map_or(0, |d| d.as_secs());
@@ -31,7 +32,7 @@
             ),
         };
         let id = format!("{prefix}-{id}");
-        let before_text = format!(
+        let token_prefix = format!(
             "data: {{\"id\":{},\"object\":\"{object}\",\"created\":{created},\"model\":{},\
              \"choices\":[{{\"index\":0,{field}",
             json!(id),
@@ -42,13 +43,13 @@
             id,
             model: model.to_owned(),
             created,
-            before_text,
+            token_prefix,
         }
     }
 
-    /// Appends the chunk of one token.
-    pub fn token_into(&self, buf: &mut Vec<u8>, token: &str) {
-        buf.extend_from_slice(self.before_text.as_bytes());
+    /// Appends the chunk of a token to `buf`.
+    pub fn write_token(&self, buf: &mut Vec<u8>, token: &str) {
+        buf.extend_from_slice(self.token_prefix.as_bytes());
         let _ = serde_json::to_writer(&mut *buf, token);
         buf.extend_from_slice(match self.dialect {
             Dialect::Completions => b",\"logprobs\":null,\"finish_reason\":null}]}\n\n".as_slice(),
@@ -71,8 +72,8 @@
         format!("data: {chunk}\n\n").into_bytes()
     }
 
-    /// Returns the chunk that opens a stream, if the dialect has one.
-    pub fn opening(&self) -> Vec<u8> {
+    /// Returns the first chunk of a stream; empty if the dialect has none.
+    pub fn opening_chunk(&self) -> Vec<u8> {
         match self.dialect {
             Dialect::Completions => Vec::new(),
             Dialect::Chat => {
@@ -86,7 +87,7 @@
     }
 
     /// Returns the chunks that end a stream.
-    pub fn closing(&self, reason: &str, usage: Option<Usage>) -> Vec<u8> {
+    pub fn closing_chunks(&self, reason: &str, usage: Option<Usage>) -> Vec<u8> {
         let choice = match self.dialect {
             Dialect::Completions => {
                 json!({"index": 0, "text": "", "logprobs": null, "finish_reason": reason})
@@ -103,8 +104,8 @@
         buf
     }
 
-    /// Returns the body of an answer that isn't streamed.
-    pub fn whole(&self, text: String, reason: &str, usage: Usage) -> Value {
+    /// Returns the body of a response that isn't streamed.
+    pub fn full_body(&self, text: String, reason: &str, usage: Usage) -> Value {
         let (object, choice) = match self.dialect {
             Dialect::Completions => (
                 "text_completion",
@@ -125,8 +126,8 @@
     }
 }
 
-/// Returns the usage of a whole answer.
-pub fn usage_of(completion: &Completion) -> Usage {
+/// Returns the token usage of a completion.
+pub fn usage_from(completion: &Completion) -> Usage {
     Usage {
         prompt_tokens: completion.prompt_tokens,
         completion_tokens: completion.completion_tokens,
--- a/crates/notchwalkd/src/service_proxy.rs
+++ b/crates/notchwalkd/src/service_proxy.rs
@@ -1,5 +1,5 @@
-//! `/v1/services/{service}/{path}`: calls of plain services, bodies streamed
-//! both ways.
+//! Proxy of calls to plain services at `/v1/services/{service}/{path}`. Bodies are
+//! streamed in both directions.
 
 use std::{rc::Rc, time::Duration};
 
@@ -24,17 +24,17 @@
     shell::Shell,
 };
 
-/// The largest body that is held so that its call can be repeated or told from
-/// another with the same idempotency key.
-const MAX_HELD_BODY: usize = 1 << 20;
-/// The largest answer that is stored under an idempotency key.
-const MAX_STORED_BODY: usize = 64 * 1024;
-/// The longest idempotency key.
-const MAX_KEY: usize = 255;
-/// Bytes of one piece of a streamed body.
-const MAX_PIECE: usize = 1 << 20;
-/// Headers that belong to one connection only, or to the entry.
-const HOP_HEADERS: [&str; 10] = [
+/// Maximum size of a request body that is buffered, which retries and idempotency
+/// keys require, in bytes.
+const MAX_BUFFERED_BODY_BYTES: usize = 1 << 20;
+/// Maximum size of a response body stored under an idempotency key, in bytes.
+const MAX_STORED_BODY_BYTES: usize = 64 * 1024;
+/// Maximum length of an idempotency key, in bytes.
+const MAX_IDEMPOTENCY_KEY_BYTES: usize = 255;
+/// Maximum size of a chunk of a streamed body.
+const MAX_CHUNK_BYTES: usize = 1 << 20;
+/// Headers that are not forwarded: hop-by-hop headers and those addressed to the node.
+const UNFORWARDED_HEADERS: [&str; 10] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -47,11 +47,11 @@
     "expect",
 ];
 
-/// What is known of a call's body.
+/// The request body of a call.
 enum Body {
-    /// It was read whole.
-    Held(Bytes),
-    /// It is streamed from the caller.
+    /// Read completely before the call is submitted.
+    Buffered(Bytes),
+    /// Forwarded from the caller chunk by chunk.
     Streamed,
 }
 
@@ -65,15 +65,16 @@
     headers: HeaderMap,
     body: Body,
     repeatable: bool,
+    /// Table key and fingerprint of the claim, if the call has an idempotency key.
     claim: Option<(String, String)>,
-    answer_headers: HeaderMap,
+    response_headers: HeaderMap,
 }
 
-/// Answers one call.
+/// Handles one call.
 ///
 /// # Errors
 ///
-/// Returns what to answer if no answer was begun.
+/// Returns the error response if no response has been started.
 pub async fn handle(
     shell: &Rc<Shell>,
     exchange: &mut Exchange,
@@ -82,27 +83,28 @@
     rest: &str,
 ) -> Result<(), ApiFailure> {
     let (name, _) = rest.split_once('/').unwrap_or((rest, ""));
-    let missing = || {
+    let not_found = || {
         let message = format!("there is no service {name:?} for this key");
         ApiFailure::not_run(StatusCode::NOT_FOUND, "service_not_found", message)
     };
-    let key = caller.bundle.service_named(name).ok_or_else(missing)?;
+    let key = caller.bundle.service_named(name).ok_or_else(not_found)?;
     let workspace = caller.bundle.workspace(caller.workspace);
     if !workspace.services.contains(&key) {
-        return Err(missing());
+        return Err(not_found());
     }
     let service = &caller.bundle.services[key.index()];
     let method = exchange.head.method.clone();
     let idempotency_key = idempotency_key(exchange)?;
-    let body = read_if_needed(exchange, idempotency_key.is_some()).await?;
-    let listed = service
+    let body = read_body(exchange, idempotency_key.is_some()).await?;
+    let is_repeatable_method = service
         .repeatable_methods
         .iter()
         .any(|m| m == method.as_str());
-    let repeatable = listed && matches!(body, Body::Held(_)) && idempotency_key.is_none();
-    let target = target_of(exchange, name);
-    let fingerprint = fingerprint(&method, &target, &body);
-    let content = content_of(&workspace.name, &method, &target, &body);
+    let repeatable =
+        is_repeatable_method && matches!(body, Body::Buffered(_)) && idempotency_key.is_none();
+    let target = service_target(exchange, name);
+    let fingerprint = call_fingerprint(&method, &target, &body);
+    let content = content_fingerprint(&workspace.name, &method, &target, &body);
     let claim = idempotency_key.as_ref().map(|idempotency_key| {
         let key = claim_key(&workspace.name, name, idempotency_key);
         (key, fingerprint.clone())
@@ -122,7 +124,7 @@
         timeout_ms: Some(options.timeout_ms.unwrap_or(service.timeout_ms)),
     };
     let admitted = shell.submit(arrival, tx, None);
-    let (request, id) = admitted.map_err(ApiFailure::from_decision)?;
+    let (request, id) = admitted.map_err(ApiFailure::from_failure)?;
     let call = Call {
         shell,
         request,
@@ -134,7 +136,7 @@
         body,
         repeatable,
         claim,
-        answer_headers: options.answer_headers(),
+        response_headers: options.response_headers(),
     };
     call.run(exchange).await
 }
@@ -144,11 +146,13 @@
         return Ok(None);
     }
     let key = exchange.header("idempotency-key").map(str::trim);
-    match key.filter(|key| !key.is_empty() && key.len() <= MAX_KEY) {
+    match key.filter(|key| !key.is_empty() && key.len() <= MAX_IDEMPOTENCY_KEY_BYTES) {
         Some(key) => Ok(Some(key.to_owned())),
         None => {
-            let message = format!("an idempotency key has 1 to {MAX_KEY} visible characters");
-            Err(ApiFailure::bad_param(
+            let message = format!(
+                "an idempotency key has 1 to {MAX_IDEMPOTENCY_KEY_BYTES} visible characters"
+            );
+            Err(ApiFailure::invalid_param(
                 "invalid_header",
                 "Idempotency-Key",
                 message,
@@ -157,16 +161,17 @@
     }
 }
 
-/// Reads the body whole if there is none, if it is small, or if it must be
-/// known before the call is sent.
-async fn read_if_needed(exchange: &mut Exchange, must: bool) -> Result<Body, ApiFailure> {
-    const SMALL: u64 = 64 * 1024;
-    let small = exchange.declared_length().is_some_and(|n| n <= SMALL);
-    if !exchange.body_is_done() && !must && !small {
+/// Buffers the body if it is empty, small or `required` before the call is sent.
+async fn read_body(exchange: &mut Exchange, required: bool) -> Result<Body, ApiFailure> {
+    const SMALL_BODY_BYTES: u64 = 64 * 1024;
+    let is_small = exchange
+        .declared_length()
+        .is_some_and(|n| n <= SMALL_BODY_BYTES);
+    if !exchange.body_is_done() && !required && !is_small {
         return Ok(Body::Streamed);
     }
-    match exchange.body_bytes(MAX_HELD_BODY).await {
-        Ok(body) => Ok(Body::Held(body)),
+    match exchange.body_bytes(MAX_BUFFERED_BODY_BYTES).await {
+        Ok(body) => Ok(Body::Buffered(body)),
         Err(e) => {
             exchange.close_after();
             Err(ApiFailure::from_http(&e))
@@ -174,25 +179,31 @@
     }
 }
 
-/// The path at the service: what follows its name, with the query.
-fn target_of(exchange: &Exchange, name: &str) -> String {
+/// Returns the request target at the service: the path after the service's name, and
+/// the query.
+fn service_target(exchange: &Exchange, name: &str) -> String {
     let prefix = format!("/v1/services/{name}");
-    let whole = exchange
+    let full_target = exchange
         .head
         .uri
         .path_and_query()
         .map_or("/", |p| p.as_str());
-    let rest = whole.strip_prefix(prefix.as_str()).unwrap_or("");
+    let rest = full_target.strip_prefix(prefix.as_str()).unwrap_or("");
     match rest.starts_with('/') {
         true => rest.to_owned(),
         false => format!("/{rest}"),
     }
 }
 
-/// Returns what identifies a call over its tries; a body that is passed on unread tells
-/// nothing.
-fn content_of(workspace: &str, method: &Method, target: &str, body: &Body) -> Option<Fingerprint> {
-    let Body::Held(body) = body else {
+/// Returns a fingerprint that recognizes a repeated call; `None` if the body is
+/// streamed.
+fn content_fingerprint(
+    workspace: &str,
+    method: &Method,
+    target: &str,
+    body: &Body,
+) -> Option<Fingerprint> {
+    let Body::Buffered(body) = body else {
         return None;
     };
     let mut fingerprinting = Fingerprinting::new(&Content {
@@ -205,13 +216,14 @@
     Some(fingerprinting.finish())
 }
 
-fn fingerprint(method: &Method, target: &str, body: &Body) -> String {
+/// Returns the digest by which a claim recognizes the call that made it.
+fn call_fingerprint(method: &Method, target: &str, body: &Body) -> String {
     let mut hasher = blake3::Hasher::new();
     hasher.update(method.as_str().as_bytes());
     hasher.update(b"\n");
     hasher.update(target.as_bytes());
     hasher.update(b"\n");
-    if let Body::Held(body) = body {
+    if let Body::Buffered(body) = body {
         hasher.update(body);
     }
     hasher.finalize().to_hex().to_string()
@@ -220,7 +232,7 @@
 fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
     let mut forwarded = HeaderMap::new();
     for (name, value) in headers {
-        if HOP_HEADERS.contains(&name.as_str()) {
+        if UNFORWARDED_HEADERS.contains(&name.as_str()) {
             continue;
         }
         forwarded.append(name.clone(), value.clone());
@@ -228,14 +240,14 @@
     forwarded
 }
 
-/// How a try at a server ended for the call's task.
-enum Tried {
-    /// The reducer was told; its next word decides.
+/// The result of an attempt for the call's task.
+enum AttemptResult {
+    /// It failed and was reported to the reducer, which decides how to go on.
     Reported,
-    /// The answer was passed on whole.
-    Answered,
-    /// The answer broke off after it was begun, or the caller is gone.
-    Cut,
+    /// The complete response was forwarded.
+    Forwarded,
+    /// The response was truncated, or the caller disconnected.
+    Truncated,
 }
 
 impl Call<'_> {
@@ -243,10 +255,10 @@
         loop {
             let event = match exchange.body_is_done() {
                 true => {
-                    let gone = exchange.peer_closed();
+                    let disconnected = exchange.peer_closed();
                     monoio::select! {
                         event = self.rx.recv() => event,
-                        () = gone => {
+                        () = disconnected => {
                             self.shell.step(Event::CallerGone(self.request));
                             exchange.abort();
                             return Ok(());
@@ -256,19 +268,20 @@
                 false => self.rx.recv().await,
             };
             match event {
-                Some(CallerEvent::Send(dispatch)) => match self.try_once(exchange, dispatch).await?
-                {
-                    Tried::Reported => {}
-                    Tried::Answered => return Ok(()),
-                    Tried::Cut => {
-                        exchange.abort();
-                        return Ok(());
+                Some(CallerEvent::Send(dispatch)) => {
+                    match self.run_attempt(exchange, dispatch).await? {
+                        AttemptResult::Reported => {}
+                        AttemptResult::Forwarded => return Ok(()),
+                        AttemptResult::Truncated => {
+                            exchange.abort();
+                            return Ok(());
+                        }
                     }
-                },
+                }
                 Some(CallerEvent::Stored(key)) => return self.replay(exchange, key).await,
                 Some(CallerEvent::Finish { result, .. }) => {
                     return match result {
-                        Err(failure) => Err(ApiFailure::from_decision(failure)),
+                        Err(failure) => Err(ApiFailure::from_failure(failure)),
                         Ok(_) => Ok(()),
                     };
                 }
@@ -281,7 +294,7 @@
         }
     }
 
-    /// Answers with the stored outcome of an earlier call.
+    /// Responds with the stored outcome of an earlier call.
     async fn replay(&self, exchange: &mut Exchange, key: String) -> Result<(), ApiFailure> {
         let outcome = claim_writer::read_outcome(self.shell, key).await;
         let Some(outcome) = outcome else {
@@ -302,9 +315,9 @@
             failure.outcome = notchwalk_wire::OutcomeWord::Ran;
             return Err(failure);
         };
-        let mut headers = self.answer_headers.clone();
-        if let Ok(kind) = HeaderValue::from_str(&outcome.content_type) {
-            headers.insert(header::CONTENT_TYPE, kind);
+        let mut headers = self.response_headers.clone();
+        if let Ok(content_type) = HeaderValue::from_str(&outcome.content_type) {
+            headers.insert(header::CONTENT_TYPE, content_type);
         }
         headers.insert("x-notchwalk-replayed", HeaderValue::from_static("true"));
         let status = StatusCode::from_u16(outcome.status).unwrap_or(StatusCode::OK);
@@ -320,34 +333,34 @@
         });
     }
 
-    async fn try_once(
+    async fn run_attempt(
         &mut self,
         exchange: &mut Exchange,
         dispatch: Dispatch,
-    ) -> Result<Tried, ApiFailure> {
+    ) -> Result<AttemptResult, ApiFailure> {
         let timeout = Duration::from_millis(dispatch.timeout_ms);
-        let began = std::time::Instant::now();
-        let answer = monoio::time::timeout(timeout, self.send(exchange, &dispatch)).await;
-        let answer = match answer {
-            Ok(Ok(answer)) => answer,
+        let started_at = std::time::Instant::now();
+        let response = monoio::time::timeout(timeout, self.send(exchange, &dispatch)).await;
+        let response = match response {
+            Ok(Ok(response)) => response,
             Ok(Err(e)) if e.nothing_sent() => {
                 self.report(&dispatch, AttemptEnd::NotSent);
-                return Ok(Tried::Reported);
+                return Ok(AttemptResult::Reported);
             }
             Ok(Err(_)) | Err(_) => {
                 self.report(&dispatch, AttemptEnd::Broken);
-                return Ok(Tried::Reported);
+                return Ok(AttemptResult::Reported);
             }
         };
-        let left = timeout.saturating_sub(began.elapsed());
-        let passed = self.pass_on(exchange, &dispatch, answer);
-        Ok(monoio::time::timeout(left, passed)
+        let remaining = timeout.saturating_sub(started_at.elapsed());
+        let forwarded = self.forward_response(exchange, &dispatch, response);
+        Ok(monoio::time::timeout(remaining, forwarded)
             .await
-            .unwrap_or(Tried::Cut))
+            .unwrap_or(AttemptResult::Truncated))
     }
 
-    /// Sends the call. Only a fresh connection carries a call that may not be
-    /// repeated, so that a refused connection proves it was not sent.
+    /// Sends the call. A call that may not be repeated uses a new connection, so that
+    /// a refused connection proves that the call was not sent.
     async fn send(
         &self,
         exchange: &mut Exchange,
@@ -362,7 +375,7 @@
         };
         let mut conn = self.shell.client.connection(addr, reuse).await?;
         let length = match &self.body {
-            Body::Held(body) => Some(body.len()),
+            Body::Buffered(body) => Some(body.len()),
             Body::Streamed => None,
         };
         let mut headers = self.headers.clone();
@@ -371,65 +384,67 @@
         }
         let host = addr.to_string();
         let mut head = request_head(&self.method, &self.target, &host, &headers, length);
-        if let Body::Held(body) = &self.body {
+        if let Body::Buffered(body) = &self.body {
             head.extend_from_slice(body);
         }
         conn.write_all(&head).await?;
         if matches!(self.body, Body::Streamed) {
-            stream_body(exchange, &mut conn).await?;
+            forward_body(exchange, &mut conn).await?;
         }
         let client = &self.shell.client;
         client.receive(addr, conn, &self.method, reuse).await
     }
 
-    /// Passes the service's answer on to the caller.
-    async fn pass_on(
+    /// Forwards the service's response to the caller.
+    async fn forward_response(
         &mut self,
         exchange: &mut Exchange,
         dispatch: &Dispatch,
-        mut answer: StreamedResponse,
-    ) -> Tried {
-        let mut headers = forwarded_headers(&answer.headers);
+        mut response: StreamedResponse,
+    ) -> AttemptResult {
+        let mut headers = forwarded_headers(&response.headers);
         headers.remove(header::CONTENT_LENGTH);
-        headers.extend(self.answer_headers.clone());
-        let kind = headers
+        headers.extend(self.response_headers.clone());
+        let content_type = headers
             .get(header::CONTENT_TYPE)
             .and_then(|v| v.to_str().ok());
-        let kind = kind.unwrap_or("application/octet-stream").to_owned();
-        let status = answer.status;
-        let bodiless = self.method == Method::HEAD || status == StatusCode::NO_CONTENT;
-        if !bodiless
+        let content_type = content_type
+            .unwrap_or("application/octet-stream")
+            .to_owned();
+        let status = response.status;
+        let has_no_body = self.method == Method::HEAD || status == StatusCode::NO_CONTENT;
+        if !has_no_body
             && exchange
                 .start_stream(status, headers.clone(), b"")
                 .await
                 .is_err()
         {
             self.report(dispatch, AttemptEnd::Broken);
-            return Tried::Cut;
+            return AttemptResult::Truncated;
         }
         let mut stored = Vec::new();
         loop {
-            match answer.next().await {
-                Ok(Some(piece)) => {
-                    if stored.len() <= MAX_STORED_BODY {
-                        stored.extend_from_slice(&piece);
+            match response.next().await {
+                Ok(Some(chunk)) => {
+                    if stored.len() <= MAX_STORED_BODY_BYTES {
+                        stored.extend_from_slice(&chunk);
                     }
-                    let mut framed = Vec::with_capacity(piece.len() + 16);
-                    chunk_into(&mut framed, &piece);
+                    let mut framed = Vec::with_capacity(chunk.len() + 16);
+                    chunk_into(&mut framed, &chunk);
                     if exchange.write_framed(&framed).await.is_err() && self.claim.is_none() {
                         self.report(dispatch, AttemptEnd::Broken);
-                        return Tried::Cut;
+                        return AttemptResult::Truncated;
                     }
                 }
                 Ok(None) => break,
                 Err(_) => {
                     self.report(dispatch, AttemptEnd::Broken);
-                    return Tried::Cut;
+                    return AttemptResult::Truncated;
                 }
             }
         }
-        answer.release();
-        self.store(status, kind, stored);
+        response.release();
+        self.store(status, content_type, stored);
         self.report(
             dispatch,
             AttemptEnd::Complete {
@@ -438,17 +453,17 @@
                 completion_tokens: 0,
             },
         );
-        if bodiless {
+        if has_no_body {
             exchange.respond(status, headers, b"").await;
-            return Tried::Answered;
+            return AttemptResult::Forwarded;
         }
         match exchange.finish_stream().await {
-            Ok(()) => Tried::Answered,
-            Err(_) => Tried::Cut,
+            Ok(()) => AttemptResult::Forwarded,
+            Err(_) => AttemptResult::Truncated,
         }
     }
 
-    /// Stores the outcome of a claimed call.
+    /// Stores the outcome if the call has a claim.
     fn store(&self, status: StatusCode, content_type: String, body: Vec<u8>) {
         let Some((key, fingerprint)) = self.claim.clone() else {
             return;
@@ -456,18 +471,18 @@
         let outcome = StoredOutcome {
             status: status.as_u16(),
             content_type,
-            body: (body.len() <= MAX_STORED_BODY).then_some(body),
+            body: (body.len() <= MAX_STORED_BODY_BYTES).then_some(body),
         };
         let token = self.id.to_string();
         claim_writer::store(self.shell, key, token, fingerprint, outcome);
     }
 }
 
-/// Passes the caller's body on, a piece at a time.
-async fn stream_body(exchange: &mut Exchange, conn: &mut Connection) -> Result<(), HttpError> {
-    while let Some(piece) = exchange.next_piece(MAX_PIECE).await? {
-        let mut framed = Vec::with_capacity(piece.len() + 16);
-        chunk_into(&mut framed, &piece);
+/// Forwards the caller's body in chunks.
+async fn forward_body(exchange: &mut Exchange, conn: &mut Connection) -> Result<(), HttpError> {
+    while let Some(chunk) = exchange.next_piece(MAX_CHUNK_BYTES).await? {
+        let mut framed = Vec::with_capacity(chunk.len() + 16);
+        chunk_into(&mut framed, &chunk);
         conn.write_all(&framed).await?;
     }
     conn.write_all(CHUNK_END).await?;
--- a/crates/notchwalkd/src/settings.rs
+++ b/crates/notchwalkd/src/settings.rs
@@ -1,4 +1,4 @@
-//! The daemon's settings: one INI file, checked as a whole.
+//! The daemon's settings: one INI file, validated as a whole.
 
 use std::{net::SocketAddr, path::Path, time::Duration};
 
@@ -7,46 +7,46 @@
 use notchwalk_daemon::{settings, DaemonError};
 use notchwalk_decide::ReserveMode;
 
-use crate::peer_proof::PeerKeys;
+use crate::peer_auth::PeerKeys;
 
-/// Where a daemon listens.
+/// The addresses a daemon is to listen on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListenAddresses {
-    /// For callers.
+    /// Callers' interface.
     pub caller: SocketAddr,
-    /// For other daemons.
+    /// Links from peers.
     pub peer: SocketAddr,
-    /// For operators.
+    /// Operators' interface.
     pub operator: SocketAddr,
 }
 
-/// A daemon's settings.
+/// The settings of a daemon.
 #[derive(Clone, Debug)]
 pub struct DaemonSettings {
-    /// The VM it runs on.
+    /// The VM the daemon runs on.
     pub vm: VmId,
-    /// The VM's failure domain.
+    /// Failure domain of the VM.
     pub failure_domain: String,
-    /// Where it listens.
+    /// The addresses to listen on.
     pub listen: ListenAddresses,
-    /// The platform's address.
+    /// Address of the platform's HTTP interface.
     pub platform: SocketAddr,
-    /// The keys by which daemons know each other.
+    /// Shared keys that authenticate peers.
     pub peer_keys: PeerKeys,
-    /// How long callers may keep the list of entries.
+    /// How long callers may cache the list of nodes.
     pub entries_ttl: Duration,
-    /// The largest body of a request, in bytes.
+    /// Maximum size of a completion request body, in bytes.
     pub max_body_bytes: usize,
-    /// Connections of callers at once.
+    /// Maximum number of concurrent connections of each HTTP listener.
     pub max_connections: usize,
-    /// Bytes of an answer that wait for a slow caller at the most.
+    /// Maximum bytes of a response buffered for a slow caller.
     pub max_unread_bytes: usize,
-    /// How memory on engines is counted; for measurements.
+    /// How engine memory is reserved. Not read from the settings file.
     pub reserve: ReserveMode,
 }
 
 impl DaemonSettings {
-    /// Builds settings with the usual limits.
+    /// Creates settings with default limits.
     pub fn new(
         vm: VmId,
         failure_domain: impl Into<String>,
@@ -68,38 +68,38 @@
         }
     }
 
-    /// Sets how memory on engines is counted.
+    /// Sets how engine memory is reserved.
     pub fn with_reserve(mut self, reserve: ReserveMode) -> Self {
         self.reserve = reserve;
         self
     }
 
-    /// Sets how long callers may keep the list of entries.
+    /// Sets how long callers may cache the list of nodes.
     pub fn with_entries_ttl(mut self, ttl: Duration) -> Self {
         self.entries_ttl = ttl;
         self
     }
 
-    /// Reads a settings file.
+    /// Loads a settings file.
     ///
     /// # Errors
     ///
-    /// Fails if the file can't be read, or with all findings in it.
+    /// Fails if the file can't be read, and returns all findings if it is invalid.
     pub fn load(path: &Path) -> Result<Self, DaemonError> {
-        settings::load(path, read)
+        settings::load(path, from_ini)
     }
 
-    /// Parses the text of a settings file; `name` stands in the findings.
+    /// Parses the text of a settings file. Findings refer to the file as `name`.
     ///
     /// # Errors
     ///
-    /// Returns all findings.
+    /// Returns all findings if the text is invalid.
     pub fn parse(name: &str, text: &str) -> Result<Self, Findings> {
-        settings::parse(name, text, read)
+        settings::parse(name, text, from_ini)
     }
 }
 
-fn read(ini: &IniFile) -> Option<DaemonSettings> {
+fn from_ini(ini: &IniFile) -> Option<DaemonSettings> {
     let daemon = ini.section("daemon");
     let vm = daemon.required::<u32>("vm");
     let failure_domain = daemon.required::<String>("failure_domain");
--- a/crates/notchwalkd/src/shell.rs
+++ b/crates/notchwalkd/src/shell.rs
@@ -1,4 +1,4 @@
-//! The shell around the reducer: feeds it events and carries out its effects.
+//! The shell around the reducer: feeds it events and executes its effects.
 
 use std::{
     cell::{Cell, RefCell},
@@ -20,96 +20,94 @@
 use notchwalk_wire::{EngineFrame, Prompt};
 
 use crate::{
-    bundle_texts::BundleTexts,
+    bundle_source::BundleSource,
     channel::{CallerEvent, CallerTx},
-    claims::WaitingClaims,
+    claims::ClaimQueue,
     metrics::{Metrics, Traffic},
     peer_links::PeerLinks,
     settings::DaemonSettings,
 };
 
-/// What is sent to engines for a generation.
+/// The engine-facing contents of a generation request.
 #[derive(Debug)]
 pub struct GeneratePayload {
-    /// The model's name.
+    /// Name of the model.
     pub model: String,
-    /// The adapter.
+    /// Adapter of the model.
     pub adapter: Option<String>,
-    /// The version.
+    /// Version of the model.
     pub version: Option<String>,
-    /// The longest answer.
+    /// Limit on generated tokens.
     pub max_tokens: u32,
-    /// Texts that end the answer.
+    /// Stop sequences.
     pub stop: Vec<String>,
-    /// Sampling parameters as given.
+    /// Sampling parameters, passed through unchanged.
     pub sampling: serde_json::Map<String, serde_json::Value>,
-    /// The prompt.
+    /// Text or token ids.
     pub prompt: Prompt,
-    /// The prompt's bytes, if it is a text.
+    /// Length of a text prompt, in bytes.
     pub text_bytes: Option<usize>,
 }
 
-/// The driver's side of an admitted request.
-struct Open {
+/// The shell's state of an open request.
+struct OpenRequest {
     tx: CallerTx,
     payload: Option<Rc<GeneratePayload>>,
-    /// Ends the task of the running attempt.
+    /// Aborts the task of the running attempt.
     attempt: Option<AbortHandle>,
-    /// Tickets of computed segments of a huge prompt.
+    /// Tickets of the prefilled segments of a long prompt.
     tickets: Vec<String>,
-    /// Why the engine ended the answer.
-    reason: Option<String>,
+    /// The engine's finish reason.
+    finish_reason: Option<String>,
 }
 
-/// Carries out the effects that reach beyond the daemon.
-pub trait EffectDriver {
-    /// Carries one out, or has a task do so.
-    fn carry_out(&self, shell: &Rc<Shell>, effect: Effect);
+/// Executes the effects that the shell doesn't execute itself.
+pub trait EffectHandler {
+    /// Executes an effect, or spawns a task that does.
+    fn handle(&self, shell: &Rc<Shell>, effect: Effect);
 }
 
 /// One running daemon.
 pub struct Shell {
-    /// The settings.
     pub settings: DaemonSettings,
-    /// The boot of this daemon.
+    /// Distinguishes this daemon from earlier ones of the same VM.
     pub boot: BootNumber,
-    /// The clock.
     pub clock: Clock,
-    /// HTTP towards backends and the platform.
+    /// HTTP client for backend servers and the platform.
     pub client: Client,
-    /// The platform.
     pub platform: Rc<dyn Platform>,
-    /// Metrics.
     pub metrics: Metrics,
-    /// Links to the other daemons.
+    /// Outgoing links to peers.
     pub links: PeerLinks,
-    /// Claims on their way to the table.
-    pub claims: WaitingClaims,
-    /// The bundle in force with its texts.
-    pub bundle_texts: RefCell<Option<BundleTexts>>,
-    /// Bytes fetched for bundles since the start.
+    /// Claim writes waiting for the next transaction.
+    pub claims: ClaimQueue,
+    /// Manifest and parts of the active bundle.
+    pub bundle_source: RefCell<Option<BundleSource>>,
+    /// Bytes fetched for bundles since the daemon started.
     pub bundle_bytes: Cell<u64>,
     node: RefCell<Node>,
-    open: RefCell<HashMap<RequestKey, Open>>,
-    arriving: RefCell<Option<Open>>,
-    refused: RefCell<Option<Failure>>,
+    open: RefCell<HashMap<RequestKey, OpenRequest>>,
+    /// The request being submitted, until it is admitted or refused.
+    submitted: RefCell<Option<OpenRequest>>,
+    refusal: RefCell<Option<Failure>>,
     admitted: Cell<Option<(RequestKey, RequestId)>>,
-    frame_at_hand: RefCell<Vec<String>>,
-    servers: RefCell<HashMap<ServerId, SocketAddr>>,
-    next_caller: Cell<u64>,
+    /// Tokens of the frame being fed to the reducer.
+    frame_tokens: RefCell<Vec<String>>,
+    server_addresses: RefCell<HashMap<ServerId, SocketAddr>>,
+    next_caller_key: Cell<u64>,
     stopped: Cell<bool>,
     suspension: SuspensionWatch,
-    effects: Box<dyn EffectDriver>,
+    effects: Box<dyn EffectHandler>,
 }
 
 impl Shell {
-    /// Builds the shell of a daemon.
+    /// Creates the shell and its reducer.
     pub fn new(
         settings: DaemonSettings,
         boot: BootNumber,
         client: Client,
         platform: Rc<dyn Platform>,
-        effects: Box<dyn EffectDriver>,
+        effects: Box<dyn EffectHandler>,
     ) -> Rc<Self> {
         let mut cfg = NodeConfig::new(
             settings.vm,
@@ -131,27 +129,27 @@
             platform,
             metrics: Metrics::new(),
             links: PeerLinks::default(),
-            claims: WaitingClaims::default(),
-            bundle_texts: RefCell::default(),
+            claims: ClaimQueue::default(),
+            bundle_source: RefCell::default(),
             bundle_bytes: Cell::new(0),
             open: RefCell::default(),
-            arriving: RefCell::default(),
-            refused: RefCell::default(),
+            submitted: RefCell::default(),
+            refusal: RefCell::default(),
             admitted: Cell::default(),
-            frame_at_hand: RefCell::default(),
-            servers: RefCell::default(),
-            next_caller: Cell::new(1),
+            frame_tokens: RefCell::default(),
+            server_addresses: RefCell::default(),
+            next_caller_key: Cell::new(1),
             stopped: Cell::new(false),
             effects,
         })
     }
 
-    /// Returns the present time.
+    /// Returns the current time of the daemon's clock.
     pub fn now(&self) -> Instant {
         self.clock.now()
     }
 
-    /// Returns the text of all metrics.
+    /// Returns all metrics in Prometheus' text format.
     pub fn metrics_text(&self) -> String {
         let sent = Traffic {
             peer_bytes: self.links.sent_bytes(),
@@ -160,36 +158,37 @@
         self.metrics.text(&self.node.borrow(), sent)
     }
 
-    /// Lets a closure look at the reducer.
+    /// Calls `f` with the reducer.
     pub fn with_node<T>(&self, f: impl FnOnce(&mut Node) -> T) -> T {
         f(&mut self.node.borrow_mut())
     }
 
-    /// Returns the bundle in force.
+    /// Returns the active bundle, if any.
     pub fn bundle(&self) -> Option<Arc<Bundle>> {
         self.node.borrow().bundle().cloned()
     }
 
-    /// Returns the whole state, made to be read.
+    /// Returns a dump of the reducer's state for operators.
     pub fn dump(&self) -> NodeDump {
         let now = self.now();
         self.node.borrow_mut().dump(now)
     }
 
-    /// Notices that the machine was suspended. Connections kept from before are closed:
-    /// the other ends gave them up unheard, and a call that may run once is lost on one.
-    pub fn notice_suspension(&self) {
+    /// Closes idle connections if the machine was suspended since the last check.
+    /// The remote ends may have closed them, and a call that must not be repeated
+    /// would be lost on such a connection.
+    pub fn check_suspension(&self) {
         if self.suspension.notice(&self.clock) {
             self.client.forget_idle();
         }
     }
 
-    /// Tells whether all work is done after a drain.
+    /// Returns whether the daemon has drained.
     pub fn is_stopped(&self) -> bool {
         self.stopped.get()
     }
 
-    /// Feeds one event and carries out what follows.
+    /// Feeds an event to the reducer and executes the resulting effects.
     pub fn step(self: &Rc<Self>, event: Event) {
         let mut effects = Vec::new();
         self.node
@@ -200,37 +199,42 @@
         }
     }
 
-    /// Offers a request to the reducer.
+    /// Submits a request to the reducer for admission.
     ///
     /// # Errors
     ///
-    /// Returns the refusal.
+    /// Returns the failure if the request is refused.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the reducer neither admits nor refuses the request.
     pub fn submit(
         self: &Rc<Self>,
         build: impl FnOnce(CallerKey) -> Arrival,
         tx: CallerTx,
         payload: Option<Rc<GeneratePayload>>,
     ) -> Result<(RequestKey, RequestId), Failure> {
-        let caller = CallerKey(self.next_caller.get());
-        self.next_caller.set(caller.0 + 1);
-        *self.arriving.borrow_mut() = Some(Open {
+        let caller = CallerKey(self.next_caller_key.get());
+        self.next_caller_key.set(caller.0 + 1);
+        *self.submitted.borrow_mut() = Some(OpenRequest {
             tx,
             payload,
             attempt: None,
             tickets: Vec::new(),
-            reason: None,
+            finish_reason: None,
         });
         self.step(Event::Arrive(Box::new(build(caller))));
-        self.arriving.borrow_mut().take();
-        if let Some(failure) = self.refused.borrow_mut().take() {
+        self.submitted.borrow_mut().take();
+        if let Some(failure) = self.refusal.borrow_mut().take() {
             return Err(failure);
         }
         let admitted = self.admitted.take();
-        Ok(admitted.expect("an arrival is either admitted or refused"))
+        Ok(admitted.expect("the reducer must admit or refuse a request"))
     }
 
-    /// Feeds a frame of an engine's stream.
-    pub fn frame(self: &Rc<Self>, request: RequestKey, frame: EngineFrame) {
+    /// Feeds a frame of an engine's stream to the reducer. Drops the request if
+    /// the caller reads too slowly.
+    pub fn feed_frame(self: &Rc<Self>, request: RequestKey, frame: EngineFrame) {
         let event = Event::Frame {
             request,
             id: frame.request,
@@ -238,38 +242,38 @@
             offset: frame.offset,
             count: frame.tokens.len() as u32,
         };
-        *self.frame_at_hand.borrow_mut() = frame.tokens;
+        *self.frame_tokens.borrow_mut() = frame.tokens;
         self.step(event);
-        if self.unread(request) > self.settings.max_unread_bytes {
+        if self.unread_bytes(request) > self.settings.max_unread_bytes {
             self.step(Event::CallerGone(request));
         }
     }
 
-    fn unread(&self, request: RequestKey) -> usize {
+    fn unread_bytes(&self, request: RequestKey) -> usize {
         self.open
             .borrow()
             .get(&request)
-            .map_or(0, |open| open.tx.unread())
+            .map_or(0, |open| open.tx.unread_bytes())
     }
 
-    /// Returns a server's address.
+    /// Returns the address of a listed server.
     pub fn server_address(&self, server: ServerId) -> Option<SocketAddr> {
-        self.servers.borrow().get(&server).copied()
+        self.server_addresses.borrow().get(&server).copied()
     }
 
-    /// Sets the servers' addresses.
-    pub fn set_servers(&self, servers: HashMap<ServerId, SocketAddr>) {
-        *self.servers.borrow_mut() = servers;
+    /// Replaces the addresses of all servers.
+    pub fn set_server_addresses(&self, addresses: HashMap<ServerId, SocketAddr>) {
+        *self.server_addresses.borrow_mut() = addresses;
     }
 
-    /// Keeps the ticket of a computed segment.
+    /// Adds the ticket of a prefilled segment to a request.
     pub fn add_ticket(&self, request: RequestKey, ticket: String) {
         if let Some(open) = self.open.borrow_mut().get_mut(&request) {
             open.tickets.push(ticket);
         }
     }
 
-    /// Returns the tickets of a request's segments.
+    /// Returns the tickets of a request's prefilled segments.
     pub fn tickets(&self, request: RequestKey) -> Vec<String> {
         let open = self.open.borrow();
         open.get(&request)
@@ -279,64 +283,64 @@
     fn perform(self: &Rc<Self>, effect: Effect) {
         match effect {
             Effect::Admitted { request, id, .. } => {
-                if let Some(open) = self.arriving.borrow_mut().take() {
+                if let Some(open) = self.submitted.borrow_mut().take() {
                     self.open.borrow_mut().insert(request, open);
                 }
                 self.admitted.set(Some((request, id)));
             }
-            Effect::Refuse { failure, .. } => *self.refused.borrow_mut() = Some(failure),
+            Effect::Refuse { failure, .. } => *self.refusal.borrow_mut() = Some(failure),
             Effect::Deliver { request, skip } => {
-                let mut tokens = std::mem::take(&mut *self.frame_at_hand.borrow_mut());
+                let mut tokens = std::mem::take(&mut *self.frame_tokens.borrow_mut());
                 tokens.drain(..skip as usize);
-                self.tell(request, CallerEvent::Tokens(tokens));
+                self.send_to_caller(request, CallerEvent::Tokens(tokens));
             }
             Effect::Finish { request, result } => {
                 let reason = self.finish_reason(request);
-                self.close(request, CallerEvent::Finish { result, reason });
+                self.close_request(request, CallerEvent::Finish { result, reason });
             }
             Effect::FinishStored { request, key } => {
-                self.close(request, CallerEvent::Stored(key));
+                self.close_request(request, CallerEvent::Stored(key));
             }
             Effect::Peer { to, message } => self.links.send(to, *message),
             Effect::Log(event) => event.emit(),
             Effect::Stop => self.stopped.set(true),
-            effect => self.effects.carry_out(self, effect),
+            effect => self.effects.handle(self, effect),
         }
     }
 
-    /// Keeps why the engine ended an answer.
+    /// Sets the engine's finish reason for a request.
     pub fn set_finish_reason(&self, request: RequestKey, reason: String) {
         if let Some(open) = self.open.borrow_mut().get_mut(&request) {
-            open.reason = Some(reason);
+            open.finish_reason = Some(reason);
         }
     }
 
     fn finish_reason(&self, request: RequestKey) -> Option<String> {
-        self.open.borrow().get(&request)?.reason.clone()
+        self.open.borrow().get(&request)?.finish_reason.clone()
     }
 
-    /// Returns what is sent to engines for a request; `None` for a call.
+    /// Returns the engine payload of a generation; `None` for a service call.
     pub fn payload(&self, request: RequestKey) -> Option<Rc<GeneratePayload>> {
         self.open.borrow().get(&request)?.payload.clone()
     }
 
-    /// Forgets the tickets of a request whose prompt begins anew.
-    pub fn forget_tickets(&self, request: RequestKey) {
+    /// Removes the tickets of a request whose prefill starts over.
+    pub fn clear_tickets(&self, request: RequestKey) {
         if let Some(open) = self.open.borrow_mut().get_mut(&request) {
             open.tickets.clear();
         }
     }
 
-    /// Tells the task of a request's caller something.
-    pub fn tell(&self, request: RequestKey, event: CallerEvent) {
+    /// Sends an event to the caller's task of an open request.
+    pub fn send_to_caller(&self, request: RequestKey, event: CallerEvent) {
         if let Some(open) = self.open.borrow().get(&request) {
             open.tx.send(event);
         }
     }
 
-    /// Ends the driver's side of a request: the running attempt's connection
-    /// closes with its task.
-    fn close(&self, request: RequestKey, last: CallerEvent) {
+    /// Removes a request and sends its last event. Aborting the running attempt's
+    /// task closes its connection to the server.
+    fn close_request(&self, request: RequestKey, last: CallerEvent) {
         let Some(open) = self.open.borrow_mut().remove(&request) else {
             return;
         };
@@ -346,7 +350,7 @@
         open.tx.send(last);
     }
 
-    /// Runs an attempt's task in place of the one before.
+    /// Spawns the task of an attempt and aborts that of the previous attempt.
     pub fn spawn_attempt(
         &self,
         request: RequestKey,
@@ -357,15 +361,15 @@
             return;
         };
         let (handle, registration) = AbortHandle::new_pair();
-        if let Some(before) = open.attempt.replace(handle) {
-            before.abort();
+        if let Some(previous) = open.attempt.replace(handle) {
+            previous.abort();
         }
         notchwalk_http::spawn(async move {
             let _ = Abortable::new(task, registration).await;
         });
     }
 
-    /// Returns the VM this daemon runs on.
+    /// Returns the id of the VM this daemon runs on.
     pub fn vm(&self) -> VmId {
         self.settings.vm
     }
--- a/crates/notchwalkd/src/sse.rs
+++ b/crates/notchwalkd/src/sse.rs
@@ -1,35 +1,36 @@
-//! Reading server-sent events from pieces of a stream.
+//! Incremental parser of server-sent events.
 
-/// The longest line kept while its end has not come, in bytes.
-const MAX_LINE: usize = 1 << 20;
+/// Maximum size of an incomplete line, in bytes.
+const MAX_LINE_BYTES: usize = 1 << 20;
 
-/// Collects pieces and gives back the data lines.
+/// Buffers the chunks of a stream and splits them into data lines.
 #[derive(Default)]
 pub struct SseReader {
     buf: Vec<u8>,
-    at: usize,
+    pos: usize,
 }
 
 impl SseReader {
-    /// Adds a piece. Returns `false` if a line is too long to be right.
-    pub fn push(&mut self, piece: &[u8]) -> bool {
-        self.buf.drain(..self.at);
-        self.at = 0;
-        let unfinished = self.buf.len();
-        self.buf.extend_from_slice(piece);
-        unfinished <= MAX_LINE
+    /// Appends a chunk. Returns `false` if the line left incomplete by earlier chunks
+    /// exceeds the maximum size.
+    pub fn push(&mut self, chunk: &[u8]) -> bool {
+        self.buf.drain(..self.pos);
+        self.pos = 0;
+        let pending = self.buf.len();
+        self.buf.extend_from_slice(chunk);
+        pending <= MAX_LINE_BYTES
     }
 
-    /// Takes the next whole data line.
+    /// Returns the next complete data line, without its `data:` prefix.
     pub fn next_data(&mut self) -> Option<&[u8]> {
         loop {
-            let start = self.at;
+            let start = self.pos;
             let end = start + memchr::memchr(b'\n', &self.buf[start..])?;
-            self.at = end + 1;
+            self.pos = end + 1;
             let line = &self.buf[start..end];
             let line = line.strip_suffix(b"\r").unwrap_or(line);
             if let Some(data) = line.strip_prefix(b"data:") {
-                // Borrowed anew, since the loop holds the first borrow.
+                // Sliced again: the borrow checker rejects returning `data` from the loop.
                 let from = end - (self.buf[start..end].len() - 5);
                 let to = from + data.len();
                 let data = &self.buf[from..to];
--- a/crates/notchwalkd/src/vm_watch.rs
+++ b/crates/notchwalkd/src/vm_watch.rs
@@ -1,4 +1,4 @@
-//! Reads the VM list and keeps polls and links in step with it.
+//! Polls the VM list, and updates engine polls and peer links to match it.
 
 use std::{
     cell::RefCell,
@@ -13,42 +13,42 @@
 
 use crate::{engine_poll, peer_link, shell::Shell};
 
-/// How often the list is read.
-const READ_EVERY: Duration = Duration::from_millis(1_000);
-/// How often it is read until it first names a backend server.
-const FIRST_READ_EVERY: Duration = Duration::from_millis(100);
+/// Interval between reads of the list.
+const READ_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Interval until the list first contains a backend server.
+const STARTUP_READ_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Reads the list for ever.
+/// Polls the list until the daemon stops.
 pub async fn watch(shell: Rc<Shell>) {
     let polled = Rc::new(RefCell::new(HashSet::new()));
-    let mut down = false;
+    let mut is_unavailable = false;
     let mut seen_servers = false;
     loop {
         match shell.platform.vms().await {
             Ok(records) => {
-                if std::mem::take(&mut down) {
+                if std::mem::take(&mut is_unavailable) {
                     LogEvent::new(LogEventKind::PlatformUp, "service=vm-list").emit();
                 }
-                seen_servers |= take_in(&shell, &polled, records);
+                seen_servers |= apply_vm_list(&shell, &polled, records);
             }
-            Err(e) if !down => {
-                down = true;
+            Err(e) if !is_unavailable => {
+                is_unavailable = true;
                 let facts = format!("service=vm-list error={e:?}");
                 LogEvent::new(LogEventKind::PlatformDown, facts).emit();
             }
             Err(_) => {}
         }
-        let pause = if seen_servers {
-            READ_EVERY
+        let interval = if seen_servers {
+            READ_INTERVAL
         } else {
-            FIRST_READ_EVERY
+            STARTUP_READ_INTERVAL
         };
-        monoio::time::sleep(pause).await;
+        monoio::time::sleep(interval).await;
     }
 }
 
-/// Takes in one reading; tells whether it names a backend server.
-fn take_in(
+/// Applies a VM list. Returns whether it contains a backend server.
+fn apply_vm_list(
     shell: &Rc<Shell>,
     polled: &Rc<RefCell<HashSet<ServerId>>>,
     records: Vec<VmRecord>,
@@ -90,19 +90,20 @@
     }
     let engines = servers.iter().filter(|s| s.kind == ServerKind::Engine);
     let engines: Vec<ServerId> = engines.map(|s| s.id).collect();
-    let any = !servers.is_empty();
-    shell.set_servers(addresses);
+    let has_servers = !servers.is_empty();
+    shell.set_server_addresses(addresses);
     shell.step(Event::VmList { servers, entries });
     peers.remove(&shell.vm());
-    peer_link::keep_links(shell, peers);
+    peer_link::sync_links(shell, peers);
     for id in engines {
         if polled.borrow_mut().insert(id) {
             spawn_poll(shell.clone(), polled.clone(), id);
         }
     }
-    any
+    has_servers
 }
 
+/// Spawns the poll task of an engine, which leaves `polled` when it ends.
 fn spawn_poll(shell: Rc<Shell>, polled: Rc<RefCell<HashSet<ServerId>>>, id: ServerId) {
     notchwalk_http::spawn(async move {
         engine_poll::poll(shell, id).await;
--- a/crates/notchwalkd/tests/parsers.rs
+++ b/crates/notchwalkd/tests/parsers.rs
@@ -1,9 +1,9 @@
-//! What engines and strangers send can't make the readers panic, and sealed
-//! frames can be neither forged nor replayed.
+//! Guards against panics of the parsers on untrusted input, and against forged or
+//! replayed peer frames.
 
 use notchwalk_core::{BootNumber, VmId};
 use notchwalkd::{
-    peer_proof::{open, proof_of, same, seal, session_key, Challenge, Hello},
+    peer_auth::{macs_equal, open, seal, session_key, session_proof, Challenge, Hello},
     sse::SseReader,
     PeerKey,
 };
@@ -19,14 +19,20 @@
 }
 
 #[test]
-fn another_key_gives_another_proof() {
+fn proofs_of_different_keys_differ() {
     let (ours, theirs) = (session(PeerKey::random()), session(PeerKey::random()));
-    assert!(same(&proof_of(&ours).mac, &proof_of(&ours).mac));
-    assert!(!same(&proof_of(&ours).mac, &proof_of(&theirs).mac));
+    assert!(macs_equal(
+        &session_proof(&ours).mac,
+        &session_proof(&ours).mac
+    ));
+    assert!(!macs_equal(
+        &session_proof(&ours).mac,
+        &session_proof(&theirs).mac
+    ));
 }
 
 #[test]
-fn a_frame_opens_once_in_its_place_only() {
+fn replayed_or_modified_frames_are_rejected() {
     let session = session(PeerKey::random());
     let sealed = seal(&session, 7, b"heartbeat");
     assert_eq!(open(&session, 7, &sealed), Some(&b"heartbeat"[..]));
@@ -34,28 +40,28 @@
     let mut forged = sealed;
     let last = forged.len() - 1;
     forged[last] ^= 1;
-    assert_eq!(open(&session, 7, &forged), None, "changed");
+    assert_eq!(open(&session, 7, &forged), None, "modified");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: prop::test_runner::RngSeed::Fixed(15), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn no_bytes_open_as_a_frame(bytes in prop::collection::vec(any::<u8>(), 0..100)) {
+    fn random_bytes_are_rejected_as_frames(bytes in prop::collection::vec(any::<u8>(), 0..100)) {
         let session = [9; 32];
         prop_assert_eq!(open(&session, 0, &bytes), None);
     }
 
     #[test]
-    fn events_add_up_however_they_arrive(
+    fn events_are_parsed_regardless_of_chunk_boundaries(
         lines in prop::collection::vec("[a-z:{}]{1,20}", 0..10),
-        step in 1usize..20,
+        chunk_size in 1usize..20,
     ) {
         let wire: String = lines.iter().map(|line| format!("data: {line}\r\n\r\n")).collect();
         let mut reader = SseReader::default();
         let mut got = Vec::new();
-        for piece in wire.as_bytes().chunks(step) {
-            prop_assert!(reader.push(piece));
+        for chunk in wire.as_bytes().chunks(chunk_size) {
+            prop_assert!(reader.push(chunk));
             while let Some(data) = reader.next_data() {
                 got.push(String::from_utf8_lossy(data).into_owned());
             }
@@ -64,12 +70,12 @@
     }
 
     #[test]
-    fn no_bytes_make_the_event_reader_panic(
-        pieces in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..60), 0..8),
+    fn sse_reader_does_not_panic_on_random_bytes(
+        chunks in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..60), 0..8),
     ) {
         let mut reader = SseReader::default();
-        for piece in &pieces {
-            reader.push(piece);
+        for chunk in &chunks {
+            reader.push(chunk);
             while reader.next_data().is_some() {}
         }
     }
--- a/crates/notchwalkd/tests/settings.rs
+++ b/crates/notchwalkd/tests/settings.rs
@@ -1,5 +1,4 @@
-//! The daemon's settings: the examples are right, and faults are reported
-//! together.
+//! Guards against invalid example settings, and against faults that go unreported.
 
 use std::path::Path;
 
@@ -7,7 +6,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn the_examples_have_no_findings() {
+fn example_settings_are_valid() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples");
     for deployment in ["falaj", "kotuku"] {
         for i in 1..=6 {
@@ -30,7 +29,7 @@
     #![proptest_config(ProptestConfig { rng_seed: prop::test_runner::RngSeed::Fixed(14), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn no_text_makes_the_parser_panic(text in ".{0,300}") {
+    fn parser_does_not_panic_on_random_text(text in ".{0,300}") {
         let _ = DaemonSettings::parse("x", &text);
     }
 }
