--- a/crates/notchwalk_decide/src/config.rs
+++ b/crates/notchwalk_decide/src/config.rs
@@ -1,45 +1,45 @@
-//! What a node is told about itself when it starts.
+//! Start-up configuration of a node.
 
 use std::time::Duration;
 
 use notchwalk_core::{BootNumber, VmId};
 
-/// How memory on engines is counted before work is sent. The two plain ways
-/// are baselines.
+/// How engine memory is reserved before work is dispatched. `CheckThenAct` and
+/// `Maximum` serve as baselines for comparison.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ReserveMode {
-    /// Holds prompt plus the 95th percentile of answers, tops up at 80%, and
-    /// settles at the end.
+    /// Reserves the prompt plus the 95th percentile of answer lengths, raises
+    /// the reservation as the answer grows, and releases it at the end.
     #[default]
     TopUp,
-    /// Only looks at what engines report as used.
+    /// Reserves nothing; only compares the request with the usage that the
+    /// engine reports.
     CheckThenAct,
-    /// Holds prompt plus the longest answer allowed.
+    /// Reserves the prompt plus the longest answer allowed.
     Maximum,
 }
 
-/// The settings of one node.
+/// The configuration of one node.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
-    /// The VM it runs on.
+    /// The VM the node runs on.
     pub vm: VmId,
-    /// The boot of the daemon.
+    /// The boot number of the daemon.
     pub boot: BootNumber,
     /// The VM's failure domain.
     pub failure_domain: String,
-    /// The seed of its random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// How long callers may keep the list of entries.
+    /// How long callers may cache the list of nodes.
     pub entries_ttl: Duration,
-    /// How long a silent owner may be paused before its memory on engines is
-    /// freed.
+    /// How long an owner may stay silent before its memory on engines is freed.
     pub longest_pause: Duration,
-    /// How memory is counted.
+    /// How engine memory is reserved.
     pub reserve: ReserveMode,
 }
 
 impl NodeConfig {
-    /// Builds the settings of a node with the usual times.
+    /// Builds a configuration with the default durations.
     pub fn new(vm: VmId, boot: BootNumber, failure_domain: impl Into<String>, seed: u64) -> Self {
         Self {
             vm,
@@ -52,13 +52,13 @@
         }
     }
 
-    /// Sets how long callers may keep the list of entries.
+    /// Sets how long callers may cache the list of nodes.
     pub fn with_entries_ttl(mut self, ttl: Duration) -> Self {
         self.entries_ttl = ttl;
         self
     }
 
-    /// Sets how memory is counted.
+    /// Sets how engine memory is reserved.
     pub fn with_reserve(mut self, reserve: ReserveMode) -> Self {
         self.reserve = reserve;
         self
--- a/crates/notchwalk_decide/src/effect.rs
+++ b/crates/notchwalk_decide/src/effect.rs
@@ -1,4 +1,4 @@
-//! Everything a node can ask its driver to do.
+//! The effects that a node asks its driver to carry out.
 
 use notchwalk_core::{Attempt, LogEvent, RequestId, ServerId, Tokens, VmId};
 use notchwalk_wire::{OutcomeWord, PeerMessage, WantedState};
@@ -17,15 +17,15 @@
     pub attempt: Attempt,
     /// The server.
     pub server: ServerId,
-    /// The first token wanted; more than 0 resumes.
+    /// The first token to deliver; above 0 for a resumed answer.
     pub offset: u32,
     /// The priority on the engine.
     pub priority: u8,
-    /// How long the attempt may still take, in milliseconds.
+    /// The remaining time of the attempt, in milliseconds.
     pub timeout_ms: u64,
 }
 
-/// Has a server compute and hold one segment of a huge prompt.
+/// Prefills one segment of a huge prompt on a server, which retains it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SegmentOrder {
     /// The request.
@@ -38,127 +38,128 @@
     pub from: Tokens,
     /// The token after the last.
     pub to: Tokens,
-    /// How long the segment may take, in milliseconds.
+    /// The time limit of the segment, in milliseconds.
     pub timeout_ms: u64,
 }
 
 /// Why a request failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum FailureCode {
-    /// No bundle is in force yet.
+    /// No bundle is active yet.
     NotReady,
-    /// The daemon drains and takes no more.
+    /// The daemon is draining and refuses new requests.
     Draining,
-    /// The entry holds as many requests as it may.
+    /// The node has reached its limit of open requests.
     EntryFull,
-    /// The workspace has as many requests waiting as it may.
+    /// The workspace has reached its limit of queued requests.
     WorkspaceQueueFull,
     /// The deadline could not be met.
     DeadlineTooClose,
-    /// The prompt with its answer exceeds the model's context.
+    /// Prompt and answer exceed the model's context.
     ContextExceeded,
-    /// No server serves what was asked for.
+    /// No server serves the requested model or service.
     NoServer,
     /// The deadline passed.
     TimedOut,
     /// Too many attempts failed.
     BackendFailed,
-    /// A call that may not be repeated failed after it was sent.
+    /// A call that must not be repeated failed after it was sent.
     CallFailed,
     /// The store did not answer, so the call was not sent.
     StoreUnavailable,
-    /// A call with the same idempotency key still runs.
+    /// A call with the same idempotency key is still running.
     StillRunning,
     /// A call with the same idempotency key was made; its outcome is unknown.
     OutcomeUnknown,
     /// The idempotency key was used for a different request.
     KeyReused,
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone,
-    /// Servers ended under requests of its content; whether by its fault is not known
-    /// yet.
+    /// Servers failed while running requests with this content; whether the
+    /// content caused it is not known yet.
     Suspected,
-    /// Requests of its content crash their servers: it is sent to none for a while.
+    /// Requests with this content crash their servers; it is not sent until the
+    /// quarantine ends.
     Quarantined,
 }
 
-/// A request's failure, as its caller is told.
+/// A request's failure, as reported to its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// Why.
+    /// The reason.
     pub code: FailureCode,
     /// Whether the request ran.
     pub outcome: OutcomeWord,
-    /// When to come back, in milliseconds, for failures that may pass; for a
-    /// quarantined request, when that ends.
+    /// Delay before the caller's next attempt, in milliseconds, for temporary
+    /// failures; the remaining quarantine for quarantined requests.
     pub retry_after_ms: Option<u64>,
 }
 
-/// A whole answer's counts.
+/// The counts of a complete answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Completion {
     /// Tokens of the prompt.
     pub prompt_tokens: Tokens,
     /// Tokens of the answer.
     pub completion_tokens: Tokens,
-    /// Attempts it took.
+    /// Attempts made.
     pub attempts: u16,
 }
 
-/// What is to be done.
+/// An output of the reducer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// The caller's request was admitted under this key and id.
+    /// A request was admitted.
     Admitted {
         /// The caller.
         caller: CallerKey,
-        /// The key.
+        /// The request's key.
         request: RequestKey,
-        /// The id.
+        /// The request's id.
         id: RequestId,
     },
-    /// The caller's request was refused; it did not run.
+    /// A request was refused; it did not run.
     Refuse {
         /// The caller.
         caller: CallerKey,
-        /// Why.
+        /// The reason.
         failure: Failure,
     },
     /// Send an attempt.
     Dispatch(Dispatch),
-    /// Have a segment computed.
+    /// Prefill a segment.
     Segment(SegmentOrder),
-    /// Pass tokens of the frame at hand to the caller.
+    /// Deliver tokens of the current frame to the caller.
     Deliver {
         /// The request.
         request: RequestKey,
-        /// Tokens of the frame to pass over.
+        /// Tokens at the start of the frame to skip.
         skip: u32,
     },
-    /// The request is over.
+    /// The request ended.
     Finish {
         /// The request.
         request: RequestKey,
-        /// How.
+        /// The result.
         result: Result<Completion, Failure>,
     },
-    /// The call's stored outcome answers the request, which is over.
+    /// The request ended; its answer is the call's stored outcome.
     FinishStored {
         /// The request.
         request: RequestKey,
-        /// The idempotency row.
+        /// The key of the idempotency row.
         key: String,
     },
-    /// End an engine's work for a request and have the end confirmed.
+    /// Cancel a request on an engine and wait for the confirmation.
     Cancel {
         /// The server.
         server: ServerId,
         /// The request.
         id: RequestId,
-        /// Attempts up to this one.
+        /// The last attempt to cancel; earlier ones are included.
         up_to: Attempt,
     },
-    /// Ask an engine what it holds.
+    /// Query the memory that an engine holds.
     AskHoldings(ServerId),
     /// Write a claim, if there is none under its key.
     ClaimInsert {
@@ -166,7 +167,7 @@
         request: RequestKey,
         /// The row's key.
         key: String,
-        /// The token that makes it ours.
+        /// The token that marks this request as the owner.
         token: String,
         /// The digest of the call.
         fingerprint: String,
@@ -178,31 +179,31 @@
         /// The row's key.
         key: String,
     },
-    /// Delete a claim of ours for a call that was not sent and never will be.
+    /// Delete a claim whose call was not sent and never will be.
     ClaimRelease {
         /// The row's key.
         key: String,
-        /// The token that makes it ours.
+        /// The token that marks this request as the owner.
         token: String,
         /// The digest of the call.
         fingerprint: String,
     },
     /// Read the order lease's row.
     LeaseRead,
-    /// Write the order lease's row, if it still is as expected.
+    /// Write the order lease's row, if it is unchanged.
     LeaseWrite {
-        /// The row as it must be.
+        /// The expected row.
         expected: Option<LeaseRow>,
         /// The row to write.
         row: LeaseRow,
     },
-    /// Give an engine an order, if the lease still holds right before.
+    /// Send an order to an engine, if the lease is still held.
     Order {
         /// The engine.
         server: ServerId,
         /// The fencing number.
         fence: u64,
-        /// What is wanted.
+        /// The wanted state.
         wanted: WantedState,
     },
     /// Send a message to a peer.
@@ -214,6 +215,6 @@
     },
     /// Log an event.
     Log(LogEvent),
-    /// All work is done after a drain; end.
+    /// The drain is complete; stop the daemon.
     Stop,
 }
--- a/crates/notchwalk_decide/src/event.rs
+++ b/crates/notchwalk_decide/src/event.rs
@@ -1,4 +1,4 @@
-//! Everything that can happen to a node.
+//! The events that a node handles.
 
 use std::sync::Arc;
 
@@ -17,15 +17,15 @@
 pub struct GenerateWork {
     /// The model.
     pub model: ModelKey,
-    /// The adapter, if one is asked for.
+    /// The requested adapter, if any.
     pub adapter: Option<String>,
-    /// The version, if one is asked for.
+    /// The requested version, if any.
     pub version: Option<String>,
-    /// Tokens of the prompt, as estimated.
+    /// Estimated length of the prompt, in tokens.
     pub prompt_tokens: Tokens,
     /// The longest answer, in tokens.
     pub max_tokens: u32,
-    /// Hashes of the prompt's beginning, a block each.
+    /// Hashes of the prompt's first blocks.
     pub prefix: Vec<u64>,
 }
 
@@ -36,14 +36,14 @@
     pub service: ServiceKey,
     /// Whether it may be sent again after a failure.
     pub repeatable: bool,
-    /// The idempotency key, if the caller gave one.
+    /// The idempotency key, if the caller sent one.
     pub idempotency_key: Option<String>,
-    /// A digest of method, path and body, to tell a second try from a
+    /// A digest of method, path and body; tells a repeated call from a
     /// different request under the same key.
     pub fingerprint: String,
 }
 
-/// What a request asks for.
+/// The work of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Work {
     /// A generation by an engine.
@@ -52,62 +52,63 @@
     Call(CallWork),
 }
 
-/// A request at the door.
+/// A new request.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// Names the caller in the driver.
+    /// Identifies the caller within the driver.
     pub caller: CallerKey,
-    /// The workspace, under the bundle in force.
+    /// The workspace, as keyed in the active bundle.
     pub workspace: WorkspaceKey,
-    /// What is asked for.
+    /// The requested work.
     pub work: Work,
-    /// Identifies its content, alike for all its tries; `None` if its body is passed
-    /// on unread.
+    /// Fingerprint of the content, equal for all attempts of the caller; `None`
+    /// if the body is forwarded unread.
     pub content: Option<Fingerprint>,
-    /// The priority asked for, bounded by the workspace's.
+    /// The requested priority, bounded by the workspace's.
     pub priority: Option<u8>,
-    /// The timeout asked for, bounded by the bundle.
+    /// The requested timeout, bounded by the bundle.
     pub timeout_ms: Option<u64>,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The answer is whole.
+    /// The answer is complete.
     Complete {
         /// Tokens of the prompt, as the engine counted them.
         prompt_tokens: Tokens,
-        /// Tokens of it found in the engine's cache.
+        /// Prompt tokens found in the engine's cache.
         cached_tokens: Tokens,
-        /// Tokens of the whole answer.
+        /// Tokens of the complete answer.
         completion_tokens: u32,
     },
     /// No byte of the request was sent.
     NotSent,
     /// The backend refused it before any work.
     Refused {
-        /// The refusal's code.
+        /// The code of the refusal.
         code: String,
     },
-    /// The stream broke, or the answer can't be read.
+    /// The stream broke, or the answer can't be parsed.
     Broken,
 }
 
-/// A row of the platform's table as a claim sees it.
+/// A claim's row in the platform's table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimRow {
-    /// The token of the attempt that owns it.
+    /// The token of the claim's owner.
     pub token: String,
-    /// Whether its outcome is stored.
+    /// Whether the outcome is stored.
     pub done: bool,
-    /// A digest of the request it was made for.
+    /// The digest of the request it was made for.
     pub fingerprint: String,
 }
 
-/// What is known of a claim after a write or a read.
+/// The result of a claim's write or read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimAnswer {
-    /// The row as it stands; the write took effect if its token is ours.
+    /// The current row; the write took effect if the row holds this request's
+    /// token.
     Row(ClaimRow),
     /// There is no row.
     NoRow,
@@ -115,70 +116,70 @@
     NoAnswer,
 }
 
-/// What kind of backend server it is.
+/// The kind of a backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ServerKind {
     /// A model engine; its load report names its models.
     Engine,
-    /// A server of a plain service.
+    /// A server of the named plain service.
     Service(String),
 }
 
-/// A backend server, as the VM list has it.
+/// A backend server in the VM list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerRecord {
     /// Its number.
     pub id: ServerId,
-    /// What it is.
+    /// Its kind.
     pub kind: ServerKind,
     /// Its failure domain.
     pub failure_domain: String,
-    /// Whether it is about to stop.
+    /// Whether it is draining.
     pub leaving: bool,
 }
 
-/// Another entry VM, as the VM list has it.
+/// An entry VM in the VM list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerRecord {
     /// Its number.
     pub vm: VmId,
-    /// Where its callers connect.
+    /// Where callers connect.
     pub caller_address: String,
     /// Its failure domain.
     pub failure_domain: String,
-    /// Whether it is about to stop.
+    /// Whether it is draining.
     pub leaving: bool,
 }
 
-/// What can happen.
+/// An input of the reducer.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time passed. Comes every few milliseconds.
+    /// Time passed; sent every few milliseconds.
     Tick,
-    /// A bundle came into force.
+    /// A bundle became active.
     Bundle(Arc<Bundle>),
     /// The VM list was read.
     VmList {
         /// Backend servers.
         servers: Vec<ServerRecord>,
-        /// Entries, this one among them.
+        /// The nodes, including this one.
         entries: Vec<PeerRecord>,
     },
     /// A request arrived.
     Arrive(Box<Arrival>),
-    /// A caller went away.
+    /// A caller disconnected.
     CallerGone(RequestKey),
-    /// A frame with tokens came.
+    /// A frame with tokens arrived.
     Frame {
-        /// The request it was read for.
+        /// The request whose stream carried it.
         request: RequestKey,
-        /// The id that stands in the frame.
+        /// The request id in the frame.
         id: RequestId,
-        /// The attempt that stands in the frame.
+        /// The attempt in the frame.
         attempt: Attempt,
-        /// The place of its first token in the answer.
+        /// The offset of its first token in the answer.
         offset: u32,
-        /// How many tokens it carries.
+        /// The number of tokens it carries.
         count: u32,
     },
     /// A segment of a huge prompt is ready.
@@ -194,7 +195,7 @@
         request: RequestKey,
         /// The attempt.
         attempt: Attempt,
-        /// How.
+        /// How it ended.
         end: AttemptEnd,
     },
     /// An engine reported its load.
@@ -204,9 +205,9 @@
         /// The report.
         report: Box<LoadReport>,
     },
-    /// A server did not answer when asked for its load.
+    /// A server did not answer a load poll.
     LoadFailed(ServerId),
-    /// An engine listed what it holds.
+    /// An engine listed the memory it holds.
     Holdings {
         /// The server.
         server: ServerId,
@@ -220,7 +221,7 @@
         /// The changes.
         events: CacheEvents,
     },
-    /// An engine confirmed a cancel, or failed to.
+    /// An engine confirmed a cancel, or did not answer it.
     CancelEnded {
         /// The server.
         server: ServerId,
@@ -229,49 +230,50 @@
         /// Whether it was confirmed.
         confirmed: bool,
     },
-    /// The platform's table answered about a claim.
+    /// The platform's table answered a claim's write or read.
     Claim {
         /// The request.
         request: RequestKey,
-        /// What is known.
+        /// The result.
         answer: ClaimAnswer,
     },
-    /// The release of an abandoned claim was confirmed, or not.
+    /// The release of an abandoned claim ended.
     ClaimReleased {
-        /// The key.
+        /// The row's key.
         key: String,
         /// Whether the table confirmed it.
         confirmed: bool,
     },
-    /// The table answered about the order lease.
+    /// The table answered a read or write of the order lease.
     Lease {
-        /// The row as it is now.
+        /// The current row.
         row: Option<LeaseRow>,
-        /// Whether a write of this node just made it so.
+        /// Whether a write of this node took effect.
         applied: bool,
     },
-    /// The table did not answer about the order lease.
+    /// The table did not answer a read or write of the order lease.
     LeaseUnanswered,
     /// An order ended.
     OrderEnded {
         /// The engine.
         server: ServerId,
-        /// Whether the engine took it, or may take it when given again.
+        /// Whether the engine accepted it, or may accept it when it is sent
+        /// again.
         accepted: bool,
     },
     /// A peer sent a message.
     Peer {
-        /// The peer, as it proved itself.
+        /// The authenticated peer.
         from: VmId,
         /// The message.
         message: PeerMessage,
     },
-    /// The daemon was told to stop.
+    /// The daemon is asked to shut down gracefully.
     Drain,
 }
 
 impl Event {
-    /// Returns the name of the kind of event, for traces.
+    /// Returns the event's name, for traces.
     pub fn name(&self) -> &'static str {
         match self {
             Self::Tick => "tick",
--- a/crates/notchwalk_decide/src/lane.rs
+++ b/crates/notchwalk_decide/src/lane.rs
@@ -1,9 +1,9 @@
-//! Length classes. Each has a queue of its own, so that work of one length
-//! that finds no room does not hold up the others.
+//! Length classes. Each lane has its own queue, so requests that find no
+//! capacity in one lane do not block the others.
 
 use notchwalk_core::Tokens;
 
-/// A class of requests by the tokens of prompt that must be computed.
+/// A class of requests by the number of prompt tokens to prefill.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Lane {
     /// Up to 4k tokens, and calls of plain services.
@@ -12,11 +12,11 @@
     Medium,
     /// Up to 128k tokens.
     Long,
-    /// Longer.
+    /// More than 128k tokens.
     Huge,
 }
 
-/// All classes, in the order in which they are served.
+/// All lanes, in the order in which they are served.
 pub const LANES: [Lane; 4] = [Lane::Short, Lane::Medium, Lane::Long, Lane::Huge];
 
 const SHORT_TOKENS: Tokens = 4_096;
@@ -24,7 +24,7 @@
 const LONG_TOKENS: Tokens = 131_072;
 
 impl Lane {
-    /// Returns the class of so many uncached tokens.
+    /// Returns the lane for a number of uncached prompt tokens.
     pub fn of(tokens: Tokens) -> Self {
         match tokens {
             n if n <= SHORT_TOKENS => Self::Short,
@@ -34,18 +34,19 @@
         }
     }
 
-    /// Returns the class's place in [`LANES`].
+    /// Returns the lane's index in [`LANES`].
     pub fn index(self) -> usize {
         self as usize
     }
 
-    /// Tells whether the class needs a reservation of the server's home.
+    /// Returns whether requests of this lane need a reservation from the
+    /// server's home.
     pub fn is_long(self) -> bool {
         matches!(self, Self::Long | Self::Huge)
     }
 
-    /// Returns the base of the priority on engines: shorter classes go first,
-    /// and the request's own priority orders within the class.
+    /// Returns the priority on engines: shorter lanes go first, and the
+    /// request's own priority orders within a lane.
     pub fn engine_priority(self, priority: u8) -> u8 {
         const STEP: u8 = 40;
         (3 - self as u8) * STEP + priority.min(9)
--- a/crates/notchwalk_decide/src/prelude.rs
+++ b/crates/notchwalk_decide/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The names that drivers of the reducer need.
+//! The common imports of code that drives the reducer.
 
 pub use crate::{
     Arrival, AttemptEnd, CallWork, CallerKey, Effect, Event, Failure, FailureCode, GenerateWork,
