--- a/crates/notchwalk_decide/src/schedule.rs
+++ b/crates/notchwalk_decide/src/schedule.rs
@@ -1,5 +1,5 @@
-//! Scheduling: takes the next request of each lane and places it while there
-//! is room.
+//! Scheduling: takes the next request of each lane and places it while there is
+//! capacity.
 
 use std::time::Duration;
 
@@ -18,45 +18,45 @@
     long_work,
     node::{Cx, Node},
     placement::{self, Placement},
-    queue::Place,
+    queue::QueuePosition,
     request::{Phase, RequestKey},
     server::{LoadedGroup, ServerKey},
     suspects,
     timer::TimerKind,
 };
 
-/// How long a request waits that no server serves at the moment.
-const UNSERVED_PAUSE: Duration = Duration::from_millis(250);
-/// How often lanes are tried although nothing is known to have changed.
-const RETRY_EVERY: Duration = Duration::from_millis(50);
-/// How far long work may run ahead of others that wait, in microseconds of
-/// engine time at weight 1.
-const LONG_LEAD_US: u64 = 500_000;
+/// Backoff of a request that no available server serves.
+const UNSERVED_BACKOFF: Duration = Duration::from_millis(250);
+/// Interval between retries of blocked lanes without a known change.
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// How far a workspace with long work may lead the virtual time while shorter
+/// work is blocked, in microseconds of engine time at weight 1.
+const MAX_LONG_LEAD_US: u64 = 500_000;
 
-/// What scheduling remembers between steps.
+/// State of the scheduler between steps.
 #[derive(Debug, Default)]
 pub(crate) struct Schedule {
-    /// Lanes that found no room since capacity last changed, by index.
+    /// Lanes that found no capacity since it last changed, by index.
     blocked: Vec<bool>,
     dirty: bool,
-    next_try: notchwalk_core::Instant,
-    turn: usize,
+    next_retry: notchwalk_core::Instant,
+    round_robin: usize,
 }
 
 impl Schedule {
-    /// Notes that room may have come free anywhere.
+    /// Unblocks all lanes, because capacity may have been freed anywhere.
     pub fn capacity_changed(&mut self) {
         self.dirty = true;
         self.blocked.iter_mut().for_each(|blocked| *blocked = false);
     }
 
-    /// Returns the next place in the baseline's round.
-    pub fn next_turn(&mut self) -> usize {
-        self.turn = self.turn.wrapping_add(1);
-        self.turn
+    /// Returns the next start index of the round-robin baseline.
+    pub fn next_round_robin(&mut self) -> usize {
+        self.round_robin = self.round_robin.wrapping_add(1);
+        self.round_robin
     }
 
-    fn lane(&mut self, group: GroupKey, lane: Lane) -> &mut bool {
+    fn lane_blocked(&mut self, group: GroupKey, lane: Lane) -> &mut bool {
         let index = group.index() * LANES.len() + lane.index();
         if self.blocked.len() <= index {
             self.blocked.resize(index + 1, false);
@@ -65,11 +65,12 @@
     }
 }
 
-/// Where a request waits. The baselines know one queue in order of arrival.
-fn place_in_queue(node: &Node, key: RequestKey) -> Place {
+/// Returns the queue position of a request. The baselines have a single queue
+/// in order of arrival.
+fn queue_position(node: &Node, key: RequestKey) -> QueuePosition {
     let req = &node.requests[key];
     let cost_us = match &req.work {
-        Work::Generate(work) => node.costs[req.group.index()].generate_us(work),
+        Work::Generate(work) => node.costs[req.group.index()].generation_us(work),
         Work::Call(_) => CostModel::call_us(),
     };
     let fair = node.policy_kind() == PolicyKind::Fair;
@@ -77,7 +78,7 @@
         true => req.lane,
         false => baseline_lane(node, key),
     };
-    Place {
+    QueuePosition {
         group: req.group,
         lane,
         workspace: if fair {
@@ -91,54 +92,56 @@
     }
 }
 
-/// The baselines know one lane; only what no engine can hold has another.
+/// Returns the single lane of the baselines; requests larger than any engine
+/// use another.
 fn baseline_lane(node: &Node, key: RequestKey) -> Lane {
     let servers = node.servers.of_group(node.requests[key].group).iter();
     let largest = servers.map(|key| node.servers.arena[*key].capacity()).max();
-    match placement::hold_for(node, key) > largest.unwrap_or(u64::MAX) {
+    match placement::tokens_to_reserve(node, key) > largest.unwrap_or(u64::MAX) {
         true => Lane::Huge,
         false => Lane::Short,
     }
 }
 
-/// Puts a request into its lane.
+/// Adds a request to its lane.
 pub(crate) fn enqueue(node: &mut Node, key: RequestKey) {
-    let place = place_in_queue(node, key);
+    let position = queue_position(node, key);
     let req = &mut node.requests[key];
     req.phase = Phase::Queued;
-    req.queued_at = Some(place);
+    req.queue_position = Some(position);
     let slot = req.workspace;
     let state = node.catalog.workspace(slot);
     state.queued += 1;
     let weight = state.weight;
-    node.queue.push(&place, key, weight);
+    node.queue.push(&position, key, weight);
     node.schedule.dirty = true;
 }
 
-/// Takes a request out of its lane, if it waits there.
+/// Removes a request from its lane, if it is queued.
 pub(crate) fn dequeue(node: &mut Node, key: RequestKey) {
     let req = &mut node.requests[key];
-    let Some(place) = req.queued_at.take() else {
+    let Some(position) = req.queue_position.take() else {
         return;
     };
     let slot = req.workspace;
     let state = node.catalog.workspace(slot);
     state.queued -= 1;
     let weight = state.weight;
-    node.queue.remove(&place, weight);
+    node.queue.remove(&position, weight);
 }
 
-/// Lets a request wait and try again later.
-pub(crate) fn back_off(node: &mut Node, cx: &Cx<'_>, key: RequestKey, pause: Duration) {
+/// Takes a request out of its lane and queues it again after a jittered
+/// delay.
+pub(crate) fn back_off(node: &mut Node, cx: &Cx<'_>, key: RequestKey, delay: Duration) {
     dequeue(node, key);
     node.requests[key].phase = Phase::Backoff;
-    let us = pause.as_micros() as u64;
+    let us = delay.as_micros() as u64;
     let jittered = node.rng.random_range(us / 2..=us * 3 / 2);
     let at = cx.now.after(Duration::from_micros(jittered));
     node.timers.set(at, key, TimerKind::Backoff);
 }
 
-/// A pause is over: the request waits in its lane again.
+/// Queues a request whose backoff ended.
 pub(crate) fn on_backoff_over(node: &mut Node, _cx: &mut Cx<'_>, key: RequestKey) {
     let waits = node
         .requests
@@ -149,19 +152,19 @@
     }
 }
 
-/// Tries blocked lanes again from time to time, since reports grow old and
-/// circuits half-open without an event.
+/// Unblocks lanes periodically, since reports expire and circuits half-open
+/// without an event.
 pub(crate) fn on_tick(node: &mut Node, cx: &mut Cx<'_>) {
-    if cx.now < node.schedule.next_try {
+    if cx.now < node.schedule.next_retry {
         return;
     }
-    node.schedule.next_try = cx.now.after(RETRY_EVERY);
+    node.schedule.next_retry = cx.now.after(RETRY_INTERVAL);
     if node.queue.len() > 0 {
         node.schedule.capacity_changed();
     }
 }
 
-/// Serves all lanes as far as there is room.
+/// Serves all lanes while there is capacity.
 pub(crate) fn run(node: &mut Node, cx: &mut Cx<'_>) {
     if !std::mem::take(&mut node.schedule.dirty) {
         return;
@@ -175,7 +178,7 @@
 }
 
 fn serve_lane(node: &mut Node, cx: &mut Cx<'_>, group: GroupKey, lane: Lane) {
-    while !*node.schedule.lane(group, lane) {
+    while !*node.schedule.lane_blocked(group, lane) {
         let Some((slot, key)) = node.queue.first(group, lane) else {
             return;
         };
@@ -186,34 +189,34 @@
             continue;
         }
         if lane.is_long() {
-            if must_hold_back(node, group, slot) || !long_work::start_asking(node, cx, key) {
-                *node.schedule.lane(group, lane) = true;
+            if must_defer_long(node, group, slot) || !long_work::start_reserving(node, cx, key) {
+                *node.schedule.lane_blocked(group, lane) = true;
             } else {
-                node.queue.picked(group, lane);
+                node.queue.record_pick(group, lane);
             }
             continue;
         }
-        if gives_up(node, cx, key) {
+        if fail_if_expired(node, cx, key) {
             continue;
         }
         match placement::place(node, cx.now, key) {
-            Placement::At {
+            Placement::Placed {
                 server,
-                held,
+                reserved,
                 backlog,
             } => {
-                node.queue.picked(group, lane);
+                node.queue.record_pick(group, lane);
                 dequeue(node, key);
-                attempt::start(node, cx, key, server, held, backlog);
+                attempt::start(node, cx, key, server, reserved, backlog);
             }
-            Placement::NoRoom => *node.schedule.lane(group, lane) = true,
-            Placement::Unserved => back_off(node, cx, key, UNSERVED_PAUSE),
+            Placement::NoCapacity => *node.schedule.lane_blocked(group, lane) = true,
+            Placement::Unserved => back_off(node, cx, key, UNSERVED_BACKOFF),
         }
     }
 }
 
-/// Ends a request at once that can't be in time any more.
-fn gives_up(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey) -> bool {
+/// Fails an unsent request whose deadline has passed. Returns whether it did.
+fn fail_if_expired(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey) -> bool {
     if node.policy_kind() != PolicyKind::Fair {
         return false;
     }
@@ -228,32 +231,32 @@
     true
 }
 
-/// Tells whether long work of a workspace must wait because it is ahead of
-/// others that wait.
-fn must_hold_back(node: &mut Node, group: GroupKey, slot: WorkspaceSlot) -> bool {
-    let others_wait = [Lane::Short, Lane::Medium]
-        .into_iter()
-        .any(|lane| *node.schedule.lane(group, lane) && node.queue.lane_len(group, lane) > 0);
+/// Returns whether a workspace's long work must wait because shorter work is
+/// blocked and the workspace leads the virtual time.
+fn must_defer_long(node: &mut Node, group: GroupKey, slot: WorkspaceSlot) -> bool {
+    let others_wait = [Lane::Short, Lane::Medium].into_iter().any(|lane| {
+        *node.schedule.lane_blocked(group, lane) && node.queue.lane_len(group, lane) > 0
+    });
     if !others_wait {
         return false;
     }
     let weight = node.catalog.workspace(slot).weight;
-    node.queue.lead_us(slot) as f64 > LONG_LEAD_US as f64 / weight
+    node.queue.lead_us(slot) as f64 > MAX_LONG_LEAD_US as f64 / weight
 }
 
-/// Takes in an engine's report.
+/// Handles an engine's load report.
 pub(crate) fn on_load(node: &mut Node, cx: &mut Cx<'_>, id: ServerId, report: LoadReport) {
     let Some(key) = node.servers.key(id) else {
         return;
     };
-    suspects::on_server_answers(node, key);
+    suspects::on_server_reachable(node, key);
     if report.leaving {
-        mark_leaving(node, cx, key);
+        mark_draining(node, cx, key);
     }
     let loaded = loaded_groups(node, &report);
     for group in &loaded {
         let cost = node.cost(group.group);
-        cost.learn_times(report.prompt_token_ns, report.answer_token_ns);
+        cost.record_token_times(report.prompt_token_ns, report.answer_token_ns);
     }
     node.servers.set_loaded(key, loaded);
     node.servers.arena[key].report = Some((cx.now, report));
@@ -275,7 +278,7 @@
     loaded
 }
 
-/// Finds out anew what each server serves, after a bundle named new groups.
+/// Recomputes what each server serves after a bundle change.
 pub(crate) fn refresh_loaded(node: &mut Node) {
     let keys: Vec<ServerKey> = node.servers.arena.keys().collect();
     for key in keys {
@@ -300,37 +303,37 @@
     loaded.into_iter().collect()
 }
 
-/// An engine did not report when asked.
+/// Handles a load poll that was not answered.
 pub(crate) fn on_load_failed(node: &mut Node, cx: &mut Cx<'_>, id: ServerId) {
     if let Some(key) = node.servers.key(id) {
-        suspects::on_server_away(node, cx, key);
+        suspects::on_server_unreachable(node, cx, key);
         server_failed(node, cx, key);
     }
 }
 
-/// Notes a server's failure in its circuit.
+/// Records a server's failure in its circuit.
 pub(crate) fn server_failed(node: &mut Node, cx: &mut Cx<'_>, key: ServerKey) {
     let server = &mut node.servers.arena[key];
-    if server.circuit.failed(cx.now) {
+    if server.circuit.record_failure(cx.now) {
         let facts = format!("server={}", server.id.0);
         cx.log(LogEventKind::CircuitOpened, facts);
     }
 }
 
-/// Notes a server's success in its circuit.
+/// Records a server's success in its circuit.
 pub(crate) fn server_succeeded(node: &mut Node, cx: &mut Cx<'_>, key: ServerKey) {
     let server = &mut node.servers.arena[key];
-    if server.circuit.succeeded() {
+    if server.circuit.record_success() {
         let facts = format!("server={}", server.id.0);
         cx.log(LogEventKind::CircuitClosed, facts);
     }
 }
 
-/// Takes a server out of placement for good.
-pub(crate) fn mark_leaving(node: &mut Node, cx: &mut Cx<'_>, key: ServerKey) {
+/// Excludes a draining server from placement.
+pub(crate) fn mark_draining(node: &mut Node, cx: &mut Cx<'_>, key: ServerKey) {
     let server = &mut node.servers.arena[key];
-    if !server.leaving {
-        server.leaving = true;
+    if !server.draining {
+        server.draining = true;
         let facts = format!("server={}", server.id.0);
         cx.log(LogEventKind::ServerLeaving, facts);
     }
--- a/crates/notchwalk_decide/src/server.rs
+++ b/crates/notchwalk_decide/src/server.rs
@@ -1,5 +1,5 @@
-//! Backend servers: what they report, what this node has running on them, and
-//! whether they may get new work.
+//! Backend servers: their reports, this node's work on them, and whether they
+//! may get new work.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -15,52 +15,52 @@
 };
 
 new_key_type! {
-    /// Names a backend server within a node.
+    /// Identifies a backend server within a node.
     pub(crate) struct ServerKey;
 }
 
-/// Requests a plain service's server gets at once from one entry.
+/// Concurrent requests from one node to a server of a plain service.
 const SERVICE_SLOTS: u32 = 256;
-/// A report older than this no longer vouches for an engine.
-const REPORT_LIFE: Duration = Duration::from_millis(1_500);
-/// Failures in a row that open the circuit.
+/// Age at which a load report expires.
+const REPORT_TTL: Duration = Duration::from_millis(1_500);
+/// Consecutive failures that open the circuit.
 const FAILURES_TO_OPEN: u32 = 5;
-/// How long the circuit first stays open.
-const FIRST_OPEN: Duration = Duration::from_secs(1);
-/// How often that time doubles at the most.
+/// How long the circuit stays open the first time.
+const INITIAL_OPEN: Duration = Duration::from_secs(1);
+/// How often that duration doubles at most.
 const MAX_DOUBLINGS: u32 = 5;
 
-/// How far ahead of its payment a server may get work.
-const PAY_AHEAD: Duration = Duration::from_millis(20);
-/// The most that is ever to be paid off.
-const MAX_DEBT: Duration = Duration::from_secs(10);
+/// How far charged time may run ahead of this node's share.
+const TIME_CHARGE_SLACK: Duration = Duration::from_millis(20);
+/// Upper bound of the time charged ahead.
+const MAX_TIME_DEBT: Duration = Duration::from_secs(10);
 
-/// Keeps work from a server that fails, and lets it come back slowly: one
-/// request at a time until one succeeds.
+/// A circuit breaker. After the open period the server gets one request at a
+/// time until one succeeds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Circuit {
-    /// It gets work; so many failures in a row.
+    /// Work is allowed.
     Closed {
-        /// Failures since the last success.
+        /// Consecutive failures.
         failures: u32,
     },
-    /// It gets none until then.
+    /// No work is allowed.
     Open {
-        /// The end of the pause.
+        /// When the circuit becomes half-open.
         until: Instant,
-        /// Times it opened in a row.
+        /// Consecutive times it opened.
         times: u32,
     },
-    /// It gets one request at a time.
+    /// One request at a time is allowed.
     HalfOpen {
-        /// Times it opened in a row.
+        /// Consecutive times it opened.
         times: u32,
     },
 }
 
 impl Circuit {
-    /// Notes a failure; tells whether the circuit opened by it.
-    pub fn failed(&mut self, now: Instant) -> bool {
+    /// Records a failure. Returns whether it opened the circuit.
+    pub fn record_failure(&mut self, now: Instant) -> bool {
         let times = match *self {
             Self::Closed { failures } if failures + 1 < FAILURES_TO_OPEN => {
                 *self = Self::Closed {
@@ -72,20 +72,20 @@
             Self::HalfOpen { times } => times + 1,
             Self::Open { .. } => return false,
         };
-        let pause = FIRST_OPEN * 2u32.pow((times - 1).min(MAX_DOUBLINGS));
-        let until = now.after(pause);
+        let open_for = INITIAL_OPEN * 2u32.pow((times - 1).min(MAX_DOUBLINGS));
+        let until = now.after(open_for);
         *self = Self::Open { until, times };
         true
     }
 
-    /// Notes a success; tells whether the circuit closed by it.
-    pub fn succeeded(&mut self) -> bool {
+    /// Records a success. Returns whether it closed the circuit.
+    pub fn record_success(&mut self) -> bool {
         let was_closed = matches!(self, Self::Closed { .. });
         *self = Self::Closed { failures: 0 };
         !was_closed
     }
 
-    /// Moves from open to half open when the pause is over.
+    /// Moves from open to half-open when the open period is over.
     fn refresh(&mut self, now: Instant) {
         if let Self::Open { until, times } = *self {
             if now >= until {
@@ -95,55 +95,48 @@
     }
 }
 
-/// A model as an engine has it loaded, by its lasting key.
+/// A model that an engine has loaded.
 #[derive(Clone, Debug)]
 pub(crate) struct LoadedGroup {
-    /// The model.
     pub group: GroupKey,
-    /// Loaded versions.
     pub versions: Vec<String>,
-    /// Loaded adapters.
     pub adapters: Vec<String>,
 }
 
 /// A backend server.
 #[derive(Debug)]
 pub(crate) struct Server {
-    /// Its number.
     pub id: ServerId,
-    /// What it is.
     pub kind: ServerKind,
-    /// Its failure domain.
     pub failure_domain: String,
-    /// It leaves: no new work.
-    pub leaving: bool,
-    /// The VM list no longer names it.
-    pub gone: bool,
-    /// The latest report and when it came.
+    /// Whether it is draining; it gets no new work.
+    pub draining: bool,
+    /// Whether the VM list no longer contains it.
+    pub removed: bool,
+    /// The latest report and when it arrived.
     pub report: Option<(Instant, LoadReport)>,
-    /// What it serves.
+    /// The models or the service it serves.
     pub loaded: Vec<LoadedGroup>,
-    /// Tokens this node holds there, long work aside.
-    pub held: Tokens,
+    /// Tokens this node reserved there, excluding long work.
+    pub reserved: Tokens,
     /// Requests this node has running there.
     pub running: u32,
-    /// Prompt tokens this node sent there whose first token hasn't come, by
-    /// class. Long work is not among them.
+    /// Prompt tokens this node sent there that are not prefilled yet, by lane.
+    /// Excludes long work.
     pub backlog: [Tokens; LANES.len()],
-    /// What its home granted, and until when.
+    /// The share its home granted, and when that expires.
     pub grant: Option<(ServerShare, Instant)>,
-    /// When the work sent there so far is paid for by this entry's share of
-    /// the server's time.
-    pub paid_at: Instant,
-    /// Its circuit.
+    /// Until when this node's share of the server's time is used up by the work
+    /// sent so far.
+    pub time_charged_until: Instant,
     pub circuit: Circuit,
-    /// Lives of it that this node saw end.
-    pub lives: u32,
-    /// It could not be reached when it was last tried.
-    pub away: bool,
-    /// It refused work as overloaded until then.
+    /// Counts the incarnations of the server that this node saw end.
+    pub incarnation: u32,
+    /// Whether it was unreachable when last contacted.
+    pub unreachable: bool,
+    /// When its last overload refusal expires.
     pub refused_until: Instant,
-    /// What its prefix cache is believed to hold.
+    /// Estimated contents of its prefix cache.
     pub prefix: PrefixIndex,
 }
 
@@ -153,26 +146,26 @@
             id,
             kind,
             failure_domain,
-            leaving: false,
-            gone: false,
+            draining: false,
+            removed: false,
             report: None,
             loaded: Vec::new(),
-            held: 0,
+            reserved: 0,
             running: 0,
             backlog: [0; LANES.len()],
             grant: None,
-            paid_at: Instant::ZERO,
+            time_charged_until: Instant::ZERO,
             circuit: Circuit::Closed { failures: 0 },
-            lives: 0,
-            away: false,
+            incarnation: 0,
+            unreachable: false,
             refused_until: Instant::ZERO,
             prefix: PrefixIndex::default(),
         }
     }
 
-    /// Tells whether the server may get new work now.
-    pub fn is_open(&mut self, now: Instant) -> bool {
-        if self.leaving || self.gone || now < self.refused_until {
+    /// Returns whether the server may get new work now.
+    pub fn accepts_work(&mut self, now: Instant) -> bool {
+        if self.draining || self.removed || now < self.refused_until {
             return false;
         }
         self.circuit.refresh(now);
@@ -188,36 +181,42 @@
         }
     }
 
-    /// Returns the report, unless it is too old.
+    /// Returns the report, unless it has expired.
     pub fn fresh_report(&self, now: Instant) -> Option<&LoadReport> {
         let (at, report) = self.report.as_ref()?;
-        (now.since(*at) <= REPORT_LIFE).then_some(report)
+        (now.since(*at) <= REPORT_TTL).then_some(report)
     }
 
-    /// Tells whether this entry's share of the server's time allows more work
-    /// of a class now. A server where nothing of that class or a shorter one
-    /// waits may be used in any case.
-    pub fn is_paid(&self, now: Instant, lane: Lane) -> bool {
-        let idle = |r: &LoadReport| reported_before(r, lane) == 0 && self.backlog_before(lane) == 0;
-        self.paid_at <= now.after(PAY_AHEAD) || self.fresh_report(now).is_some_and(idle)
+    /// Returns whether this node's share of the server's time allows more work
+    /// of a lane now. A server without backlog in that lane or a shorter one is
+    /// always allowed.
+    pub fn is_within_time_share(&self, now: Instant, lane: Lane) -> bool {
+        let idle = |r: &LoadReport| {
+            reported_backlog_before(r, lane) == 0 && self.backlog_before(lane) == 0
+        };
+        self.time_charged_until <= now.after(TIME_CHARGE_SLACK)
+            || self.fresh_report(now).is_some_and(idle)
     }
 
-    /// Books work of so many microseconds against a share of the server's
+    /// Charges `cost_us` microseconds of work against a share of the server's
     /// time, in thousandths.
-    pub fn pay(&mut self, now: Instant, cost_us: u64, per_mille: u64) {
+    pub fn charge_time(&mut self, now: Instant, cost_us: u64, per_mille: u64) {
         let us = cost_us * 1_000 / per_mille.max(1);
-        let paid_at = self.paid_at.max(now).after(Duration::from_micros(us));
-        self.paid_at = paid_at.min(now.after(MAX_DEBT));
+        let time_charged_until = self
+            .time_charged_until
+            .max(now)
+            .after(Duration::from_micros(us));
+        self.time_charged_until = time_charged_until.min(now.after(MAX_TIME_DEBT));
     }
 
-    /// Returns this node's backlog that a request of a class has to wait for:
-    /// engines serve shorter classes first.
+    /// Returns this node's backlog that a request of a lane waits for: engines
+    /// serve shorter lanes first.
     pub fn backlog_before(&self, lane: Lane) -> Tokens {
         self.backlog[..=lane.index()].iter().sum()
     }
 
-    /// Returns this node's whole backlog.
-    pub fn whole_backlog(&self) -> Tokens {
+    /// Returns this node's backlog over all lanes.
+    pub fn total_backlog(&self) -> Tokens {
         self.backlog.iter().sum()
     }
 
@@ -234,7 +233,7 @@
         }
     }
 
-    /// Tells whether a model variant is loaded.
+    /// Returns whether a model variant is loaded.
     pub fn serves(&self, group: GroupKey, adapter: Option<&str>, version: Option<&str>) -> bool {
         let Some(loaded) = self.loaded.iter().find(|l| l.group == group) else {
             return false;
@@ -246,8 +245,8 @@
     }
 }
 
-/// Returns the reported backlog that goes before a class or with it.
-pub(crate) fn reported_before(report: &LoadReport, lane: Lane) -> Tokens {
+/// Returns the reported backlog of a lane and the shorter ones.
+pub(crate) fn reported_backlog_before(report: &LoadReport, lane: Lane) -> Tokens {
     let least = lane.engine_priority(0);
     let before = report.backlog_by_priority.iter();
     before.filter(|(p, _)| *p >= least).map(|(_, n)| n).sum()
@@ -256,21 +255,20 @@
 /// All backend servers known to a node.
 #[derive(Debug, Default)]
 pub(crate) struct Servers {
-    /// The servers.
     pub arena: SlotMap<ServerKey, Server>,
     by_id: HashMap<ServerId, ServerKey>,
     by_group: Vec<Vec<ServerKey>>,
-    /// Counts changes of the set, so that others can tell when to look anew.
+    /// Counts changes of the set, so that derived state can be refreshed.
     pub epoch: u64,
 }
 
 impl Servers {
-    /// Finds a server by number.
+    /// Returns the key of a server.
     pub fn key(&self, id: ServerId) -> Option<ServerKey> {
         self.by_id.get(&id).copied()
     }
 
-    /// Finds a server by number.
+    /// Returns a server by its id.
     pub fn by_id(&mut self, id: ServerId) -> Option<&mut Server> {
         let key = self.key(id)?;
         self.arena.get_mut(key)
@@ -281,8 +279,13 @@
         self.by_group.get(group.index()).map_or(&[], Vec::as_slice)
     }
 
-    /// Adds a server, or finds it.
-    pub fn ensure(&mut self, id: ServerId, kind: ServerKind, failure_domain: &str) -> ServerKey {
+    /// Returns the key of a server, which is added if it is unknown.
+    pub fn get_or_insert(
+        &mut self,
+        id: ServerId,
+        kind: ServerKind,
+        failure_domain: &str,
+    ) -> ServerKey {
         if let Some(key) = self.key(id) {
             return key;
         }
@@ -293,13 +296,14 @@
         key
     }
 
-    /// Forgets servers that are gone and have nothing running.
-    pub fn forget_gone(&mut self) {
-        let gone = |s: &Server| s.gone && s.running == 0;
+    /// Drops servers that the VM list no longer contains and that have nothing
+    /// running.
+    pub fn drop_removed(&mut self) {
+        let removed = |s: &Server| s.removed && s.running == 0;
         let keys = self
             .arena
             .iter()
-            .filter(|(_, s)| gone(s))
+            .filter(|(_, s)| removed(s))
             .map(|(key, _)| key);
         let keys: Vec<_> = keys.collect();
         for key in &keys {
@@ -309,7 +313,7 @@
         }
         if !keys.is_empty() {
             self.epoch += 1;
-            self.regroup();
+            self.rebuild_groups();
         }
     }
 
@@ -317,14 +321,14 @@
     pub fn set_loaded(&mut self, key: ServerKey, loaded: Vec<LoadedGroup>) {
         let server = &mut self.arena[key];
         let groups = |list: &[LoadedGroup]| list.iter().map(|l| l.group).collect::<Vec<_>>();
-        let regroup = groups(&server.loaded) != groups(&loaded);
+        let rebuild_groups = groups(&server.loaded) != groups(&loaded);
         server.loaded = loaded;
-        if regroup {
-            self.regroup();
+        if rebuild_groups {
+            self.rebuild_groups();
         }
     }
 
-    fn regroup(&mut self) {
+    fn rebuild_groups(&mut self) {
         self.by_group.iter_mut().for_each(Vec::clear);
         for (key, server) in &self.arena {
             for loaded in &server.loaded {
--- a/crates/notchwalk_decide/src/suspects.rs
+++ b/crates/notchwalk_decide/src/suspects.rs
@@ -1,9 +1,7 @@
-//! Requests under which backend servers ended, over all their tries and entries: what
-//! crashes the servers that run it is sent to no more of them
-//! (`notchwalk_quarantine`).
-//!
-//! Attempts are bounded within a try; such a request comes again as another. Six
-//! engines crashed in four tries of one completion without this, three with it.
+//! Detection of requests that crash the servers they run on
+//! (`notchwalk_quarantine`). The limit on attempts applies to a single
+//! request, and a caller that retries sends a new one; this module tracks the
+//! content over all requests and nodes.
 
 use notchwalk_core::{Instant, LogEventKind};
 use notchwalk_quarantine::{Finding, Fingerprint, News, Verdict};
@@ -18,14 +16,14 @@
     server::ServerKey,
 };
 
-/// When a caller may come back under whose request servers ended, in milliseconds: by
-/// then it is known whether they crashed.
+/// `Retry-After` of a suspected request, in milliseconds: by then it is known
+/// whether the servers crashed.
 const SUSPECTED_RETRY_MS: u64 = 2_000;
-/// Bits of a server's short id that count its lives.
-const LIFE_BITS: u32 = 8;
+/// Bits of an incarnation id that count a server's incarnations.
+const INCARNATION_BITS: u32 = 8;
 
-/// Returns why a request of this content may not be sent now, and when its caller may
-/// come back, or its quarantine ends.
+/// Returns why content may not be sent now, and the `Retry-After` or the
+/// remaining quarantine in milliseconds.
 pub(crate) fn refusal(
     node: &Node,
     content: Option<Fingerprint>,
@@ -41,89 +39,89 @@
     }
 }
 
-/// Returns the short id of a server's present life. Engines keep their number when they
-/// start again.
-fn tag(node: &Node, server: ServerKey) -> u32 {
+/// Returns the id of a server's current incarnation. Engines retain their
+/// number when they restart.
+fn incarnation_id(node: &Node, server: ServerKey) -> u32 {
     let server = &node.servers.arena[server];
-    (server.id.0 << LIFE_BITS) | (server.lives & ((1 << LIFE_BITS) - 1))
+    (server.id.0 << INCARNATION_BITS) | (server.incarnation & ((1 << INCARNATION_BITS) - 1))
 }
 
-/// Takes from the end of an attempt what it says about content and server.
+/// Records what the end of an attempt shows about its content and server.
 pub(crate) fn on_attempt_ended(node: &mut Node, cx: &Cx<'_>, key: RequestKey, end: &AttemptEnd) {
     let req = &node.requests[key];
     let (Some(content), Some(running)) = (req.content, req.running) else {
         return;
     };
     if *end != AttemptEnd::NotSent {
-        // It took the request, so that it is back if it had been away.
-        on_server_answers(node, running.server);
+        // The server accepted the request, so it is reachable.
+        on_server_reachable(node, running.server);
     }
-    let tag = tag(node, running.server);
+    let incarnation_id = incarnation_id(node, running.server);
     let server = &node.servers.arena[running.server];
     let others = u16::try_from(server.running.saturating_sub(1)).unwrap_or(u16::MAX);
-    let leaves = server.leaving;
-    let silent = cx.now.since(running.progress) >= attempt::STALL;
+    let draining = server.draining;
+    let silent = cx.now.since(running.last_progress) >= attempt::STREAM_STALL_TIMEOUT;
     let quarantine = &mut node.quarantine;
     match end {
         AttemptEnd::Complete { .. } => {
-            quarantine.note_server_lived(tag, running.since, cx.now);
+            quarantine.note_server_lived(incarnation_id, running.sent_at, cx.now);
             quarantine.note_succeeded(content, cx.now);
         }
-        AttemptEnd::Broken if !leaves => {
-            quarantine.note_broken(content, &[tag], others, silent, cx.now);
+        AttemptEnd::Broken if !draining => {
+            quarantine.note_broken(content, &[incarnation_id], others, silent, cx.now);
         }
         AttemptEnd::Refused { .. } => {
-            quarantine.note_server_lived(tag, running.since, cx.now);
+            quarantine.note_server_lived(incarnation_id, running.sent_at, cx.now);
             quarantine.note_idle(content);
         }
         AttemptEnd::Broken | AttemptEnd::NotSent => quarantine.note_idle(content),
     }
 }
 
-/// A request was sent.
 pub(crate) fn on_sent(node: &mut Node, cx: &Cx<'_>, key: RequestKey) {
     if let Some(content) = node.requests[key].content {
         node.quarantine.note_sent(content, cx.now);
     }
 }
 
-/// A server can't be reached, or no longer says how it is loaded: this life of it is
-/// over, unless it answers what it was sent before.
-pub(crate) fn on_server_away(node: &mut Node, cx: &Cx<'_>, server: ServerKey) {
-    let tag = tag(node, server);
-    node.quarantine.note_server_ended(tag, true, cx.now);
-    node.servers.arena[server].away = true;
+/// Ends the incarnation of a server that is unreachable or does not answer load
+/// polls. A later answer to an earlier request withdraws this.
+pub(crate) fn on_server_unreachable(node: &mut Node, cx: &Cx<'_>, server: ServerKey) {
+    let incarnation_id = incarnation_id(node, server);
+    node.quarantine
+        .note_server_ended(incarnation_id, true, cx.now);
+    node.servers.arena[server].unreachable = true;
 }
 
-/// A server says how it is loaded, or took a request.
-pub(crate) fn on_server_answers(node: &mut Node, server: ServerKey) {
+/// Starts a new incarnation if the server was unreachable before.
+pub(crate) fn on_server_reachable(node: &mut Node, server: ServerKey) {
     let server = &mut node.servers.arena[server];
-    if std::mem::take(&mut server.away) {
-        server.lives = server.lives.wrapping_add(1);
+    if std::mem::take(&mut server.unreachable) {
+        server.incarnation = server.incarnation.wrapping_add(1);
     }
 }
 
-/// Lets time pass, tells peers what is new, and logs what was found.
+/// Advances the quarantine, publishes updates to peers and logs findings.
 pub(crate) fn on_tick(node: &mut Node, cx: &mut Cx<'_>) {
     node.quarantine.pass_time(cx.now);
-    let news = node.quarantine.take_news();
-    tell(node, cx, news);
+    let updates = node.quarantine.take_news();
+    broadcast(node, cx, updates);
     for finding in node.quarantine.take_findings() {
         log(cx, &finding);
     }
 }
 
-/// Tells peers again what they may have missed; comes with each heartbeat.
+/// Rebroadcasts updates that peers may have missed.
 pub(crate) fn on_heartbeat(node: &Node, cx: &mut Cx<'_>) {
-    tell(node, cx, node.quarantine.retold(true, cx.now));
+    broadcast(node, cx, node.quarantine.retold(true, cx.now));
 }
 
-fn tell(node: &Node, cx: &mut Cx<'_>, news: Vec<News>) {
-    if news.is_empty() {
+fn broadcast(node: &Node, cx: &mut Cx<'_>, updates: Vec<News>) {
+    if updates.is_empty() {
         return;
     }
-    for vm in node.membership.receivers() {
-        let message = Box::new(PeerMessage::Suspects(news.clone()));
+    for vm in node.membership.heartbeat_targets() {
+        let message = Box::new(PeerMessage::Suspects(updates.clone()));
         cx.emit(Effect::Peer { to: vm, message });
     }
 }
@@ -135,7 +133,7 @@
             crash,
             moments,
         } => {
-            let server = crash.server >> LIFE_BITS;
+            let server = crash.server >> INCARNATION_BITS;
             let facts = format!(
                 "content={content} server={server} others={} silent={} moments={moments}",
                 crash.others, crash.silent
@@ -143,7 +141,7 @@
             cx.log(LogEventKind::CrashSuspected, facts);
         }
         Finding::Quarantined(found) => {
-            let servers = found.crashes.iter().map(|c| c.server >> LIFE_BITS);
+            let servers = found.crashes.iter().map(|c| c.server >> INCARNATION_BITS);
             let servers: Vec<String> = servers.map(|server| server.to_string()).collect();
             let facts = format!(
                 "content={} lasts_s={} times={} declared_here={} crashes={}",
--- a/crates/notchwalk_decide/src/sweep.rs
+++ b/crates/notchwalk_decide/src/sweep.rs
@@ -1,5 +1,6 @@
-//! Memory comes back: cancels are repeated until engines confirm them, and a
-//! sweep compares what engines hold with who is alive.
+//! Reclaims engine memory: cancels are repeated until engines confirm them, and
+//! a sweep compares the memory that engines hold with the owners that are
+//! alive.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -16,40 +17,40 @@
     server::ServerKey,
 };
 
-/// The first pause before a cancel is repeated; it doubles each time.
-const FIRST_PAUSE: Duration = Duration::from_millis(300);
-/// The longest.
-const MAX_PAUSE: Duration = Duration::from_secs(10);
-/// How often the due cancels are looked for.
-const SCAN_EVERY: Duration = Duration::from_millis(100);
-/// How often engines are asked what they hold.
-const SWEEP_EVERY: Duration = Duration::from_secs(3);
-/// Memory younger than this is left alone: its request may just have begun.
-const GRACE_MS: u64 = 2_000;
+/// Delay before a cancel is first repeated; doubles each time.
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(300);
+/// Upper bound of that delay.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(10);
+/// Interval between scans for due cancels.
+const SCAN_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval between queries of the memory that engines hold.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(3);
+/// Younger memory is not reclaimed, because its request may have just started.
+const MIN_ORPHAN_AGE_MS: u64 = 2_000;
 
 #[derive(Debug)]
-struct Pending {
+struct PendingCancel {
     up_to: Attempt,
     next: Instant,
-    pause: Duration,
+    delay: Duration,
 }
 
 /// Cancels that engines have not confirmed.
 #[derive(Debug, Default)]
 pub(crate) struct Cancels {
-    pending: BTreeMap<(ServerId, RequestId), Pending>,
+    pending: BTreeMap<(ServerId, RequestId), PendingCancel>,
     next_scan: Instant,
     next_sweep: Instant,
 }
 
 impl Cancels {
-    /// Returns how many are not confirmed.
+    /// Returns the number of unconfirmed cancels.
     pub fn len(&self) -> usize {
         self.pending.len()
     }
 }
 
-/// Ends a server's work for a request, until the server confirms it.
+/// Cancels a request on a server, repeatedly until the server confirms it.
 pub(crate) fn cancel(
     node: &mut Node,
     cx: &mut Cx<'_>,
@@ -60,16 +61,16 @@
     let Some(server) = node.servers.arena.get(server).map(|s| s.id) else {
         return;
     };
-    let pending = Pending {
+    let pending = PendingCancel {
         up_to,
-        next: cx.now.after(FIRST_PAUSE),
-        pause: FIRST_PAUSE,
+        next: cx.now.after(INITIAL_RETRY_DELAY),
+        delay: INITIAL_RETRY_DELAY,
     };
     node.cancels.pending.insert((server, id), pending);
     cx.emit(Effect::Cancel { server, id, up_to });
 }
 
-/// An engine confirmed a cancel, or did not answer.
+/// Handles an engine's answer to a cancel.
 pub(crate) fn on_cancel_ended(
     node: &mut Node,
     cx: &mut Cx<'_>,
@@ -83,23 +84,23 @@
         return;
     }
     if let Some(pending) = node.cancels.pending.get_mut(&(server, id)) {
-        pending.next = cx.now.after(pending.pause);
-        pending.pause = (pending.pause * 2).min(MAX_PAUSE);
+        pending.next = cx.now.after(pending.delay);
+        pending.delay = (pending.delay * 2).min(MAX_RETRY_DELAY);
     }
 }
 
-/// Repeats cancels and asks engines what they hold when it is time.
+/// Repeats cancels and queries engines when due.
 pub(crate) fn on_tick(node: &mut Node, cx: &mut Cx<'_>) {
     if cx.now < node.cancels.next_scan {
         return;
     }
-    node.cancels.next_scan = cx.now.after(SCAN_EVERY);
+    node.cancels.next_scan = cx.now.after(SCAN_INTERVAL);
     for ((server, id), pending) in &mut node.cancels.pending {
         if cx.now < pending.next {
             continue;
         }
-        pending.next = cx.now.after(pending.pause);
-        pending.pause = (pending.pause * 2).min(MAX_PAUSE);
+        pending.next = cx.now.after(pending.delay);
+        pending.delay = (pending.delay * 2).min(MAX_RETRY_DELAY);
         cx.emit(Effect::Cancel {
             server: *server,
             id: *id,
@@ -107,18 +108,18 @@
         });
     }
     if cx.now >= node.cancels.next_sweep {
-        node.cancels.next_sweep = cx.now.after(SWEEP_EVERY);
-        ask_holdings(node, cx);
+        node.cancels.next_sweep = cx.now.after(SWEEP_INTERVAL);
+        query_holdings(node, cx);
     }
 }
 
-/// The home of an engine asks what it holds.
-fn ask_holdings(node: &mut Node, cx: &mut Cx<'_>) {
+/// Queries the memory held on the engines whose home is this node.
+fn query_holdings(node: &mut Node, cx: &mut Cx<'_>) {
     let engines = node
         .servers
         .arena
         .values()
-        .filter(|s| s.kind == ServerKind::Engine && !s.gone);
+        .filter(|s| s.kind == ServerKind::Engine && !s.removed);
     let ids: Vec<ServerId> = engines.map(|s| s.id).collect();
     for id in ids {
         if credit::home_since(node, cx.now, id).is_some() {
@@ -127,14 +128,19 @@
     }
 }
 
-/// Frees what belongs to requests that are over or whose daemon is gone.
-/// What belongs to a daemon that may only be paused is left alone.
-pub(crate) fn on_holdings(node: &mut Node, cx: &mut Cx<'_>, server: ServerId, held: &[Holding]) {
+/// Cancels memory whose request has ended or whose owner is dead. Memory of an
+/// owner that may only be paused is retained.
+pub(crate) fn on_holdings(
+    node: &mut Node,
+    cx: &mut Cx<'_>,
+    server: ServerId,
+    holdings: &[Holding],
+) {
     let Some(key) = node.servers.key(server) else {
         return;
     };
-    for holding in held {
-        if holding.age_ms < GRACE_MS || !is_orphan(node, cx.now, server, holding) {
+    for holding in holdings {
+        if holding.age_ms < MIN_ORPHAN_AGE_MS || !is_orphan(node, cx.now, server, holding) {
             continue;
         }
         let facts = format!(
@@ -149,17 +155,17 @@
 fn is_orphan(node: &Node, now: Instant, server: ServerId, holding: &Holding) -> bool {
     let owner = holding.request;
     if owner.vm == node.cfg.vm {
-        return owner.boot != node.cfg.boot || !is_used(node, server, holding);
+        return owner.boot != node.cfg.boot || !is_in_use(node, server, holding);
     }
-    if !node.membership.may_live(owner.vm, owner.boot) {
+    if !node.membership.may_be_alive(owner.vm, owner.boot) {
         return true;
     }
     node.membership
-        .silent_for(now, owner.vm, node.cfg.longest_pause)
+        .is_silent_longer_than(now, owner.vm, node.cfg.longest_pause)
 }
 
-/// Tells whether a request of this node still uses memory on a server.
-fn is_used(node: &Node, server: ServerId, holding: &Holding) -> bool {
+/// Returns whether a request of this node still uses memory on a server.
+fn is_in_use(node: &Node, server: ServerId, holding: &Holding) -> bool {
     let Some(key) = node.by_seq.get(&holding.request.seq) else {
         return false;
     };
@@ -167,31 +173,31 @@
     if holding.attempt != req.attempt || req.phase != Phase::Running {
         return false;
     }
-    let here = |key: ServerKey| node.servers.arena[key].id == server;
+    let is_on_server = |key: ServerKey| node.servers.arena[key].id == server;
     let plan = req.plan.as_ref();
-    req.running.is_some_and(|r| here(r.server))
-        || plan.is_some_and(|plan| plan.servers.iter().any(|s| here(*s)))
+    req.running.is_some_and(|r| is_on_server(r.server))
+        || plan.is_some_and(|plan| plan.servers.iter().any(|s| is_on_server(*s)))
 }
 
-/// Takes in the VM list's backend servers.
+/// Applies the VM list's backend servers.
 pub(crate) fn on_servers(node: &mut Node, cx: &mut Cx<'_>, records: Vec<ServerRecord>) {
     for server in node.servers.arena.values_mut() {
-        server.gone = true;
+        server.removed = true;
     }
     for record in records {
         let kind = record.kind.clone();
         let key = node
             .servers
-            .ensure(record.id, record.kind, &record.failure_domain);
-        node.servers.arena[key].gone = false;
+            .get_or_insert(record.id, record.kind, &record.failure_domain);
+        node.servers.arena[key].removed = false;
         if record.leaving {
-            schedule::mark_leaving(node, cx, key);
+            schedule::mark_draining(node, cx, key);
         } else if let ServerKind::Service(name) = kind {
             let loaded = schedule::service_group(node, &name);
             node.servers.set_loaded(key, loaded);
         }
     }
-    node.servers.forget_gone();
+    node.servers.drop_removed();
     let known: Vec<ServerId> = node.servers.arena.values().map(|s| s.id).collect();
     node.cancels
         .pending
--- a/crates/notchwalk_decide/src/timer.rs
+++ b/crates/notchwalk_decide/src/timer.rs
@@ -1,4 +1,4 @@
-//! Timers of requests, in one ordered set.
+//! Request timers, in one ordered set.
 
 use std::collections::BTreeSet;
 
@@ -11,35 +11,35 @@
 pub(crate) enum TimerKind {
     /// The request's deadline.
     Deadline,
-    /// The end of a pause before the next try.
+    /// The end of a backoff.
     Backoff,
-    /// The running attempt made no progress for long.
+    /// The running attempt made no progress within its stall timeout.
     Stall,
-    /// The home of a server did not answer.
-    Ask,
-    /// The store did not answer about a claim.
+    /// The home of a server did not answer a reservation, or is to be queried
+    /// again.
+    Reserve,
+    /// The store did not answer a claim, or is to be queried again.
     Claim,
 }
 
-/// Timers, ordered by time.
 #[derive(Debug, Default)]
 pub(crate) struct Timers {
     due: BTreeSet<(Instant, RequestKey, TimerKind)>,
 }
 
 impl Timers {
-    /// Sets a timer. Timers are not cleared when they lose their meaning: the
-    /// part that hears one checks whether it still applies.
+    /// Sets a timer. Timers that no longer apply are not cleared; the handler
+    /// checks whether its timer still applies.
     pub fn set(&mut self, at: Instant, request: RequestKey, kind: TimerKind) {
         self.due.insert((at, request, kind));
     }
 
-    /// Clears a timer that would otherwise stay long.
+    /// Clears a timer that would otherwise stay set for long.
     pub fn clear(&mut self, at: Instant, request: RequestKey, kind: TimerKind) {
         self.due.remove(&(at, request, kind));
     }
 
-    /// Takes the next timer that is due.
+    /// Removes and returns the next timer that is due.
     pub fn pop(&mut self, now: Instant) -> Option<(RequestKey, TimerKind)> {
         let first = *self.due.first()?;
         if first.0 > now {
