--- a/crates/notchwalk_decide/benches/prefix.rs
+++ b/crates/notchwalk_decide/benches/prefix.rs
@@ -1,6 +1,6 @@
-//! Hashing a prompt's beginning, which every text prompt pays for.
+//! Block hashing of prompts, which every text prompt pays for.
 
-// The macro makes a public function without a comment.
+// `criterion_group!` generates an undocumented public function.
 #![allow(missing_docs)]
 
 use criterion::{criterion_group, criterion_main, Criterion, Throughput};
--- a/crates/notchwalk_decide/examples/one_request.rs
+++ b/crates/notchwalk_decide/examples/one_request.rs
@@ -1,4 +1,4 @@
-//! One request through the reducer: events in, effects out.
+//! Runs one request through the reducer: events in, effects out.
 //!
 //! Run with `cargo run -p notchwalk_decide --example one_request`.
 
--- a/crates/notchwalk_decide/tests/decisions/attempts.rs
+++ b/crates/notchwalk_decide/tests/decisions/attempts.rs
@@ -1,6 +1,9 @@
-//! Whole answers over broken attempts, and what is told when there is none.
+//! Answers assembled from failed attempts, and the failures reported without
+//! one.
 
-use crate::common::{admitted, dispatches, failures, other_id, the_dispatch, Rig, OLD_ATTEMPT};
+use crate::common::{
+    admitted, dispatches, failures, other_id, single_dispatch, Rig, STALE_ATTEMPT,
+};
 use notchwalk_decide::{AttemptEnd, Effect, Event, FailureCode};
 use notchwalk_wire::OutcomeWord;
 
@@ -13,20 +16,20 @@
 }
 
 #[test]
-fn a_broken_stream_resumes_at_the_last_token() {
+fn broken_stream_resumes_after_last_delivered_token() {
     let mut rig = Rig::new(2);
     rig.generate(100, 10, 60_000);
     let effects = rig.take();
-    let (first, (_, id)) = (the_dispatch(&effects), admitted(&effects));
+    let (first, (_, id)) = (single_dispatch(&effects), admitted(&effects));
     assert_eq!(first.offset, 0);
     rig.frame(&first, id, 0, 5);
     rig.end(&first, AttemptEnd::Broken);
     rig.pass(200, 2);
-    let second = the_dispatch(&rig.take());
+    let second = single_dispatch(&rig.take());
     assert_eq!(second.offset, 5);
     assert!(second.attempt > first.attempt);
     assert_ne!(second.server, first.server, "the failed engine is avoided");
-    // The engine repeats two tokens; they are passed over.
+    // The engine repeats two tokens, which are skipped.
     rig.frame(&second, id, 3, 4);
     rig.frame(&second, id, 7, 3);
     assert_eq!(skips(&rig.take()), [2, 0]);
@@ -38,16 +41,16 @@
 }
 
 #[test]
-fn late_and_crossed_frames_are_dropped() {
+fn frames_of_other_requests_and_attempts_are_dropped() {
     let mut rig = Rig::new(1);
     rig.generate(100, 10, 60_000);
     let effects = rig.take();
-    let (dispatch, (request, id)) = (the_dispatch(&effects), admitted(&effects));
+    let (dispatch, (request, id)) = (single_dispatch(&effects), admitted(&effects));
     rig.frame(&dispatch, other_id(), 0, 3);
     rig.feed(Event::Frame {
         request,
         id,
-        attempt: OLD_ATTEMPT,
+        attempt: STALE_ATTEMPT,
         offset: 0,
         count: 3,
     });
@@ -56,12 +59,12 @@
 }
 
 #[test]
-fn a_gap_or_a_short_answer_breaks_the_attempt() {
+fn gap_or_short_answer_fails_the_attempt() {
     for gap in [true, false] {
         let mut rig = Rig::new(2);
         rig.generate(100, 10, 60_000);
         let effects = rig.take();
-        let (dispatch, (_, id)) = (the_dispatch(&effects), admitted(&effects));
+        let (dispatch, (_, id)) = (single_dispatch(&effects), admitted(&effects));
         rig.frame(&dispatch, id, 0, 4);
         match gap {
             true => rig.frame(&dispatch, id, 6, 2),
@@ -76,24 +79,24 @@
 }
 
 #[test]
-fn a_silent_engine_is_given_up() {
+fn stalled_attempt_is_cancelled_and_retried() {
     let mut rig = Rig::new(2);
     rig.generate(100, 10, 60_000);
     let effects = rig.take();
-    let (first, (_, id)) = (the_dispatch(&effects), admitted(&effects));
+    let (first, (_, id)) = (single_dispatch(&effects), admitted(&effects));
     rig.frame(&first, id, 0, 1);
     rig.pass(5_500, 2);
     let effects = rig.take();
     let cancelled = effects.iter().any(|e| matches!(e, Effect::Cancel { .. }));
-    assert!(cancelled, "the silent engine's memory is freed");
-    assert_eq!(the_dispatch(&effects).offset, 1);
+    assert!(cancelled, "the stalled attempt is cancelled on its engine");
+    assert_eq!(single_dispatch(&effects).offset, 1);
 }
 
 #[test]
-fn a_call_that_may_not_repeat_is_sent_once() {
+fn non_repeatable_call_is_sent_once() {
     let mut rig = Rig::new(1);
     rig.call(None);
-    let dispatch = the_dispatch(&rig.take());
+    let dispatch = single_dispatch(&rig.take());
     rig.end(&dispatch, AttemptEnd::Broken);
     rig.pass(3_000, 1);
     let effects = rig.take();
@@ -104,17 +107,17 @@
 }
 
 #[test]
-fn a_call_that_was_not_sent_is_tried_again() {
+fn unsent_call_is_retried() {
     let mut rig = Rig::new(1);
     rig.call(None);
-    let dispatch = the_dispatch(&rig.take());
+    let dispatch = single_dispatch(&rig.take());
     rig.end(&dispatch, AttemptEnd::NotSent);
     rig.pass(500, 1);
     assert_eq!(dispatches(&rig.take()).len(), 1);
 }
 
 #[test]
-fn the_deadline_ends_a_waiting_request_as_not_run() {
+fn queued_request_past_its_deadline_fails_as_not_run() {
     let mut rig = Rig::new(0);
     rig.generate(100, 10, 300);
     assert!(failures(&rig.take()).is_empty());
@@ -127,7 +130,7 @@
 }
 
 #[test]
-fn a_caller_that_goes_away_frees_the_engine() {
+fn disconnected_caller_cancels_engine_work_until_confirmed() {
     let mut rig = Rig::new(1);
     rig.generate(100, 10, 60_000);
     let (request, id) = admitted(&rig.take());
@@ -138,7 +141,7 @@
         effects.iter().filter(of_id).count()
     };
     assert_eq!(cancels(&rig.take()), 1);
-    // Nobody confirms, so the cancel comes again and again.
+    // Unconfirmed cancels are repeated.
     rig.pass(3_000, 1);
     assert!(cancels(&rig.take()) >= 3);
     rig.feed(Event::CancelEnded {
@@ -151,11 +154,14 @@
 }
 
 #[test]
-fn a_request_that_can_never_be_in_time_is_refused_at_once() {
+fn unreachable_deadline_is_refused_on_arrival() {
     let mut rig = Rig::new(1);
     rig.generate(90_000, 10, 500);
     let failure = failures(&rig.take())[0];
     assert_eq!(failure.code, FailureCode::DeadlineTooClose);
     assert_eq!(failure.outcome, OutcomeWord::NotRun);
-    assert_eq!(failure.retry_after_ms, None, "coming back would not help");
+    assert_eq!(
+        failure.retry_after_ms, None,
+        "a later attempt would fail as well"
+    );
 }
--- a/crates/notchwalk_decide/tests/decisions/claims.rs
+++ b/crates/notchwalk_decide/tests/decisions/claims.rs
@@ -4,7 +4,8 @@
 use notchwalk_decide::{ClaimAnswer, ClaimRow, Effect, Event, FailureCode, RequestKey};
 use notchwalk_wire::OutcomeWord;
 
-/// A call that waits for its claim; returns its key and its claim's token.
+/// Returns a node with a call that waits for its claim, the request's key and
+/// the claim's token.
 fn claiming() -> (Rig, RequestKey, String) {
     let mut rig = Rig::new(1);
     rig.call(Some("k"));
@@ -12,7 +13,7 @@
         Effect::ClaimInsert { request, token, .. } => Some((request, token)),
         _ => None,
     });
-    let (request, token) = found.expect("a claim is written first");
+    let (request, token) = found.expect("a claim is written before the call is sent");
     (rig, request, token)
 }
 
@@ -25,7 +26,7 @@
 }
 
 #[test]
-fn the_call_is_sent_only_under_its_own_claim() {
+fn call_is_sent_only_after_its_claim_is_owned() {
     let (mut rig, request, token) = claiming();
     assert!(dispatches(&rig.take()).is_empty());
     let answer = row(&token, false, "f");
@@ -34,7 +35,7 @@
 }
 
 #[test]
-fn a_lost_answer_is_found_out_by_reading_back() {
+fn unanswered_claim_write_is_read_back() {
     let (mut rig, request, token) = claiming();
     let answer = ClaimAnswer::NoAnswer;
     rig.feed(Event::Claim { request, answer });
@@ -50,7 +51,7 @@
 }
 
 #[test]
-fn a_silent_store_means_not_run_and_the_claim_is_released() {
+fn unavailable_store_fails_call_as_not_run_and_releases_claim() {
     let (mut rig, _, _) = claiming();
     rig.pass(4_500, 1);
     let effects = rig.take();
@@ -68,7 +69,7 @@
 }
 
 #[test]
-fn a_second_try_finds_the_claim() {
+fn second_attempt_finds_existing_claim() {
     for (answer, expected) in [
         (row("2-9-1", false, "f"), Some(FailureCode::OutcomeUnknown)),
         (row("2-9-1", false, "other"), Some(FailureCode::KeyReused)),
@@ -78,7 +79,10 @@
         rig.feed(Event::Claim { request, answer });
         rig.pass(1_000, 1);
         let effects = rig.take();
-        assert!(dispatches(&effects).is_empty(), "it must not run again");
+        assert!(
+            dispatches(&effects).is_empty(),
+            "the call must not run again"
+        );
         let stored = |e: &Effect| matches!(e, Effect::FinishStored { .. });
         match expected {
             Some(code) => assert_eq!(failures(&effects)[0].code, code),
--- a/crates/notchwalk_decide/tests/decisions/common.rs
+++ b/crates/notchwalk_decide/tests/decisions/common.rs
@@ -1,4 +1,4 @@
-//! A node with a bundle and engines, and the means to feed it.
+//! A node with a bundle and engines, and helpers to drive it.
 
 use std::sync::Arc;
 
@@ -16,8 +16,8 @@
     "3d4017c3e843895a92b70aa74d1b7ebc9c982ccf2ec4968cc0cd55f12af4660c",
 ];
 
-/// The parts of a bundle with a model `m`, a service `s` and workspaces `a`
-/// (weight 1) and `b` (weight 3).
+/// Returns the parts of a bundle with a model `m`, a service `s` and workspaces
+/// `a` (weight 1) and `b` (weight 3).
 pub fn parts(policy: &str) -> Vec<Part> {
     let operators = format!(
         "[operator x]\npublic_key = {}\nroles = author\n\n\
@@ -50,22 +50,22 @@
 pub struct Rig {
     /// The node.
     pub node: Node,
-    /// The present time, in milliseconds.
+    /// The current time, in milliseconds.
     pub now_ms: u64,
-    /// All effects since they were last taken.
+    /// The effects since [`Rig::take`] was last called.
     pub out: Vec<Effect>,
-    /// What the requests that arrive are.
+    /// The content fingerprint of arriving requests.
     pub content: Option<Fingerprint>,
     next_caller: u64,
 }
 
 impl Rig {
-    /// Builds a node with a bundle and `engines` engines that report.
+    /// Builds a node with a bundle and `engines` idle engines.
     pub fn new(engines: u32) -> Self {
         Self::with_policy(engines, "")
     }
 
-    /// Builds a node with policy lines.
+    /// Builds a node with the given policy lines.
     pub fn with_policy(engines: u32, policy: &str) -> Self {
         let mut rig = Self {
             node: Node::new(NodeConfig::new(VmId(1), BootNumber(5), "d", 7)),
@@ -82,7 +82,7 @@
         rig
     }
 
-    /// Gives the VM list, with some engines leaving.
+    /// Applies a VM list in which some engines are draining.
     pub fn list(&mut self, engines: u32, leaving: &[u32]) {
         let mut servers: Vec<_> = (0..engines)
             .map(|id| ServerRecord {
@@ -102,7 +102,7 @@
         self.feed(Event::VmList { servers, entries });
     }
 
-    /// Has all engines report that they are idle.
+    /// Reports all engines as idle.
     pub fn report(&mut self, engines: u32) {
         for id in 0..engines {
             let report = Box::new(idle_report());
@@ -117,8 +117,7 @@
         self.node.step(now, event, &mut self.out);
     }
 
-    /// Lets time pass, with a tick each ten milliseconds and reports each
-    /// half second.
+    /// Advances time, with a tick every 10 ms and load reports every 500 ms.
     pub fn pass(&mut self, ms: u64, engines: u32) {
         for i in 0..ms / 10 {
             self.now_ms += 10;
@@ -146,19 +145,19 @@
         })));
     }
 
-    /// A generation arrives.
+    /// Sends a generation.
     pub fn generate(&mut self, prompt_tokens: u64, max_tokens: u32, timeout_ms: u64) {
         let work = generation(prompt_tokens, max_tokens);
         self.arrive(work, 0, 5, timeout_ms);
     }
 
-    /// A generation of a workspace with a priority arrives.
+    /// Sends a generation of a workspace with a priority.
     pub fn generate_for(&mut self, workspace: u32, priority: u8, prompt_tokens: u64) {
         let work = generation(prompt_tokens, 10);
         self.arrive(work, workspace, priority, 3_000_000);
     }
 
-    /// A call that may not be repeated arrives.
+    /// Sends a call that must not be repeated.
     pub fn call(&mut self, idempotency_key: Option<&str>) {
         let work = Work::Call(CallWork {
             service: ServiceKey(0),
@@ -169,7 +168,7 @@
         self.arrive(work, 0, 5, 10_000);
     }
 
-    /// Frames of a dispatched attempt come.
+    /// Delivers a frame of a dispatched attempt.
     pub fn frame(&mut self, d: &Dispatch, id: RequestId, offset: u32, count: u32) {
         self.feed(Event::Frame {
             request: d.request,
@@ -180,7 +179,7 @@
         });
     }
 
-    /// A dispatched attempt ends.
+    /// Ends a dispatched attempt.
     pub fn end(&mut self, d: &Dispatch, end: AttemptEnd) {
         self.feed(Event::AttemptEnded {
             request: d.request,
@@ -189,7 +188,7 @@
         });
     }
 
-    /// Ends an attempt with a whole answer.
+    /// Ends an attempt with a complete answer.
     pub fn complete(&mut self, d: &Dispatch, tokens: u32) {
         let end = AttemptEnd::Complete {
             prompt_tokens: 100,
@@ -200,7 +199,7 @@
     }
 }
 
-/// The work of a generation.
+/// Returns the work of a generation.
 pub fn generation(prompt_tokens: u64, max_tokens: u32) -> Work {
     Work::Generate(GenerateWork {
         model: ModelKey(0),
@@ -212,7 +211,7 @@
     })
 }
 
-/// The report of an idle engine.
+/// Returns the load report of an idle engine.
 pub fn idle_report() -> LoadReport {
     LoadReport {
         capacity_tokens: 100_000,
@@ -245,13 +244,13 @@
 
 /// Returns the only dispatch among effects.
 #[track_caller]
-pub fn the_dispatch(effects: &[Effect]) -> Dispatch {
+pub fn single_dispatch(effects: &[Effect]) -> Dispatch {
     let found = dispatches(effects);
     assert_eq!(found.len(), 1, "{effects:?}");
     found[0]
 }
 
-/// Returns the failures with which requests ended.
+/// Returns the failures among effects, including refusals.
 pub fn failures(effects: &[Effect]) -> Vec<Failure> {
     let found = effects.iter().filter_map(|e| match e {
         Effect::Finish {
@@ -264,7 +263,7 @@
     found.collect()
 }
 
-/// Returns the id under which the last request was admitted.
+/// Returns the key and id of the last admitted request.
 #[track_caller]
 pub fn admitted(effects: &[Effect]) -> (RequestKey, RequestId) {
     let found = effects.iter().rev().find_map(|e| match e {
@@ -274,7 +273,7 @@
     found.expect("a request was admitted")
 }
 
-/// An id that no request has.
+/// Returns an id that no request has.
 pub fn other_id() -> RequestId {
     RequestId {
         vm: VmId(1),
@@ -283,5 +282,5 @@
     }
 }
 
-/// An attempt number before any.
-pub const OLD_ATTEMPT: Attempt = Attempt(0);
+/// An attempt number below that of any attempt.
+pub const STALE_ATTEMPT: Attempt = Attempt(0);
--- a/crates/notchwalk_decide/tests/decisions/main.rs
+++ b/crates/notchwalk_decide/tests/decisions/main.rs
@@ -1,4 +1,4 @@
-//! Decisions, provoked one by one.
+//! Tests of the reducer's decisions, event by event.
 
 mod attempts;
 mod claims;
--- a/crates/notchwalk_decide/tests/decisions/orders.rs
+++ b/crates/notchwalk_decide/tests/decisions/orders.rs
@@ -1,4 +1,4 @@
-//! The order lease: one holder at a time, whoever is paused.
+//! The order lease: at most one node sends orders at a time.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 
 use crate::common::{parts, Rig};
 
-/// A node whose bundle wants a version that its engine lacks.
+/// Builds a node whose bundle names a version that its engine lacks.
 fn rig(checks_fence: bool) -> Rig {
     let mut rig = Rig::new(1);
     let mut parts = parts("order_pause_ms = 3000\n");
@@ -39,7 +39,7 @@
     found.collect()
 }
 
-fn of_another(renewals: u64) -> LeaseRow {
+fn row_of_other_node(renewals: u64) -> LeaseRow {
     LeaseRow {
         holder: VmId(9),
         boot: BootNumber(1),
@@ -53,24 +53,24 @@
     rig.feed(Event::Lease { row, applied });
 }
 
-/// Lets the node take the lease from another that is silent.
-fn take_over(rig: &mut Rig) -> LeaseRow {
-    answer(rig, of_another(1), false);
+/// Acquires the lease after its holder became silent.
+fn acquire_lease(rig: &mut Rig) -> LeaseRow {
+    answer(rig, row_of_other_node(1), false);
     rig.pass(5_500, 1);
-    assert!(writes(&rig.take()).is_empty(), "the lease still holds");
+    assert!(writes(&rig.take()).is_empty(), "the lease has not expired");
     rig.pass(3_000, 1);
     let (expected, row) = writes(&rig.take())[0];
-    assert_eq!(expected, Some(of_another(1)));
+    assert_eq!(expected, Some(row_of_other_node(1)));
     assert_eq!(row.fence, 5);
     answer(rig, row, true);
     row
 }
 
 #[test]
-fn a_lease_that_is_renewed_is_never_taken() {
+fn renewed_lease_is_not_acquired_by_another_node() {
     let mut rig = rig(true);
     for renewals in 0..20 {
-        answer(&mut rig, of_another(renewals), false);
+        answer(&mut rig, row_of_other_node(renewals), false);
         rig.pass(2_000, 1);
     }
     let effects = rig.take();
@@ -79,17 +79,17 @@
 }
 
 #[test]
-fn a_silent_holders_lease_is_taken_with_a_higher_fence() {
+fn expired_lease_is_acquired_with_higher_fence() {
     let mut rig = rig(true);
-    take_over(&mut rig);
+    acquire_lease(&mut rig);
     rig.pass(1_000, 1);
     assert_eq!(orders(&rig.take()), [5]);
 }
 
 #[test]
-fn engines_without_fencing_are_spared_until_the_longest_pause_is_over() {
+fn engines_without_fencing_get_orders_only_after_order_pause() {
     let mut rig = rig(false);
-    let mut row = take_over(&mut rig);
+    let mut row = acquire_lease(&mut rig);
     for ms in [1_000, 1_500] {
         rig.pass(ms, 1);
         let effects = rig.take();
@@ -104,10 +104,10 @@
 }
 
 #[test]
-fn a_holder_that_can_not_renew_stops_in_time() {
+fn holder_that_cannot_renew_sends_no_orders() {
     let mut rig = rig(true);
-    take_over(&mut rig);
-    // Paused, or cut off from the store, for longer than the lease.
+    acquire_lease(&mut rig);
+    // The node is paused or cut off from the store for longer than the lease.
     rig.now_ms += 7_000;
     rig.feed(Event::Tick);
     rig.report(1);
@@ -116,22 +116,22 @@
     let now = notchwalk_core::Instant::from_millis(rig.now_ms);
     assert!(
         !rig.node.may_order(now, 5),
-        "nor is an order on its way sent"
+        "an order that is about to be sent is stopped as well"
     );
 }
 
 #[test]
-fn a_write_that_lost_its_answer_is_not_counted_from_a_later_one() {
+fn unanswered_renewal_does_not_extend_the_lease() {
     let mut rig = rig(true);
-    let row = take_over(&mut rig);
+    let row = acquire_lease(&mut rig);
     rig.pass(3_000, 1);
-    // The next write fails because an earlier one took effect unheard: the row
-    // is ours, but when it was written can't be told.
-    let unheard = LeaseRow {
+    // The next write fails because an earlier, unanswered one took effect: the
+    // row names this node, but the time of the write is unknown.
+    let unanswered = LeaseRow {
         renewals: row.renewals + 1,
         ..row
     };
-    answer(&mut rig, unheard, false);
+    answer(&mut rig, unanswered, false);
     rig.pass(3_500, 1);
     let now = notchwalk_core::Instant::from_millis(rig.now_ms);
     assert!(!rig.node.may_order(now, 5));
--- a/crates/notchwalk_decide/tests/decisions/policy.rs
+++ b/crates/notchwalk_decide/tests/decisions/policy.rs
@@ -1,4 +1,4 @@
-//! Order, versions, leaving, drains and replay.
+//! Ordering, bundle versions, draining and replay.
 
 use std::sync::Arc;
 
@@ -6,22 +6,25 @@
 use notchwalk_bundle::Bundle;
 use notchwalk_decide::{Effect, Event, FailureCode};
 
-/// The requests that come first, so that what follows waits.
-const FIRST: u64 = 8;
+/// Requests sent first, so that later ones are queued.
+const INITIAL_REQUESTS: u64 = 8;
 
-/// Gives the only engine as much as this node may send at once.
-fn full_rig() -> (Rig, Vec<notchwalk_decide::Dispatch>) {
+/// Builds a node whose only engine has as many requests as the node may send.
+fn saturated_rig() -> (Rig, Vec<notchwalk_decide::Dispatch>) {
     let mut rig = Rig::new(1);
-    for _ in 0..FIRST {
+    for _ in 0..INITIAL_REQUESTS {
         rig.generate_for(1, 5, 100);
     }
     let running = dispatches(&rig.take());
-    assert!(running.len() < FIRST as usize, "some must wait");
+    assert!(
+        running.len() < INITIAL_REQUESTS as usize,
+        "some requests must be queued"
+    );
     (rig, running)
 }
 
-/// Ends running requests one at a time and returns the order in which the
-/// waiting ones follow, by admission; the first ones are left out.
+/// Ends running requests one at a time. Returns the sequence numbers of the
+/// next `n` dispatches, without the initial requests.
 fn serve_all(rig: &mut Rig, mut running: Vec<notchwalk_decide::Dispatch>, n: usize) -> Vec<u64> {
     let mut order = Vec::new();
     while order.len() < n {
@@ -33,8 +36,11 @@
         rig.report(1);
         let next = dispatches(&rig.take());
         for dispatch in &next {
-            let id = rig.node.request_id(dispatch.request).expect("it runs");
-            if id.seq > FIRST {
+            let id = rig
+                .node
+                .request_id(dispatch.request)
+                .expect("the request is open");
+            if id.seq > INITIAL_REQUESTS {
                 order.push(id.seq);
             }
         }
@@ -44,8 +50,8 @@
 }
 
 #[test]
-fn higher_priorities_go_first_but_never_starve_lower_ones() {
-    let (mut rig, running) = full_rig();
+fn higher_priority_goes_first_without_starving_lower() {
+    let (mut rig, running) = saturated_rig();
     rig.generate_for(0, 1, 100);
     for _ in 0..30 {
         rig.generate_for(1, 9, 100);
@@ -53,36 +59,36 @@
     rig.take();
     let order = serve_all(&mut rig, running, 31);
     assert_eq!(order.len(), 31);
-    let low = order
+    let low_position = order
         .iter()
         .position(|seq| *seq == 9)
-        .expect("it is served");
-    assert!(low > 0, "the high priority goes first");
+        .expect("the low priority is served");
+    assert!(low_position > 0, "the high priority goes first");
     assert!(
-        low <= 8,
-        "the low one is served by the eighth pick, not {low}"
+        low_position <= 8,
+        "the low priority is served by the eighth pick, not {low_position}"
     );
 }
 
 #[test]
-fn shares_follow_weights() {
-    let (mut rig, running) = full_rig();
+fn service_is_proportional_to_weight() {
+    let (mut rig, running) = saturated_rig();
     for _ in 0..40 {
         rig.generate_for(0, 5, 100);
         rig.generate_for(1, 5, 100);
     }
     rig.take();
     let order = serve_all(&mut rig, running, 40);
-    // Workspace a arrived on odd places from 9 on, b on even ones.
-    let of_b = order.iter().filter(|seq| **seq % 2 == 0).count();
+    // From 9 on, workspace a has the odd sequence numbers and b the even ones.
+    let served_of_b = order.iter().filter(|seq| **seq % 2 == 0).count();
     assert!(
-        (28..=34).contains(&of_b),
-        "b has weight 3 of 4, got {of_b} of 40"
+        (28..=34).contains(&served_of_b),
+        "b has weight 3 of 4, got {served_of_b} of 40"
     );
 }
 
 #[test]
-fn a_bundle_never_reverts() {
+fn older_bundle_is_refused() {
     let mut rig = Rig::new(1);
     let bundle = |version| Arc::new(Bundle::parse(version, &parts("")).expect("valid"));
     rig.feed(Event::Bundle(bundle(5)));
@@ -93,7 +99,7 @@
 }
 
 #[test]
-fn a_leaving_server_gets_no_new_work() {
+fn draining_server_receives_no_new_requests() {
     let mut rig = Rig::new(2);
     rig.list(2, &[0]);
     for _ in 0..6 {
@@ -105,18 +111,18 @@
 }
 
 #[test]
-fn a_drain_serves_on_refuses_later_and_ends_last() {
+fn draining_node_refuses_after_list_ttl_and_stops_only_when_idle() {
     let mut rig = Rig::new(1);
     rig.generate(100, 1, 60_000);
     let effects = rig.take();
-    let dispatch = crate::common::the_dispatch(&effects);
+    let dispatch = crate::common::single_dispatch(&effects);
     let (_, id) = crate::common::admitted(&effects);
     rig.feed(Event::Drain);
     rig.generate(100, 1, 60_000);
     assert_eq!(
         dispatches(&rig.take()).len(),
         1,
-        "callers may still hold the address"
+        "callers may still have the address cached"
     );
     rig.pass(5_100, 1);
     rig.generate(100, 1, 60_000);
@@ -125,12 +131,12 @@
     rig.complete(&dispatch, 1);
     rig.pass(100, 1);
     let stopped = |effects: &[Effect]| effects.contains(&Effect::Stop);
-    assert!(!stopped(&rig.take()), "one request still runs");
+    assert!(!stopped(&rig.take()), "one request is still open");
     assert_eq!(rig.node.open_requests(), 1);
 }
 
 #[test]
-fn the_same_events_give_the_same_effects() {
+fn same_events_give_same_effects() {
     let run = || {
         let mut rig = Rig::new(3);
         for i in 0..200 {
--- a/crates/notchwalk_decide/tests/decisions/suspects.rs
+++ b/crates/notchwalk_decide/tests/decisions/suspects.rs
@@ -1,4 +1,4 @@
-//! Requests under which backend servers end, over all their tries.
+//! Quarantine of requests that crash backend servers.
 
 use notchwalk_core::ServerId;
 use notchwalk_decide::{AttemptEnd, Event, FailureCode};
@@ -6,11 +6,10 @@
 
 use crate::common::{dispatches, failures, Rig};
 
-/// The same fault as on routed requests: eight attempts a try, and nothing was
-/// remembered between tries. A completion that crashes its engine took eight of them
-/// with each try.
+/// Guards against retries that carry a crashing request to ever more engines:
+/// each attempt of the caller allows eight dispatches.
 #[test]
-fn a_completion_that_crashes_its_engines_is_sent_to_three_at_most() {
+fn crashing_completion_reaches_at_most_three_engines() {
     const ENGINES: u32 = 12;
     let mut rig = Rig::new(ENGINES);
     rig.content = Some(Fingerprint::from(7));
@@ -34,7 +33,11 @@
     assert_eq!(refused[0].code, FailureCode::Quarantined);
     rig.content = Some(Fingerprint::from(8));
     rig.generate(100, 10, 60_000);
-    // Engines that failed get no work for a while.
+    // The circuits of the failed engines are open at first.
     rig.pass(3_000, ENGINES);
-    assert_eq!(dispatches(&rig.take()).len(), 1, "others are served");
+    assert_eq!(
+        dispatches(&rig.take()).len(),
+        1,
+        "requests with other content are served"
+    );
 }
