--- a/crates/notchwalk_decide/src/config.rs
+++ b/crates/notchwalk_decide/src/config.rs
@@ -33,7 +33,7 @@
     /// How long callers may cache the list of nodes.
     pub entries_ttl: Duration,
     /// How long an owner may stay silent before its memory on engines is freed.
-    pub longest_pause: Duration,
+    pub max_owner_silence: Duration,
     /// How engine memory is reserved.
     pub reserve: ReserveMode,
 }
@@ -47,7 +47,7 @@
             failure_domain: failure_domain.into(),
             seed,
             entries_ttl: Duration::from_secs(5),
-            longest_pause: Duration::from_secs(120),
+            max_owner_silence: Duration::from_secs(120),
             reserve: ReserveMode::TopUp,
         }
     }
--- a/crates/notchwalk_decide/src/membership.rs
+++ b/crates/notchwalk_decide/src/membership.rs
@@ -183,10 +183,15 @@
     }
 
     /// Returns whether a VM has been silent towards all nodes for more than
-    /// `longest_pause`.
-    pub fn is_silent_longer_than(&self, now: Instant, vm: VmId, longest_pause: Duration) -> bool {
+    /// `max_owner_silence`.
+    pub fn is_silent_longer_than(
+        &self,
+        now: Instant,
+        vm: VmId,
+        max_owner_silence: Duration,
+    ) -> bool {
         let last_seen = self.peers.get(&vm).and_then(|p| p.last_seen_by_any);
-        last_seen.is_some_and(|at| now.since(at) > longest_pause)
+        last_seen.is_some_and(|at| now.since(at) > max_owner_silence)
     }
 
     /// Returns the peers, for dumps.
--- a/crates/notchwalk_decide/src/node.rs
+++ b/crates/notchwalk_decide/src/node.rs
@@ -211,7 +211,7 @@
         while let Some((request, kind)) = self.timers.pop(cx.now) {
             match kind {
                 TimerKind::Deadline => attempt::on_deadline(self, cx, request),
-                TimerKind::Backoff => schedule::on_backoff_over(self, cx, request),
+                TimerKind::Backoff => schedule::on_backoff_ended(self, cx, request),
                 TimerKind::Stall => attempt::on_stall_timer(self, cx, request),
                 TimerKind::Reserve => long_work::on_reserve_timer(self, cx, request),
                 TimerKind::Claim => claim::on_timer(self, cx, request),
--- a/crates/notchwalk_decide/src/schedule.rs
+++ b/crates/notchwalk_decide/src/schedule.rs
@@ -142,7 +142,7 @@
 }
 
 /// Queues a request whose backoff ended.
-pub(crate) fn on_backoff_over(node: &mut Node, _cx: &mut Cx<'_>, key: RequestKey) {
+pub(crate) fn on_backoff_ended(node: &mut Node, _cx: &mut Cx<'_>, key: RequestKey) {
     let waits = node
         .requests
         .get(key)
--- a/crates/notchwalk_decide/src/sweep.rs
+++ b/crates/notchwalk_decide/src/sweep.rs
@@ -161,7 +161,7 @@
         return true;
     }
     node.membership
-        .is_silent_longer_than(now, owner.vm, node.cfg.longest_pause)
+        .is_silent_longer_than(now, owner.vm, node.cfg.max_owner_silence)
 }
 
 /// Returns whether a request of this node still uses memory on a server.
--- a/crates/notchwalk_decide/tests/decisions/attempts.rs
+++ b/crates/notchwalk_decide/tests/decisions/attempts.rs
@@ -24,7 +24,7 @@
     assert_eq!(first.offset, 0);
     rig.frame(&first, id, 0, 5);
     rig.end(&first, AttemptEnd::Broken);
-    rig.pass(200, 2);
+    rig.advance(200, 2);
     let second = single_dispatch(&rig.take());
     assert_eq!(second.offset, 5);
     assert!(second.attempt > first.attempt);
@@ -70,7 +70,7 @@
             true => rig.frame(&dispatch, id, 6, 2),
             false => rig.complete(&dispatch, 10),
         }
-        rig.pass(200, 2);
+        rig.advance(200, 2);
         let effects = rig.take();
         let again = dispatches(&effects);
         assert_eq!(again.len(), 1, "{effects:?}");
@@ -85,7 +85,7 @@
     let effects = rig.take();
     let (first, (_, id)) = (single_dispatch(&effects), admitted(&effects));
     rig.frame(&first, id, 0, 1);
-    rig.pass(5_500, 2);
+    rig.advance(5_500, 2);
     let effects = rig.take();
     let cancelled = effects.iter().any(|e| matches!(e, Effect::Cancel { .. }));
     assert!(cancelled, "the stalled attempt is cancelled on its engine");
@@ -98,7 +98,7 @@
     rig.call(None);
     let dispatch = single_dispatch(&rig.take());
     rig.end(&dispatch, AttemptEnd::Broken);
-    rig.pass(3_000, 1);
+    rig.advance(3_000, 1);
     let effects = rig.take();
     assert!(dispatches(&effects).is_empty());
     let failure = failures(&effects)[0];
@@ -112,7 +112,7 @@
     rig.call(None);
     let dispatch = single_dispatch(&rig.take());
     rig.end(&dispatch, AttemptEnd::NotSent);
-    rig.pass(500, 1);
+    rig.advance(500, 1);
     assert_eq!(dispatches(&rig.take()).len(), 1);
 }
 
@@ -121,9 +121,9 @@
     let mut rig = Rig::new(0);
     rig.generate(100, 10, 300);
     assert!(failures(&rig.take()).is_empty());
-    rig.pass(290, 0);
+    rig.advance(290, 0);
     assert!(failures(&rig.take()).is_empty());
-    rig.pass(20, 0);
+    rig.advance(20, 0);
     let failure = failures(&rig.take())[0];
     assert_eq!(failure.code, FailureCode::TimedOut);
     assert_eq!(failure.outcome, OutcomeWord::NotRun);
@@ -142,14 +142,14 @@
     };
     assert_eq!(cancels(&rig.take()), 1);
     // Unconfirmed cancels are repeated.
-    rig.pass(3_000, 1);
+    rig.advance(3_000, 1);
     assert!(cancels(&rig.take()) >= 3);
     rig.feed(Event::CancelEnded {
         server: notchwalk_core::ServerId(0),
         id,
         confirmed: true,
     });
-    rig.pass(20_000, 1);
+    rig.advance(20_000, 1);
     assert_eq!(cancels(&rig.take()), 0);
 }
 
--- a/crates/notchwalk_decide/tests/decisions/claims.rs
+++ b/crates/notchwalk_decide/tests/decisions/claims.rs
@@ -6,7 +6,7 @@
 
 /// Returns a node with a call that waits for its claim, the request's key and
 /// the claim's token.
-fn claiming() -> (Rig, RequestKey, String) {
+fn claiming_call() -> (Rig, RequestKey, String) {
     let mut rig = Rig::new(1);
     rig.call(Some("k"));
     let found = rig.take().into_iter().find_map(|e| match e {
@@ -27,7 +27,7 @@
 
 #[test]
 fn call_is_sent_only_after_its_claim_is_owned() {
-    let (mut rig, request, token) = claiming();
+    let (mut rig, request, token) = claiming_call();
     assert!(dispatches(&rig.take()).is_empty());
     let answer = row(&token, false, "f");
     rig.feed(Event::Claim { request, answer });
@@ -36,10 +36,10 @@
 
 #[test]
 fn unanswered_claim_write_is_read_back() {
-    let (mut rig, request, token) = claiming();
+    let (mut rig, request, token) = claiming_call();
     let answer = ClaimAnswer::NoAnswer;
     rig.feed(Event::Claim { request, answer });
-    rig.pass(500, 1);
+    rig.advance(500, 1);
     let reads = rig.take();
     assert!(
         reads.iter().any(|e| matches!(e, Effect::ClaimRead { .. })),
@@ -52,14 +52,14 @@
 
 #[test]
 fn unavailable_store_fails_call_as_not_run_and_releases_claim() {
-    let (mut rig, _, _) = claiming();
-    rig.pass(4_500, 1);
+    let (mut rig, _, _) = claiming_call();
+    rig.advance(4_500, 1);
     let effects = rig.take();
     assert!(dispatches(&effects).is_empty());
     let failure = failures(&effects)[0];
     assert_eq!(failure.code, FailureCode::StoreUnavailable);
     assert_eq!(failure.outcome, OutcomeWord::NotRun);
-    rig.pass(2_000, 1);
+    rig.advance(2_000, 1);
     let released = |e: &Effect| matches!(e, Effect::ClaimRelease { .. });
     let all = [effects, rig.take()].concat();
     assert!(
@@ -75,9 +75,9 @@
         (row("2-9-1", false, "other"), Some(FailureCode::KeyReused)),
         (row("2-9-1", true, "f"), None),
     ] {
-        let (mut rig, request, _) = claiming();
+        let (mut rig, request, _) = claiming_call();
         rig.feed(Event::Claim { request, answer });
-        rig.pass(1_000, 1);
+        rig.advance(1_000, 1);
         let effects = rig.take();
         assert!(
             dispatches(&effects).is_empty(),
--- a/crates/notchwalk_decide/tests/decisions/common.rs
+++ b/crates/notchwalk_decide/tests/decisions/common.rs
@@ -76,14 +76,14 @@
         };
         let bundle = Bundle::parse(1, &parts(policy)).expect("a valid bundle");
         rig.feed(Event::Bundle(Arc::new(bundle)));
-        rig.list(engines, &[]);
-        rig.report(engines);
+        rig.apply_vm_list(engines, &[]);
+        rig.report_idle(engines);
         rig.out.clear();
         rig
     }
 
     /// Applies a VM list in which some engines are draining.
-    pub fn list(&mut self, engines: u32, leaving: &[u32]) {
+    pub fn apply_vm_list(&mut self, engines: u32, leaving: &[u32]) {
         let mut servers: Vec<_> = (0..engines)
             .map(|id| ServerRecord {
                 id: ServerId(id),
@@ -103,7 +103,7 @@
     }
 
     /// Reports all engines as idle.
-    pub fn report(&mut self, engines: u32) {
+    pub fn report_idle(&mut self, engines: u32) {
         for id in 0..engines {
             let report = Box::new(idle_report());
             let server = ServerId(id);
@@ -118,12 +118,12 @@
     }
 
     /// Advances time, with a tick every 10 ms and load reports every 500 ms.
-    pub fn pass(&mut self, ms: u64, engines: u32) {
+    pub fn advance(&mut self, ms: u64, engines: u32) {
         for i in 0..ms / 10 {
             self.now_ms += 10;
             self.feed(Event::Tick);
             if i % 50 == 49 {
-                self.report(engines);
+                self.report_idle(engines);
             }
         }
     }
--- a/crates/notchwalk_decide/tests/decisions/orders.rs
+++ b/crates/notchwalk_decide/tests/decisions/orders.rs
@@ -56,9 +56,9 @@
 /// Acquires the lease after its holder became silent.
 fn acquire_lease(rig: &mut Rig) -> LeaseRow {
     answer(rig, row_of_other_node(1), false);
-    rig.pass(5_500, 1);
+    rig.advance(5_500, 1);
     assert!(writes(&rig.take()).is_empty(), "the lease has not expired");
-    rig.pass(3_000, 1);
+    rig.advance(3_000, 1);
     let (expected, row) = writes(&rig.take())[0];
     assert_eq!(expected, Some(row_of_other_node(1)));
     assert_eq!(row.fence, 5);
@@ -71,7 +71,7 @@
     let mut rig = rig(true);
     for renewals in 0..20 {
         answer(&mut rig, row_of_other_node(renewals), false);
-        rig.pass(2_000, 1);
+        rig.advance(2_000, 1);
     }
     let effects = rig.take();
     assert!(writes(&effects).is_empty());
@@ -82,7 +82,7 @@
 fn expired_lease_is_acquired_with_higher_fence() {
     let mut rig = rig(true);
     acquire_lease(&mut rig);
-    rig.pass(1_000, 1);
+    rig.advance(1_000, 1);
     assert_eq!(orders(&rig.take()), [5]);
 }
 
@@ -91,7 +91,7 @@
     let mut rig = rig(false);
     let mut row = acquire_lease(&mut rig);
     for ms in [1_000, 1_500] {
-        rig.pass(ms, 1);
+        rig.advance(ms, 1);
         let effects = rig.take();
         assert!(orders(&effects).is_empty());
         if let Some((_, renewed)) = writes(&effects).last() {
@@ -99,7 +99,7 @@
         }
         answer(&mut rig, row, true);
     }
-    rig.pass(1_500, 1);
+    rig.advance(1_500, 1);
     assert_eq!(orders(&rig.take()), [5]);
 }
 
@@ -110,8 +110,8 @@
     // The node is paused or cut off from the store for longer than the lease.
     rig.now_ms += 7_000;
     rig.feed(Event::Tick);
-    rig.report(1);
-    rig.pass(2_000, 1);
+    rig.report_idle(1);
+    rig.advance(2_000, 1);
     assert!(orders(&rig.take()).is_empty());
     let now = notchwalk_core::Instant::from_millis(rig.now_ms);
     assert!(
@@ -124,7 +124,7 @@
 fn unanswered_renewal_does_not_extend_the_lease() {
     let mut rig = rig(true);
     let row = acquire_lease(&mut rig);
-    rig.pass(3_000, 1);
+    rig.advance(3_000, 1);
     // The next write fails because an earlier, unanswered one took effect: the
     // row names this node, but the time of the write is unknown.
     let unanswered = LeaseRow {
@@ -132,7 +132,7 @@
         ..row
     };
     answer(&mut rig, unanswered, false);
-    rig.pass(3_500, 1);
+    rig.advance(3_500, 1);
     let now = notchwalk_core::Instant::from_millis(rig.now_ms);
     assert!(!rig.node.may_order(now, 5));
 }
--- a/crates/notchwalk_decide/tests/decisions/policy.rs
+++ b/crates/notchwalk_decide/tests/decisions/policy.rs
@@ -32,8 +32,8 @@
             let dispatch = running.remove(0);
             rig.feed(Event::CallerGone(dispatch.request));
         }
-        rig.pass(10, 1);
-        rig.report(1);
+        rig.advance(10, 1);
+        rig.report_idle(1);
         let next = dispatches(&rig.take());
         for dispatch in &next {
             let id = rig
@@ -101,7 +101,7 @@
 #[test]
 fn draining_server_receives_no_new_requests() {
     let mut rig = Rig::new(2);
-    rig.list(2, &[0]);
+    rig.apply_vm_list(2, &[0]);
     for _ in 0..6 {
         rig.generate_for(0, 5, 100);
     }
@@ -124,12 +124,12 @@
         1,
         "callers may still have the address cached"
     );
-    rig.pass(5_100, 1);
+    rig.advance(5_100, 1);
     rig.generate(100, 1, 60_000);
     assert_eq!(failures(&rig.take())[0].code, FailureCode::Draining);
     rig.frame(&dispatch, id, 0, 1);
     rig.complete(&dispatch, 1);
-    rig.pass(100, 1);
+    rig.advance(100, 1);
     let stopped = |effects: &[Effect]| effects.contains(&Effect::Stop);
     assert!(!stopped(&rig.take()), "one request is still open");
     assert_eq!(rig.node.open_requests(), 1);
@@ -141,7 +141,7 @@
         let mut rig = Rig::new(3);
         for i in 0..200 {
             rig.generate_for(i % 2, (i % 9) as u8, 50 + u64::from(i) * 17);
-            rig.pass(20, 3);
+            rig.advance(20, 3);
         }
         rig.take()
     };
--- a/crates/notchwalk_decide/tests/decisions/suspects.rs
+++ b/crates/notchwalk_decide/tests/decisions/suspects.rs
@@ -17,7 +17,7 @@
     for _ in 0..4 {
         rig.generate(100, 10, 60_000);
         for _ in 0..200 {
-            rig.pass(50, ENGINES);
+            rig.advance(50, ENGINES);
             for dispatch in dispatches(&rig.take()) {
                 rig.now_ms += 100;
                 rig.end(&dispatch, AttemptEnd::Broken);
@@ -34,7 +34,7 @@
     rig.content = Some(Fingerprint::from(8));
     rig.generate(100, 10, 60_000);
     // The circuits of the failed engines are open at first.
-    rig.pass(3_000, ENGINES);
+    rig.advance(3_000, ENGINES);
     assert_eq!(
         dispatches(&rig.take()).len(),
         1,
