--- a/crates/notchwalk_standin/src/bench/bundle.rs
+++ b/crates/notchwalk_standin/src/bench/bundle.rs
@@ -1,5 +1,5 @@
-//! Changes of the bundle: how soon each is in force everywhere, that none is
-//! ever taken back, and what a change moves.
+//! Measures how long a bundle change takes to be in force on all nodes, how often a node
+//! reverts to an older version, and how many bytes a change transfers.
 
 use std::{
     net::SocketAddr,
@@ -9,42 +9,43 @@
 
 use notchwalk_bundle::Part;
 
-use super::{policy, rounded, BenchOptions, Figures};
+use super::{policy, rounded, BenchOptions, Metrics};
 use crate::{
     fleet::{Fleet, FleetConfig},
     operators::WorkspaceSpec,
     platform::PlatformFault,
 };
 
-/// Changes that are made.
+/// Number of submitted changes.
 const CHANGES: usize = 200;
-/// Of so many changes, one waits until it is in force everywhere.
+/// One of this many changes is measured until it is in force on all nodes.
 const MEASURE_EVERY: usize = 10;
-/// At this change a daemon is killed and started anew.
+/// A node is killed and restarted before these changes.
 const RESTART_AT: [usize; 2] = [55, 135];
-/// At this change the store is down for a while.
+/// The store is down for 1 s before this change.
 const OUTAGE_AT: usize = 95;
-/// The workspaces of the large bundle, and changes made to it.
-const LARGE: usize = 37_000;
+/// Number of workspaces of the large bundle.
+const LARGE_WORKSPACES: usize = 37_000;
+/// Number of changes of the large bundle.
 const LARGE_CHANGES: usize = 4;
 
 /// Runs the bench.
-pub fn run(_options: &BenchOptions) -> Figures {
-    let mut figures = Figures::new();
-    let (in_force, reversions) = many_changes();
-    figures.insert("in_force_s_max".to_owned(), rounded(in_force, 2));
-    figures.insert("reversions".to_owned(), reversions.into());
-    figures.insert("changes".to_owned(), CHANGES.into());
-    let large = large_changes();
-    figures.insert("bytes_per_change".to_owned(), rounded(large.bytes, 0));
-    figures.insert(
+pub fn run(_options: &BenchOptions) -> Metrics {
+    let mut metrics = Metrics::new();
+    let (in_force, reversions) = measure_changes();
+    metrics.insert("in_force_s_max".to_owned(), rounded(in_force, 2));
+    metrics.insert("reversions".to_owned(), reversions.into());
+    metrics.insert("changes".to_owned(), CHANGES.into());
+    let large = measure_large_changes();
+    metrics.insert("bytes_per_change".to_owned(), rounded(large.bytes, 0));
+    metrics.insert(
         "large_in_force_s_max".to_owned(),
         rounded(large.in_force_s, 2),
     );
-    figures
+    metrics
 }
 
-/// Parts with another weight in them.
+/// Returns the parts of the bundle with one workspace's weight changed.
 fn changed_parts(fleet: &Fleet, i: usize) -> Vec<Part> {
     let mut spec = fleet.config.bundle.clone();
     let n = spec.workspaces.len();
@@ -52,7 +53,7 @@
     fleet.operators.parts(&spec)
 }
 
-/// The version in force at a daemon, and for how long.
+/// Returns the bundle version in force on a node and how long it has been in force.
 fn in_force(fleet: &Fleet, operator: SocketAddr) -> (u64, Duration) {
     let dump: serde_json::Value = fleet.read(operator, "/dump");
     let version = dump["bundle_version"].as_u64().unwrap_or(0);
@@ -69,22 +70,22 @@
         .collect()
 }
 
-/// Waits until a version is in force everywhere; returns how long the slowest
-/// took since it was accepted.
-fn slowest(fleet: &Fleet, version: u64, accepted: Instant) -> f64 {
-    const PATIENCE: Duration = Duration::from_secs(20);
+/// Waits until a version is in force on all nodes. Returns the time from its acceptance until
+/// the slowest node applied it, in seconds.
+fn slowest_apply_s(fleet: &Fleet, version: u64, accepted: Instant) -> f64 {
+    const APPLY_TIMEOUT: Duration = Duration::from_secs(20);
     let mut slowest: f64 = 0.0;
     for operator in operators(fleet) {
         loop {
-            let (now, age) = in_force(fleet, operator);
-            if now >= version {
+            let (current, age) = in_force(fleet, operator);
+            if current >= version {
                 let since = accepted.elapsed().saturating_sub(age);
                 slowest = slowest.max(since.as_secs_f64());
                 break;
             }
             assert!(
-                accepted.elapsed() < PATIENCE,
-                "version {version} is not in force"
+                accepted.elapsed() < APPLY_TIMEOUT,
+                "node {operator} did not apply bundle version {version} in time"
             );
             std::thread::sleep(Duration::from_millis(20));
         }
@@ -92,8 +93,13 @@
     slowest
 }
 
-/// Watches daemons' versions, and counts those that fall.
-fn watch(addresses: &[SocketAddr], fleet: &Fleet, stop: &AtomicBool, reversions: &AtomicU64) {
+/// Polls the nodes' bundle versions until `stop` and counts reversions.
+fn count_reversions(
+    addresses: &[SocketAddr],
+    fleet: &Fleet,
+    stop: &AtomicBool,
+    reversions: &AtomicU64,
+) {
     let mut highest = vec![0; addresses.len()];
     while !stop.load(Ordering::Relaxed) {
         for (i, operator) in addresses.iter().enumerate() {
@@ -107,7 +113,7 @@
     }
 }
 
-fn many_changes() -> (f64, u64) {
+fn measure_changes() -> (f64, u64) {
     let config = FleetConfig::new(policy::workspaces())
         .with_sizes(6, 2, 0)
         .with_entry_program(policy::this_program());
@@ -115,9 +121,9 @@
     let (mut worst, reversions) = (0.0_f64, AtomicU64::new(0));
     let mut i = 0;
     while i < CHANGES {
-        // Daemons change only between watched stretches, since those that
-        // start anew begin without a bundle.
-        let stretch = RESTART_AT
+        // Nodes are restarted only between watched ranges of changes, since a restarted node
+        // has no bundle at first.
+        let range_end = RESTART_AT
             .iter()
             .find(|at| **at > i)
             .copied()
@@ -127,25 +133,25 @@
         std::thread::scope(|scope| {
             let (fleet, stop, reversions) = (&fleet, &stop, &reversions);
             let addresses = &addresses;
-            scope.spawn(move || watch(addresses, fleet, stop, reversions));
-            while i < stretch {
-                worst = worst.max(change(fleet, i));
+            scope.spawn(move || count_reversions(addresses, fleet, stop, reversions));
+            while i < range_end {
+                worst = worst.max(submit_change(fleet, i));
                 i += 1;
             }
             stop.store(true, Ordering::Relaxed);
         });
         if i < CHANGES {
-            let before = fleet.daemons.len() - 1;
-            fleet.kill_daemon(i % before);
-            fleet.start_daemon(i % before);
+            let node_range = fleet.daemons.len() - 1;
+            fleet.kill_daemon(i % node_range);
+            fleet.start_daemon(i % node_range);
         }
     }
     (worst, reversions.into_inner())
 }
 
-/// Makes one change; returns how long it took to be in force, if that was
-/// measured.
-fn change(fleet: &Fleet, i: usize) -> f64 {
+/// Submits one change. Returns how many seconds it took to be in force on all nodes, or 0 if
+/// it isn't a measured change.
+fn submit_change(fleet: &Fleet, i: usize) -> f64 {
     if i == OUTAGE_AT {
         let down = PlatformFault {
             store_down: true,
@@ -158,40 +164,42 @@
     let parts = changed_parts(fleet, i);
     let head = fleet
         .submit(&parts, &format!("change {i}"))
-        .expect("it is accepted");
+        .expect("bundle was rejected");
     let accepted = Instant::now();
     match i % MEASURE_EVERY {
-        0 => slowest(fleet, head.version, accepted),
+        0 => slowest_apply_s(fleet, head.version, accepted),
         _ => 0.0,
     }
 }
 
-struct Large {
+struct LargeOutcome {
     bytes: f64,
     in_force_s: f64,
 }
 
-fn large_changes() -> Large {
-    let named = (0..LARGE).map(|i| WorkspaceSpec::new(&format!("workspace-{i}"), 1.0));
+fn measure_large_changes() -> LargeOutcome {
+    let named = (0..LARGE_WORKSPACES).map(|i| WorkspaceSpec::new(&format!("workspace-{i}"), 1.0));
     let config = FleetConfig::new(named.collect())
         .with_sizes(6, 1, 0)
         .with_entry_program(policy::this_program());
     let fleet = Fleet::start(config);
-    let fetched = || {
+    let fetched_bytes = || {
         let text = fleet.read_text(operators(&fleet)[0], "/metrics");
         let name = "notchwalk_bundle_bytes_total ";
         let line = text.lines().find_map(|l| l.strip_prefix(name));
         line.and_then(|n| n.parse::<f64>().ok()).unwrap_or(0.0)
     };
-    let before = fetched();
+    let before = fetched_bytes();
     let mut worst: f64 = 0.0;
     for i in 0..LARGE_CHANGES {
         let parts = changed_parts(&fleet, i);
-        let head = fleet.submit(&parts, "one weight").expect("it is accepted");
-        worst = worst.max(slowest(&fleet, head.version, Instant::now()));
+        let head = fleet
+            .submit(&parts, "one weight")
+            .expect("bundle was rejected");
+        worst = worst.max(slowest_apply_s(&fleet, head.version, Instant::now()));
     }
-    Large {
-        bytes: (fetched() - before) / LARGE_CHANGES as f64,
+    LargeOutcome {
+        bytes: (fetched_bytes() - before) / LARGE_CHANGES as f64,
         in_force_s: worst,
     }
 }
--- a/crates/notchwalk_standin/src/bench/capacity.rs
+++ b/crates/notchwalk_standin/src/bench/capacity.rs
@@ -1,5 +1,5 @@
-//! What control costs a node, as slopes over sizes, and worked out for the
-//! size the users aim at. `docs/CAPACITY.md` holds the table this prints.
+//! Measures the control-plane cost of a node over fleet sizes, fits a line to each cost and
+//! extrapolates it to the target size. `docs/CAPACITY.md` contains the printed table.
 
 use std::{
     sync::Arc,
@@ -12,32 +12,32 @@
 use notchwalk_wire::{to_cbor, Heartbeat, LoadReport, LoadedModel, PeerMessage};
 use serde_json::json;
 
-use super::{policy, rounded, BenchOptions, Figures};
+use super::{policy, rounded, BenchOptions, Metrics};
 use crate::{
     fleet::{Fleet, FleetConfig},
     operators::{BundleSpec, Operators, WorkspaceSpec},
     report,
 };
 
-/// Sizes at which each slope is measured.
+/// Numbers of peers, servers and workspaces at which the costs are measured.
 const PEERS: [usize; 4] = [2, 4, 6, 8];
 const SERVERS: [usize; 4] = [20, 40, 80, 160];
 const WORKSPACES: [usize; 4] = [1_000, 5_000, 15_000, 37_000];
-/// The sizes the users aim at (letter 1), for one node.
+/// Target sizes.
 const TARGET_PEERS: f64 = 8.0;
 const TARGET_SERVERS: f64 = 5_500.0;
 const TARGET_WORKSPACES: f64 = 37_000.0;
 const TARGET_CHANGES_PER_DAY: f64 = 3_800.0;
 const SECONDS_PER_DAY: f64 = 86_400.0;
-/// Polls of one engine a second, as the daemon makes them.
+/// Load polls per second and engine, as made by a node.
 const POLLS_PER_S: f64 = 5.0;
 
-/// A straight line through measured points.
+/// A least-squares line through measured points.
 #[derive(Clone, Copy, Debug)]
 struct Fit {
     base: f64,
     slope: f64,
-    /// The largest distance of a point, in parts of the largest value.
+    /// Largest deviation of a point, as a fraction of the largest value.
     residual: f64,
 }
 
@@ -46,11 +46,11 @@
         let n = points.len() as f64;
         let mean = |f: fn(&(f64, f64)) -> f64| points.iter().map(f).sum::<f64>() / n;
         let (x, y) = (mean(|p| p.0), mean(|p| p.1));
-        let both: f64 = points.iter().map(|p| (p.0 - x) * (p.1 - y)).sum();
-        let square: f64 = points.iter().map(|p| (p.0 - x) * (p.0 - x)).sum();
-        let slope = both / square;
+        let sum_xy: f64 = points.iter().map(|p| (p.0 - x) * (p.1 - y)).sum();
+        let sum_xx: f64 = points.iter().map(|p| (p.0 - x) * (p.0 - x)).sum();
+        let slope = sum_xy / sum_xx;
         let base = y - slope * x;
-        let off = points.iter().map(|p| (base + slope * p.0 - p.1).abs());
+        let deviations = points.iter().map(|p| (base + slope * p.0 - p.1).abs());
         let largest = points
             .iter()
             .map(|p| p.1.abs())
@@ -58,17 +58,17 @@
         Self {
             base,
             slope,
-            residual: off.fold(0.0, f64::max) / largest,
+            residual: deviations.fold(0.0, f64::max) / largest,
         }
     }
 
-    fn at(&self, x: f64) -> f64 {
+    fn value_at(&self, x: f64) -> f64 {
         self.base + self.slope * x
     }
 }
 
-/// A measured line of the table.
-struct Line {
+/// A row of the table.
+struct Row {
     what: &'static str,
     unit: &'static str,
     points: Vec<(f64, f64)>,
@@ -76,13 +76,18 @@
     target: f64,
 }
 
-impl Line {
-    fn new(what: &'static str, unit: &'static str, points: Vec<(f64, f64)>, size: f64) -> Self {
+impl Row {
+    fn new(
+        what: &'static str,
+        unit: &'static str,
+        points: Vec<(f64, f64)>,
+        target_size: f64,
+    ) -> Self {
         let fit = Fit::new(&points);
         Self {
             what,
             unit,
-            target: fit.at(size),
+            target: fit.value_at(target_size),
             points,
             fit,
         }
@@ -90,118 +95,118 @@
 }
 
 /// Runs the bench.
-pub fn run(options: &BenchOptions) -> Figures {
+pub fn run(options: &BenchOptions) -> Metrics {
     let by_peers: Vec<_> = PEERS.iter().map(|n| control_cost(*n, 20)).collect();
     let by_servers: Vec<_> = SERVERS.iter().map(|n| control_cost(5, *n)).collect();
-    let pick = |sizes: &[usize], costs: &[Cost], f: fn(&Cost) -> f64| {
+    let pick = |sizes: &[usize], costs: &[ControlCost], f: fn(&ControlCost) -> f64| {
         let pairs = sizes.iter().zip(costs);
         pairs
             .map(|(n, cost)| (*n as f64, f(cost)))
             .collect::<Vec<_>>()
     };
     let workspaces: Vec<_> = WORKSPACES.iter().map(|n| bundle_cost(*n)).collect();
-    let over = |f: fn(&BundleCost) -> f64| {
+    let by_workspaces = |f: fn(&BundleCost) -> f64| {
         let pairs = WORKSPACES.iter().zip(&workspaces);
         pairs
             .map(|(n, cost)| (*n as f64, f(cost)))
             .collect::<Vec<_>>()
     };
-    let lines = [
-        Line::new(
+    let rows = [
+        Row::new(
             "heartbeats sent, by peers",
             "B/s",
             pick(&PEERS, &by_peers, |c| c.bytes_per_s),
             TARGET_PEERS,
         ),
-        Line::new(
+        Row::new(
             "reducer for heartbeats, by peers",
             "us/s",
             pick(&PEERS, &by_peers, |c| c.us_per_s),
             TARGET_PEERS,
         ),
-        Line::new(
+        Row::new(
             "heartbeats sent, by servers",
             "B/s",
             pick(&SERVERS, &by_servers, |c| c.bytes_per_s),
             TARGET_SERVERS,
         ),
-        Line::new(
+        Row::new(
             "reducer for reports, by servers",
             "us/s",
             pick(&SERVERS, &by_servers, |c| c.us_per_s),
             TARGET_SERVERS,
         ),
-        Line::new(
+        Row::new(
             "bundle in memory, by workspaces",
             "KB",
-            over(|c| c.kb),
+            by_workspaces(|c| c.kb),
             TARGET_WORKSPACES,
         ),
-        Line::new(
+        Row::new(
             "bundle parsed and put in force, by workspaces",
             "ms",
-            over(|c| c.ms),
+            by_workspaces(|c| c.ms),
             TARGET_WORKSPACES,
         ),
-        Line::new(
+        Row::new(
             "workspaces part of a bundle",
             "KB",
-            over(|c| c.part_kb),
+            by_workspaces(|c| c.part_kb),
             TARGET_WORKSPACES,
         ),
     ];
-    print_table(&lines);
-    let today = today(options);
-    let mut figures = Figures::new();
-    figures.insert(
+    print_table(&rows);
+    let idle_fleet = measure_idle_fleet(options);
+    let mut metrics = Metrics::new();
+    metrics.insert(
         "control_bytes_per_s".to_owned(),
-        rounded(today.bytes_per_s, 0),
+        rounded(idle_fleet.bytes_per_s, 0),
     );
-    figures.insert(
+    metrics.insert(
         "control_core_percent".to_owned(),
-        rounded(today.core_percent, 2),
+        rounded(idle_fleet.core_percent, 2),
     );
-    figures.insert("rss_mb".to_owned(), rounded(today.rss_mb, 1));
-    let change_ms = lines[5].target * TARGET_CHANGES_PER_DAY / SECONDS_PER_DAY;
-    let target_us = lines[1].target + lines[3].target + change_ms * 1_000.0;
-    let reports = report_bytes() * POLLS_PER_S * TARGET_SERVERS;
-    figures.insert(
+    metrics.insert("rss_mb".to_owned(), rounded(idle_fleet.rss_mb, 1));
+    let change_ms = rows[5].target * TARGET_CHANGES_PER_DAY / SECONDS_PER_DAY;
+    let target_us = rows[1].target + rows[3].target + change_ms * 1_000.0;
+    let report_bytes_per_s = report_bytes() * POLLS_PER_S * TARGET_SERVERS;
+    metrics.insert(
         "target".to_owned(),
         json!({
-            "heartbeat_bytes_per_s": lines[0].target.round(),
-            "report_bytes_per_s_if_all_are_polled": reports.round(),
+            "heartbeat_bytes_per_s": rows[0].target.round(),
+            "report_bytes_per_s_if_all_are_polled": report_bytes_per_s.round(),
             "reducer_core_percent": (target_us / 10_000.0 * 100.0).round() / 100.0,
-            "bundle_mb": (lines[4].target / 100.0).round() / 10.0,
+            "bundle_mb": (rows[4].target / 100.0).round() / 10.0,
         }),
     );
-    let measured = lines.iter().map(|line| {
+    let measured = rows.iter().map(|row| {
         json!({
-            "what": line.what, "unit": line.unit, "points": line.points,
-            "base": line.fit.base, "slope": line.fit.slope, "residual": line.fit.residual,
-            "target": line.target,
+            "what": row.what, "unit": row.unit, "points": row.points,
+            "base": row.fit.base, "slope": row.fit.slope, "residual": row.fit.residual,
+            "target": row.target,
         })
     });
-    figures.insert("lines".to_owned(), measured.collect());
-    figures
+    metrics.insert("lines".to_owned(), measured.collect());
+    metrics
 }
 
-fn print_table(lines: &[Line]) {
+fn print_table(rows: &[Row]) {
     let mut table = report::table(&["what", "unit", "points", "slope", "residual", "at target"]);
-    for line in lines {
-        let points = line.points.iter().map(|(x, y)| format!("{x}: {y:.1}"));
+    for row in rows {
+        let points = row.points.iter().map(|(x, y)| format!("{x}: {y:.1}"));
         table.add_row([
-            line.what.to_owned(),
-            line.unit.to_owned(),
+            row.what.to_owned(),
+            row.unit.to_owned(),
             points.collect::<Vec<_>>().join(", "),
-            format!("{:.3}", line.fit.slope),
-            format!("{:.1}%", line.fit.residual * 100.0),
-            format!("{:.0}", line.target),
+            format!("{:.3}", row.fit.slope),
+            format!("{:.1}%", row.fit.residual * 100.0),
+            format!("{:.0}", row.target),
         ]);
     }
     println!("{table}");
 }
 
-struct Cost {
+struct ControlCost {
     bytes_per_s: f64,
     us_per_s: f64,
 }
@@ -231,8 +236,8 @@
     serde_json::to_vec(&report()).map_or(0.0, |json| json.len() as f64)
 }
 
-/// One node among peers and servers for some virtual seconds of control only.
-fn control_cost(peers: usize, servers: usize) -> Cost {
+/// Runs one node with peers and servers but without requests, in virtual time.
+fn control_cost(peers: usize, servers: usize) -> ControlCost {
     const SECONDS: u64 = 30;
     const TICK_MS: u64 = 5;
     let mut node = Node::new(NodeConfig::new(VmId(0), BootNumber(1), "d0", 1));
@@ -245,18 +250,18 @@
         failure_domain: format!("d{}", id % 3),
         leaving: false,
     });
-    let entries = (0..=peers).map(|id| PeerRecord {
+    let nodes = (0..=peers).map(|id| PeerRecord {
         vm: VmId(id as u32),
         caller_address: "127.0.0.1:1".to_owned(),
         failure_domain: format!("d{}", id % 3),
         leaving: false,
     });
-    let list = Event::VmList {
+    let vm_list = Event::VmList {
         servers: records.collect(),
-        entries: entries.collect(),
+        entries: nodes.collect(),
     };
-    node.step(now, list, &mut out);
-    let (mut bytes, mut spent) = (0_usize, Duration::ZERO);
+    node.step(now, vm_list, &mut out);
+    let (mut bytes, mut cpu_time) = (0_usize, Duration::ZERO);
     for ms in (0..SECONDS * 1_000).step_by(TICK_MS as usize) {
         let mut events = vec![Event::Tick];
         if ms % 500 == 0 {
@@ -269,11 +274,11 @@
             }));
         }
         out.clear();
-        let began = WallInstant::now();
+        let started = WallInstant::now();
         for event in events {
             node.step(now, event, &mut out);
         }
-        spent += began.elapsed();
+        cpu_time += started.elapsed();
         for effect in &out {
             if let Effect::Peer { message, .. } = effect {
                 bytes += to_cbor(message).len();
@@ -281,9 +286,9 @@
         }
         now = now.after(Duration::from_millis(TICK_MS));
     }
-    Cost {
+    ControlCost {
         bytes_per_s: bytes as f64 / SECONDS as f64,
-        us_per_s: spent.as_micros() as f64 / SECONDS as f64,
+        us_per_s: cpu_time.as_micros() as f64 / SECONDS as f64,
     }
 }
 
@@ -322,7 +327,7 @@
 
 fn small_bundle(workspaces: usize) -> Bundle {
     let parts = Operators::new(1).parts(&spec(workspaces));
-    Bundle::parse(1, &parts).expect("a valid bundle")
+    Bundle::parse(1, &parts).expect("invalid bundle")
 }
 
 struct BundleCost {
@@ -331,16 +336,17 @@
     part_kb: f64,
 }
 
-/// A bundle's memory, by the growth of this process, and its time.
+/// Measures the memory of a bundle, by the growth of this process, and the time to parse and
+/// apply it.
 fn bundle_cost(workspaces: usize) -> BundleCost {
     const COPIES: u32 = 4;
     let parts = Operators::new(1).parts(&spec(workspaces));
     let largest = parts.iter().map(|p| p.text.len()).max().unwrap_or(0);
-    let before = super::rss_mb();
+    let rss_before = super::rss_mb();
     let mut nodes = Vec::new();
-    let began = WallInstant::now();
+    let started = WallInstant::now();
     for i in 0..COPIES {
-        let bundle = Bundle::parse(1, &parts).expect("a valid bundle");
+        let bundle = Bundle::parse(1, &parts).expect("invalid bundle");
         let mut node = Node::new(NodeConfig::new(VmId(i), BootNumber(1), "d", 1));
         let mut out = Vec::new();
         node.step(
@@ -350,29 +356,29 @@
         );
         nodes.push(node);
     }
-    let ms = began.elapsed().as_secs_f64() * 1_000.0 / f64::from(COPIES);
-    let grown = (super::rss_mb() - before).max(0.0) * 1_000.0 / f64::from(COPIES);
+    let ms = started.elapsed().as_secs_f64() * 1_000.0 / f64::from(COPIES);
+    let grown_kb = (super::rss_mb() - rss_before).max(0.0) * 1_000.0 / f64::from(COPIES);
     drop(nodes);
     BundleCost {
-        kb: grown,
+        kb: grown_kb,
         ms,
         part_kb: largest as f64 / 1_000.0,
     }
 }
 
-struct Today {
+struct IdleFleet {
     bytes_per_s: f64,
     core_percent: f64,
     rss_mb: f64,
 }
 
-/// Six daemons before twenty engines, with nothing to do but control.
-fn today(options: &BenchOptions) -> Today {
+/// Measures an idle fleet of six nodes and twenty engines.
+fn measure_idle_fleet(options: &BenchOptions) -> IdleFleet {
     let config = FleetConfig::new(policy::workspaces()).with_entry_program(policy::this_program());
     let fleet = Fleet::start(config);
-    let daemon = fleet.daemons[0].as_ref().expect("it runs");
-    let pid = daemon.process_id().expect("it is a process");
-    let operator = daemon.addresses.operator;
+    let node = fleet.daemons[0].as_ref().expect("node is not running");
+    let pid = node.process_id().expect("node is not a process");
+    let operator = node.addresses.operator;
     let bytes = || {
         let text = fleet.read_text(operator, "/metrics");
         let line = text
@@ -382,11 +388,11 @@
             .unwrap_or(0.0)
     };
     let (bytes_before, cpu_before) = (bytes(), process_cpu_s(pid));
-    let over = Duration::from_secs(options.seconds);
-    std::thread::sleep(over);
-    Today {
-        bytes_per_s: (bytes() - bytes_before) / over.as_secs_f64(),
-        core_percent: (process_cpu_s(pid) - cpu_before) / over.as_secs_f64() * 100.0,
+    let duration = Duration::from_secs(options.seconds);
+    std::thread::sleep(duration);
+    IdleFleet {
+        bytes_per_s: (bytes() - bytes_before) / duration.as_secs_f64(),
+        core_percent: (process_cpu_s(pid) - cpu_before) / duration.as_secs_f64() * 100.0,
         rss_mb: process_rss_mb(pid),
     }
 }
@@ -400,8 +406,8 @@
 }
 
 fn process_rss_mb(pid: u32) -> f64 {
-    const PAGE: f64 = 4_096.0;
+    const PAGE_BYTES: f64 = 4_096.0;
     let statm = std::fs::read_to_string(format!("/proc/{pid}/statm")).unwrap_or_default();
     let pages = statm.split(' ').nth(1).and_then(|n| n.parse::<f64>().ok());
-    pages.unwrap_or(0.0) * PAGE / 1e6
+    pages.unwrap_or(0.0) * PAGE_BYTES / 1e6
 }
--- a/crates/notchwalk_standin/src/bench/leaving.rs
+++ b/crates/notchwalk_standin/src/bench/leaving.rs
@@ -1,41 +1,44 @@
-//! Servers that leave and daemons that are stopped, under load.
+//! Measures draining servers and the planned stop of a node, under load.
 
 use std::time::{Duration, Instant};
 
-use super::{policy, rounded, BenchOptions, Figures};
+use super::{policy, rounded, BenchOptions, Metrics};
 use crate::{
     caller::CallEnd,
     fleet::{Fleet, FleetConfig},
-    workload::{Measured, Planned},
+    workload::{Measured, PlannedCall},
 };
 
-/// When things happen, in parts of the run.
-const LEAVE_AT: f64 = 0.3;
-/// When the daemon is stopped.
+/// When the engines start draining, as a fraction of the run.
+const DRAIN_AT: f64 = 0.3;
+/// When the node is stopped, as a fraction of the run.
 const STOP_AT: f64 = 0.5;
-/// The daemon that is stopped, by place.
-const STOPPED: usize = 2;
-/// Engines that leave: by their own report, and by the VM list.
-const BY_REPORT: usize = 3;
-/// See [`BY_REPORT`].
-const BY_LIST: usize = 4;
-/// The timeout of all calls.
+/// Index of the stopped node.
+const STOPPED_NODE: usize = 2;
+/// Index of the engine that announces draining in its load report.
+const DRAINING_BY_REPORT: usize = 3;
+/// Index of the engine marked as draining in the VM list.
+const DRAINING_BY_LIST: usize = 4;
+/// Timeout of all calls.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Runs the bench.
-pub fn run(options: &BenchOptions) -> Figures {
-    let mut figures = Figures::new();
-    let drained = measure(options, true);
-    figures.insert(
+pub fn run(options: &BenchOptions) -> Metrics {
+    let mut metrics = Metrics::new();
+    let with_drain = measure(options, true);
+    metrics.insert(
         "new_work_after_s".to_owned(),
-        rounded(drained.new_work_after_s, 2),
+        rounded(with_drain.new_work_after_s, 2),
     );
-    figures.insert("cut_off".to_owned(), drained.cut_off.into());
-    figures.insert("requests".to_owned(), drained.requests.into());
-    figures.insert("stop_took_s".to_owned(), rounded(drained.stop_took_s, 2));
-    let killed = measure(options, false);
-    figures.insert("cut_off_without_drain".to_owned(), killed.cut_off.into());
-    figures
+    metrics.insert("cut_off".to_owned(), with_drain.cut_off.into());
+    metrics.insert("requests".to_owned(), with_drain.requests.into());
+    metrics.insert("stop_took_s".to_owned(), rounded(with_drain.stop_took_s, 2));
+    let without_drain = measure(options, false);
+    metrics.insert(
+        "cut_off_without_drain".to_owned(),
+        without_drain.cut_off.into(),
+    );
+    metrics
 }
 
 struct Outcome {
@@ -51,26 +54,32 @@
         .with_entry_program(policy::this_program())
         .with_time_scale(policy::TIME_SCALE);
     let mut fleet = Fleet::start(config);
-    let over = Duration::from_secs(options.seconds.max(8));
+    let duration = Duration::from_secs(options.seconds.max(8));
     let ttl = fleet.config.entries_ttl;
-    let planned = plan(options, over, ttl, fleet.config.entries);
-    let began = Instant::now();
+    let planned = plan(options, duration, ttl, fleet.config.entries);
+    let started = Instant::now();
     let sending = fleet.start_sending(planned);
-    sleep_until(began, over.mul_f64(LEAVE_AT));
-    let left_at = Instant::now();
-    fleet.control(fleet.engines[BY_REPORT].addr, "/standin/leave", &());
-    fleet.mark_leaving(fleet.engines[BY_LIST].id);
-    sleep_until(began, over.mul_f64(STOP_AT));
+    sleep_until(started, duration.mul_f64(DRAIN_AT));
+    let drained_at = Instant::now();
+    fleet.post_control(
+        fleet.engines[DRAINING_BY_REPORT].addr,
+        "/standin/leave",
+        &(),
+    );
+    fleet.mark_draining(fleet.engines[DRAINING_BY_LIST].id);
+    sleep_until(started, duration.mul_f64(STOP_AT));
     let stopped_at = Instant::now();
     let stop_took_s = match drain {
         true => {
-            let daemon = fleet.daemons[STOPPED].take().expect("it runs");
-            daemon.stop();
-            let _ = daemon.join();
+            let node = fleet.daemons[STOPPED_NODE]
+                .take()
+                .expect("node is not running");
+            node.stop();
+            let _ = node.join();
             stopped_at.elapsed().as_secs_f64()
         }
         false => {
-            fleet.kill_daemon(STOPPED);
+            fleet.kill_daemon(STOPPED_NODE);
             0.0
         }
     };
@@ -78,34 +87,40 @@
     for line in crate::report::outcomes(&measured) {
         log::info!("{line:?}");
     }
-    let after = [BY_REPORT, BY_LIST].map(|i| new_work_after(&fleet, i, left_at));
+    let last_work_s =
+        [DRAINING_BY_REPORT, DRAINING_BY_LIST].map(|i| new_work_after(&fleet, i, drained_at));
     Outcome {
-        new_work_after_s: after.into_iter().fold(0.0, f64::max),
+        new_work_after_s: last_work_s.into_iter().fold(0.0, f64::max),
         cut_off: measured.iter().filter(|m| is_cut_off(m)).count(),
         requests: measured.len(),
         stop_took_s,
     }
 }
 
-fn sleep_until(began: Instant, at: Duration) {
-    std::thread::sleep(at.saturating_sub(began.elapsed()));
+fn sleep_until(started: Instant, at: Duration) {
+    std::thread::sleep(at.saturating_sub(started.elapsed()));
 }
 
-/// Callers ask again when their list lapses: nobody uses the stopped daemon
-/// later than the time to live after its stop.
-fn plan(options: &BenchOptions, over: Duration, ttl: Duration, entries: usize) -> Vec<Planned> {
+/// Plans the calls. Callers refresh the list of nodes when its TTL expires, so no call uses
+/// the stopped node later than the TTL after its stop.
+fn plan(
+    options: &BenchOptions,
+    duration: Duration,
+    ttl: Duration,
+    nodes: usize,
+) -> Vec<PlannedCall> {
     let short = policy::stream(60.0, (1_000, 8_000), (20, 120));
     let long = policy::stream(2.0, (30_000, 90_000), (40, 160));
     let all: Vec<usize> = (0..10).collect();
-    let mut planned = short.plan(options.seed, over, &all, entries);
-    planned.extend(long.plan(options.seed + 1, over, &all, entries));
-    const GRACE: Duration = Duration::from_millis(100);
-    let lapsed = over.mul_f64(STOP_AT) + ttl - GRACE;
+    let mut planned = short.plan(options.seed, duration, &all, nodes);
+    planned.extend(long.plan(options.seed + 1, duration, &all, nodes));
+    const SAFETY_MARGIN: Duration = Duration::from_millis(100);
+    let list_expired = duration.mul_f64(STOP_AT) + ttl - SAFETY_MARGIN;
     for call in planned
         .iter_mut()
-        .filter(|c| c.at > lapsed && c.entry == STOPPED)
+        .filter(|c| c.at > list_expired && c.entry == STOPPED_NODE)
     {
-        call.entry = STOPPED + 1;
+        call.entry = STOPPED_NODE + 1;
     }
     policy::with_timeout(planned, TIMEOUT)
 }
@@ -114,10 +129,11 @@
     measured.result.end != CallEnd::Whole
 }
 
-/// How long after its leaving an engine last got new work, in seconds.
-fn new_work_after(fleet: &Fleet, engine: usize, left_at: Instant) -> f64 {
+/// Returns how long after the start of its draining an engine last received new work, in
+/// seconds.
+fn new_work_after(fleet: &Fleet, engine: usize, drained_at: Instant) -> f64 {
     let counts = fleet.engine_counts(engine);
-    let now = left_at.elapsed().as_secs_f64();
+    let now = drained_at.elapsed().as_secs_f64();
     let ago = counts
         .last_received_ms_ago
         .map_or(now, |ms| ms as f64 / 1_000.0);
--- a/crates/notchwalk_standin/src/bench/lengths.rs
+++ b/crates/notchwalk_standin/src/bench/lengths.rs
@@ -1,92 +1,95 @@
-//! First token by prompt length, as a multiple of the same request on an idle
-//! fleet, and the fleet's throughput.
+//! Measures the time to first token by prompt length, as a multiple of the time on an idle
+//! fleet, and the throughput of the fleet.
 
 use std::time::Duration;
 
-use super::{ideal, policy, rounded, BenchOptions, Figures};
+use super::{ideal, policy, rounded, BenchOptions, Metrics};
 use crate::{
     fleet::Fleet,
     report::{class_of, Durations},
-    workload::{Measured, Planned},
+    workload::{Measured, PlannedCall},
 };
 
-/// The part of the fleet's capacity that the mix takes.
+/// Offered load as a fraction of the fleet's prefill capacity.
 const LOAD: f64 = 0.8;
-/// Prompts up to 100k tokens: 49 in 50.
-const USUAL: (u64, u64) = (1_000, 100_000);
-/// Longer ones: one in fifty.
-const OVER_100K: (u64, u64) = (100_000, 1_000_000);
-const OVER_100K_PART: f64 = 0.02;
-const KEYS: [&str; 4] = ["le4k", "le32k", "le128k", "le1m"];
-/// Lengths measured on the idle fleet; others lie on lines between them.
+/// Prompt lengths of most calls, in tokens.
+const USUAL_PROMPT: (u64, u64) = (1_000, 100_000);
+/// Prompt lengths of the other calls, in tokens.
+const LONG_PROMPT: (u64, u64) = (100_000, 1_000_000);
+const LONG_FRACTION: f64 = 0.02;
+const CLASS_KEYS: [&str; 4] = ["le4k", "le32k", "le128k", "le1m"];
+/// Prompt lengths measured on the idle fleet; others are interpolated.
 const IDLE_LENGTHS: [u64; 9] = [
     1_000, 2_000, 4_000, 16_000, 32_000, 100_000, 280_000, 500_000, 1_000_000,
 ];
 
 /// Runs the bench.
-pub fn run(options: &BenchOptions) -> Figures {
-    let mut figures = Figures::new();
+pub fn run(options: &BenchOptions) -> Metrics {
+    let mut metrics = Metrics::new();
     let mut idle = Vec::new();
     let mut throughput = Vec::new();
-    for name in policy::measured_policies(options) {
+    for name in policy::selected_policies(options) {
         let fleet = policy::fleet(name);
         if idle.is_empty() {
             idle = idle_times(&fleet);
         }
-        let before = tokens_made(&fleet);
-        let over = Duration::from_secs(options.seconds);
-        let planned = plan(options, &fleet, over);
+        let before = tokens_computed(&fleet);
+        let duration = Duration::from_secs(options.seconds);
+        let planned = plan(options, &fleet, duration);
         if throughput.is_empty() {
-            add_ideal(&mut figures, &fleet, &planned);
+            add_ideal(&mut metrics, &fleet, &planned);
         }
-        let (measured, made) = std::thread::scope(|scope| {
+        let (measured, tokens) = std::thread::scope(|scope| {
             let fleet = &fleet;
             let sender = scope.spawn(move || fleet.send(planned));
-            std::thread::sleep(over);
-            let made = tokens_made(fleet) - before;
-            (sender.join().expect("the callers end"), made)
+            std::thread::sleep(duration);
+            let tokens = tokens_computed(fleet) - before;
+            (sender.join().expect("sending thread panicked"), tokens)
         });
-        throughput.push((name, made as f64 / over.as_secs_f64()));
-        add_multiples(&mut figures, name, &measured, &idle);
-        figures.insert(
+        throughput.push((name, tokens as f64 / duration.as_secs_f64()));
+        add_multiples(&mut metrics, name, &measured, &idle);
+        metrics.insert(
             format!("{name}_not_whole"),
-            policy::not_whole(&measured).into(),
+            policy::incomplete(&measured).into(),
         );
     }
     for (name, tokens) in &throughput {
-        figures.insert(format!("{name}_tokens_per_s"), rounded(*tokens, 0));
+        metrics.insert(format!("{name}_tokens_per_s"), rounded(*tokens, 0));
     }
-    let of = |wanted: &str| throughput.iter().find(|(name, _)| *name == wanted);
-    if let (Some((_, fair)), Some((_, fifo))) = (of("fair"), of("fifo")) {
-        figures.insert("throughput_ratio".to_owned(), rounded(fair / fifo, 3));
+    let find = |wanted: &str| throughput.iter().find(|(name, _)| *name == wanted);
+    if let (Some((_, fair)), Some((_, fifo))) = (find("fair"), find("fifo")) {
+        metrics.insert("throughput_ratio".to_owned(), rounded(fair / fifo, 3));
     }
-    figures
+    metrics
 }
 
-fn plan(options: &BenchOptions, fleet: &Fleet, over: Duration) -> Vec<Planned> {
-    let mean = policy::mean_prompt(USUAL) * (1.0 - OVER_100K_PART)
-        + policy::mean_prompt(OVER_100K) * OVER_100K_PART;
+fn plan(options: &BenchOptions, fleet: &Fleet, duration: Duration) -> Vec<PlannedCall> {
+    let mean = policy::mean_prompt(USUAL_PROMPT) * (1.0 - LONG_FRACTION)
+        + policy::mean_prompt(LONG_PROMPT) * LONG_FRACTION;
     let per_s = policy::capacity_per_s(fleet) * LOAD / mean;
     let all: Vec<usize> = (0..fleet.config.bundle.workspaces.len()).collect();
-    let usual = policy::stream(per_s * (1.0 - OVER_100K_PART), USUAL, (8, 48));
-    let mut planned = usual.plan(options.seed, over, &all, fleet.config.entries);
-    let long = policy::stream(per_s * OVER_100K_PART, OVER_100K, (16, 64));
-    planned.extend(long.plan(options.seed + 1, over, &all, fleet.config.entries));
+    let usual = policy::stream(per_s * (1.0 - LONG_FRACTION), USUAL_PROMPT, (8, 48));
+    let mut planned = usual.plan(options.seed, duration, &all, fleet.config.entries);
+    let long = policy::stream(per_s * LONG_FRACTION, LONG_PROMPT, (16, 64));
+    planned.extend(long.plan(options.seed + 1, duration, &all, fleet.config.entries));
     planned
 }
 
-/// Measures prompts of chosen lengths on the idle fleet.
+/// Measures times to first token on the idle fleet. Returns (tokens, seconds) by length.
 fn idle_times(fleet: &Fleet) -> Vec<(f64, f64)> {
     const GAP: Duration = Duration::from_millis(400);
-    let planned = IDLE_LENGTHS.iter().enumerate().map(|(i, length)| Planned {
-        at: GAP * i as u32,
-        workspace: 0,
-        entry: i,
-        prompt_tokens: *length,
-        max_tokens: 4,
-        timeout: policy::TIMEOUT,
-        salt: 77_000 + i as u64,
-    });
+    let planned = IDLE_LENGTHS
+        .iter()
+        .enumerate()
+        .map(|(i, length)| PlannedCall {
+            at: GAP * i as u32,
+            workspace: 0,
+            entry: i,
+            prompt_tokens: *length,
+            max_tokens: 4,
+            timeout: policy::TIMEOUT,
+            salt: 77_000 + i as u64,
+        });
     let measured = fleet.send(planned.collect());
     let mut times: Vec<_> = measured
         .iter()
@@ -99,7 +102,7 @@
     times
 }
 
-/// The idle time of a length, on the line between its neighbours.
+/// Interpolates the idle time to first token of a prompt length, in seconds.
 fn idle_time(idle: &[(f64, f64)], tokens: f64) -> f64 {
     let above = idle.iter().position(|(length, _)| *length >= tokens);
     let above = above.unwrap_or(idle.len() - 1).max(1);
@@ -107,43 +110,47 @@
     y0 + (y1 - y0) * (tokens - x0) / (x1 - x0)
 }
 
-fn add_multiples(figures: &mut Figures, name: &str, measured: &[Measured], idle: &[(f64, f64)]) {
+fn add_multiples(metrics: &mut Metrics, name: &str, measured: &[Measured], idle: &[(f64, f64)]) {
     let multiples = measured.iter().map(|m| {
-        let took = m.result.first_token.unwrap_or(m.result.total);
+        let ttft = m.result.first_token.unwrap_or(m.result.total);
         let tokens = m.planned.prompt_tokens;
-        (tokens, took.as_secs_f64() / idle_time(idle, tokens as f64))
+        (tokens, ttft.as_secs_f64() / idle_time(idle, tokens as f64))
     });
-    add_quantiles(figures, name, multiples);
+    add_quantiles(metrics, name, multiples);
 }
 
-/// The same work, placed by one who knows everything.
-fn add_ideal(figures: &mut Figures, fleet: &Fleet, planned: &[Planned]) {
-    let one_engine = policy::capacity_per_s(fleet) / fleet.config.engines as f64;
-    let times = ideal::first_token_times(planned, fleet.config.engines, one_engine);
-    let multiples = planned.iter().zip(&times).map(|(call, took)| {
-        let alone = call.prompt_tokens as f64 / one_engine;
-        (call.prompt_tokens, took.as_secs_f64() / alone)
+/// Adds the quantiles of the lower bound from [`ideal`].
+fn add_ideal(metrics: &mut Metrics, fleet: &Fleet, planned: &[PlannedCall]) {
+    let engine_tokens_per_s = policy::capacity_per_s(fleet) / fleet.config.engines as f64;
+    let times = ideal::first_token_times(planned, fleet.config.engines, engine_tokens_per_s);
+    let multiples = planned.iter().zip(&times).map(|(call, ttft)| {
+        let alone = call.prompt_tokens as f64 / engine_tokens_per_s;
+        (call.prompt_tokens, ttft.as_secs_f64() / alone)
     });
-    add_quantiles(figures, "ideal", multiples);
+    add_quantiles(metrics, "ideal", multiples);
 }
 
-/// Adds the quantiles of multiples, by the class of their prompts' lengths.
-fn add_quantiles(figures: &mut Figures, name: &str, of_prompts: impl Iterator<Item = (u64, f64)>) {
-    // Multiples are kept as durations, a second for each whole one.
+/// Adds the quantiles of (tokens, multiple) pairs by prompt length class.
+fn add_quantiles(
+    metrics: &mut Metrics,
+    name: &str,
+    multiples_by_length: impl Iterator<Item = (u64, f64)>,
+) {
+    // A multiple of 1 is recorded as one second.
     let mut multiples: [Durations; 4] = Default::default();
-    for (tokens, multiple) in of_prompts {
+    for (tokens, multiple) in multiples_by_length {
         multiples[class_of(tokens)].add(Duration::from_secs_f64(multiple.max(0.0)));
     }
-    for (key, times) in KEYS.iter().zip(&multiples) {
+    for (key, times) in CLASS_KEYS.iter().zip(&multiples) {
         for (quantile, q) in [("p50", 0.5), ("p95", 0.95)] {
             let multiple = times.quantile_ms(q) / 1_000.0;
-            figures.insert(format!("{name}_{quantile}_{key}"), rounded(multiple, 2));
+            metrics.insert(format!("{name}_{quantile}_{key}"), rounded(multiple, 2));
         }
     }
 }
 
-/// Prompt and answer tokens that all engines made since their start.
-fn tokens_made(fleet: &Fleet) -> u64 {
+/// Returns the prompt and completion tokens computed by all engines since their start.
+fn tokens_computed(fleet: &Fleet) -> u64 {
     let counts = (0..fleet.engines.len()).map(|i| fleet.engine_counts(i));
     counts.map(|c| c.computed_tokens + c.generated_tokens).sum()
 }
--- a/crates/notchwalk_standin/src/bench/mod.rs
+++ b/crates/notchwalk_standin/src/bench/mod.rs
@@ -1,5 +1,4 @@
-//! Benches: each measures one thing and prints one JSON object on its last
-//! line.
+//! Benches. Each prints one JSON object on its last line.
 
 mod bundle;
 mod capacity;
@@ -22,50 +21,50 @@
 
 use serde_json::{Map, Value};
 
-/// How a bench is run.
+/// Options of a bench run.
 #[derive(Clone, Debug)]
 pub struct BenchOptions {
-    /// The seed of its traffic.
+    /// Seed of the traffic.
     pub seed: u64,
-    /// About how long each measured phase takes, in seconds.
+    /// Approximate duration of each measured phase, in seconds.
     pub seconds: u64,
-    /// Leaves out all policies but one; for tuning.
+    /// Restricts the bench to one policy or size.
     pub only: Option<String>,
 }
 
-/// What a bench measured, by key.
-pub type Figures = Map<String, Value>;
+/// Results of a bench by JSON key.
+pub type Metrics = Map<String, Value>;
 
-/// A bench: its name, what it measures, and how.
+/// A bench.
 pub struct Bench {
-    /// The name on the command line.
+    /// Name on the command line.
     pub name: &'static str,
-    /// What it measures.
+    /// One-line description.
     pub about: &'static str,
-    /// Runs it.
-    pub run: fn(&BenchOptions) -> Figures,
+    /// Function that runs the bench.
+    pub run: fn(&BenchOptions) -> Metrics,
 }
 
 /// All benches.
 pub const BENCHES: &[Bench] = &[
     Bench {
         name: "relay",
-        about: "what the daemon adds to the first token, and tokens a second through one",
+        about: "latency that a node adds to the first token, and relayed tokens per second",
         run: relay::run,
     },
     Bench {
         name: "slowdown",
-        about: "p95 first token of short requests with long work over without, for each policy",
+        about: "p95 time to first token of short requests, with long requests relative to without, per policy",
         run: slowdown::run,
     },
     Bench {
         name: "lengths",
-        about: "first token by prompt length over an idle fleet, and throughput, for each policy",
+        about: "time to first token by prompt length relative to an idle fleet, and throughput, per policy",
         run: lengths::run,
     },
     Bench {
         name: "fair",
-        about: "fairness among backlogged workspaces, one flooding with long jobs",
+        about: "fairness among backlogged workspaces, one of them flooding with long prompts",
         run: fair::run,
     },
     Bench {
@@ -75,72 +74,72 @@
     },
     Bench {
         name: "once",
-        about: "how often calls that may not repeat ran, with lost answers and a store outage",
+        about: "executions of calls that must not repeat, under lost responses and a store outage",
         run: once::run,
     },
     Bench {
         name: "leaving",
-        about: "new work on leaving servers, and requests cut off by a planned stop",
+        about: "new work on draining servers, and requests cut off by a planned stop",
         run: leaving::run,
     },
     Bench {
         name: "recovery",
-        about: "a daemon and two engines die under load",
+        about: "crash of a node and two engines under load",
         run: recovery::run,
     },
     Bench {
         name: "outage",
-        about: "requests while the platform is down for a minute",
+        about: "requests during a one-minute outage of the platform",
         run: outage::run,
     },
     Bench {
         name: "overload",
-        about: "goodput at ten times the load, and after it",
+        about: "goodput at ten times the capacity, and recovery",
         run: overload::run,
     },
     Bench {
         name: "bundle",
-        about: "how soon changes are in force everywhere, and what a change moves",
+        about: "time until a bundle change is in force on all nodes, and bytes transferred per change",
         run: bundle::run,
     },
     Bench {
         name: "orders",
-        about: "orders under the lease with its holder paused, on both kinds of engine",
+        about: "stale orders while the lease holder is paused, with and without fencing",
         run: orders::run,
     },
     Bench {
         name: "capacity",
-        about: "what control costs a node, as slopes, and worked out for the size aimed at",
+        about: "control-plane cost of a node over fleet sizes, extrapolated to the target size",
         run: capacity::run,
     },
     Bench {
         name: "soak",
-        about: "long randomised runs in virtual time, with faults; violations of what must hold",
+        about: "long randomised runs with faults in virtual time; counts invariant violations",
         run: soak::run,
     },
     Bench {
         name: "limits",
         about:
-            "the rate at servers that name limits, and the worst four seconds, up to 300 entries",
+            "rate at servers that announce limits, and the worst four seconds, with up to 300 nodes",
         run: limits::run,
     },
     Bench {
         name: "steps",
-        about: "events a second through the reducer, with 10 and 37,000 workspaces",
+        about: "events per second through the reducer, with 10 and 37,000 workspaces",
         run: steps::run,
     },
 ];
 
-/// Rounds a figure for printing.
+/// Rounds `x` to a number of decimal digits.
 pub(crate) fn rounded(x: f64, digits: i32) -> Value {
     let factor = 10f64.powi(digits);
     Value::from((x * factor).round() / factor)
 }
 
-/// Returns this process's resident memory in megabytes: all that runs here.
+/// Returns the resident memory of this process in megabytes.
 pub(crate) fn rss_mb() -> f64 {
-    const PAGE: f64 = 4_096.0;
+    const PAGE_BYTES: f64 = 4_096.0;
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm.split(' ').nth(1).and_then(|n| n.parse::<f64>().ok());
-    pages.unwrap_or(0.0) * PAGE / 1e6
+    pages.unwrap_or(0.0) * PAGE_BYTES / 1e6
 }
--- a/crates/notchwalk_standin/src/bench/once.rs
+++ b/crates/notchwalk_standin/src/bench/once.rs
@@ -1,4 +1,5 @@
-//! Calls that may not repeat: how often they really ran.
+//! Measures how often calls that must not repeat are executed, under lost responses and a
+//! platform outage.
 
 use std::{
     cell::RefCell,
@@ -12,7 +13,7 @@
 use notchwalk_http::prelude::*;
 use notchwalk_wire::{ApiError, OutcomeWord};
 
-use super::{policy, rounded, BenchOptions, Figures};
+use super::{policy, rounded, BenchOptions, Metrics};
 use crate::{
     caller::bearer,
     fleet::{Fleet, FleetConfig},
@@ -21,83 +22,83 @@
     thread::block_on,
 };
 
-/// Callers at the same time.
+/// Number of concurrent callers.
 const CALLERS: usize = 400;
-/// Tries of each call, on different entries.
-const TRIES: usize = 3;
+/// Attempts of each call, on different nodes.
+const ATTEMPTS: usize = 3;
 
-/// How one try ended.
+/// The outcome of one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Ended {
-    Done,
-    Told(OutcomeWord),
-    Cut,
+enum AttemptOutcome {
+    Completed,
+    Failed(OutcomeWord),
+    ConnectionLost,
 }
 
-type Tries = HashMap<String, Vec<Ended>>;
+type Attempts = HashMap<String, Vec<AttemptOutcome>>;
 
 /// Runs the bench.
-pub fn run(options: &BenchOptions) -> Figures {
-    let mut figures = Figures::new();
+pub fn run(options: &BenchOptions) -> Metrics {
+    let mut metrics = Metrics::new();
     let with_key = measure(options, true);
     let without = measure(options, false);
-    figures.insert("duplicate_runs".to_owned(), with_key.duplicates.into());
-    figures.insert(
+    metrics.insert("duplicate_runs".to_owned(), with_key.duplicate_runs.into());
+    metrics.insert(
         "duplicate_runs_without_key".to_owned(),
-        without.duplicates.into(),
+        without.duplicate_runs.into(),
     );
-    figures.insert(
+    metrics.insert(
         "false_not_run".to_owned(),
         (with_key.false_not_run + without.false_not_run).into(),
     );
-    figures.insert(
+    metrics.insert(
         "unknown_ratio".to_owned(),
         rounded(with_key.unknown_ratio, 4),
     );
-    figures.insert("claims_per_s".to_owned(), rounded(with_key.per_s, 1));
-    figures.insert("calls".to_owned(), with_key.calls.into());
-    figures
+    metrics.insert("claims_per_s".to_owned(), rounded(with_key.per_s, 1));
+    metrics.insert("calls".to_owned(), with_key.calls.into());
+    metrics
 }
 
-struct Measured {
-    duplicates: u64,
+struct Outcome {
+    duplicate_runs: u64,
     false_not_run: u64,
     unknown_ratio: f64,
     per_s: f64,
     calls: usize,
 }
 
-/// Calls with lost answers of services and store, and a store outage.
-fn measure(options: &BenchOptions, with_key: bool) -> Measured {
+/// Sends calls while services and store lose responses and the platform is down for 1 s.
+fn measure(options: &BenchOptions, with_key: bool) -> Outcome {
     let config = FleetConfig::new(policy::workspaces()).with_sizes(6, 1, 3);
     let fleet = Fleet::start(config);
     for service in &fleet.services {
         let fault = ServiceFault {
             slow_ms: 5,
             dead: false,
-            lose_every: 17,
+            drop_response_every: 17,
         };
-        fleet.control(service.addr, "/standin/fault", &fault);
+        fleet.post_control(service.addr, "/standin/fault", &fault);
     }
-    let losing = PlatformFault {
-        lose_answers: 0.05,
+    let lossy = PlatformFault {
+        response_loss_ratio: 0.05,
         ..PlatformFault::default()
     };
-    fleet.set_platform_fault(losing);
-    let over = Duration::from_secs(options.seconds);
-    let entries = fleet.entries();
+    fleet.set_platform_fault(lossy);
+    let duration = Duration::from_secs(options.seconds);
+    let nodes = fleet.entries();
     let key = fleet.key(0).to_owned();
-    let tries = std::thread::scope(|scope| {
-        let sender = scope.spawn(move || block_on(call_all(entries, key, over, with_key)));
-        std::thread::sleep(over / 2);
+    let attempts = std::thread::scope(|scope| {
+        let sender = scope.spawn(move || block_on(send_calls(nodes, key, duration, with_key)));
+        std::thread::sleep(duration / 2);
         let down = PlatformFault {
             down: true,
             ..PlatformFault::default()
         };
         fleet.set_platform_fault(down);
         std::thread::sleep(Duration::from_secs(1));
-        fleet.set_platform_fault(losing);
-        sender.join().expect("the callers end")
+        fleet.set_platform_fault(lossy);
+        sender.join().expect("sending thread panicked")
     });
     let mut runs: HashMap<String, u64> = HashMap::new();
     for service in &fleet.services {
@@ -106,75 +107,84 @@
             *runs.entry(call).or_default() += n;
         }
     }
-    judge(&tries, &runs, over)
+    evaluate(&attempts, &runs, duration)
 }
 
-fn judge(tries: &Tries, runs: &HashMap<String, u64>, over: Duration) -> Measured {
-    let all: Vec<Ended> = tries.values().flatten().copied().collect();
-    let unknown = all
+fn evaluate(attempts: &Attempts, runs: &HashMap<String, u64>, duration: Duration) -> Outcome {
+    let all_outcomes: Vec<AttemptOutcome> = attempts.values().flatten().copied().collect();
+    let unknown = all_outcomes
         .iter()
-        .filter(|e| **e == Ended::Told(OutcomeWord::Unknown));
-    let not_run = Ended::Told(OutcomeWord::NotRun);
-    let never = tries
+        .filter(|e| **e == AttemptOutcome::Failed(OutcomeWord::Unknown));
+    let not_run = AttemptOutcome::Failed(OutcomeWord::NotRun);
+    let never_run = attempts
         .iter()
-        .filter(|(_, ends)| ends.iter().all(|e| *e == not_run));
-    let false_not_run = never.filter(|(call, _)| runs.contains_key(*call)).count();
-    let done = tries.values().filter(|ends| ends.contains(&Ended::Done));
-    Measured {
-        duplicates: runs.values().map(|n| n.saturating_sub(1)).sum(),
+        .filter(|(_, outcomes)| outcomes.iter().all(|e| *e == not_run));
+    let false_not_run = never_run
+        .filter(|(call, _)| runs.contains_key(*call))
+        .count();
+    let done = attempts
+        .values()
+        .filter(|outcomes| outcomes.contains(&AttemptOutcome::Completed));
+    Outcome {
+        duplicate_runs: runs.values().map(|n| n.saturating_sub(1)).sum(),
         false_not_run: false_not_run as u64,
-        unknown_ratio: unknown.count() as f64 / all.len().max(1) as f64,
-        per_s: done.count() as f64 / over.as_secs_f64(),
-        calls: tries.len(),
+        unknown_ratio: unknown.count() as f64 / all_outcomes.len().max(1) as f64,
+        per_s: done.count() as f64 / duration.as_secs_f64(),
+        calls: attempts.len(),
     }
 }
 
-async fn call_all(entries: Vec<SocketAddr>, key: String, over: Duration, with_key: bool) -> Tries {
-    let began = Instant::now();
-    let tries = Rc::new(RefCell::new(Tries::new()));
+async fn send_calls(
+    nodes: Vec<SocketAddr>,
+    key: String,
+    duration: Duration,
+    with_key: bool,
+) -> Attempts {
+    let started = Instant::now();
+    let attempts = Rc::new(RefCell::new(Attempts::new()));
     let mut tasks = Vec::new();
     let client = Client::new();
     for caller in 0..CALLERS {
-        let (entries, key, tries) = (entries.clone(), key.clone(), tries.clone());
+        let (nodes, key, attempts) = (nodes.clone(), key.clone(), attempts.clone());
         let client = client.clone();
         tasks.push(monoio::spawn(async move {
             let mut n = 0;
-            while began.elapsed() < over {
+            while started.elapsed() < duration {
                 n += 1;
                 let call = format!("hold-{caller}-{n}");
-                let mut ends = Vec::new();
-                for i in 0..TRIES {
-                    let entry = entries[(caller + n + i) % entries.len()];
-                    let end = try_call(&client, entry, &key, &call, with_key).await;
-                    ends.push(end);
-                    // The first try tells; a caller that got its answer asks
-                    // once more, as after a lost page.
-                    if end == Ended::Done && i > 0 {
+                let mut outcomes = Vec::new();
+                for i in 0..ATTEMPTS {
+                    let node = nodes[(caller + n + i) % nodes.len()];
+                    let outcome = send_attempt(&client, node, &key, &call, with_key).await;
+                    outcomes.push(outcome);
+                    // With an idempotency key a completed first attempt is repeated, to
+                    // detect duplicate executions.
+                    if outcome == AttemptOutcome::Completed && i > 0 {
                         break;
                     }
-                    if !with_key && end == Ended::Done {
+                    if !with_key && outcome == AttemptOutcome::Completed {
                         break;
                     }
                 }
-                tries.borrow_mut().insert(call, ends);
+                attempts.borrow_mut().insert(call, outcomes);
             }
         }));
     }
     for task in tasks {
         task.await;
     }
-    tries.take()
+    attempts.take()
 }
 
-async fn try_call(
+async fn send_attempt(
     client: &Client,
-    entry: SocketAddr,
+    node: SocketAddr,
     key: &str,
     call: &str,
     with_key: bool,
-) -> Ended {
+) -> AttemptOutcome {
     const TIMEOUT: Duration = Duration::from_secs(15);
-    let value = HeaderValue::from_str(call).expect("plain text");
+    let value = HeaderValue::from_str(call).expect("call id is not a valid header value");
     let mut req = OutgoingRequest::new(Method::POST, "/v1/services/bookdesk/holds")
         .with_header(header::AUTHORIZATION, bearer(key))
         .with_header(HeaderName::from_static("x-call"), value.clone())
@@ -182,14 +192,14 @@
     if with_key {
         req = req.with_header(HeaderName::from_static("idempotency-key"), value);
     }
-    let Ok(answer) = client.send(entry, req, TIMEOUT, 1 << 20).await else {
-        return Ended::Cut;
+    let Ok(response) = client.send(node, req, TIMEOUT, 1 << 20).await else {
+        return AttemptOutcome::ConnectionLost;
     };
-    if answer.status.is_success() {
-        return Ended::Done;
+    if response.status.is_success() {
+        return AttemptOutcome::Completed;
     }
-    match answer.json::<ApiError>() {
-        Ok(e) => Ended::Told(e.error.outcome),
-        Err(_) => Ended::Cut,
+    match response.json::<ApiError>() {
+        Ok(e) => AttemptOutcome::Failed(e.error.outcome),
+        Err(_) => AttemptOutcome::ConnectionLost,
     }
 }
--- a/crates/notchwalk_standin/src/bench/orders.rs
+++ b/crates/notchwalk_standin/src/bench/orders.rs
@@ -1,37 +1,35 @@
-//! Orders to engines while the holder of the lease is paused.
+//! Counts stale orders that engines execute after the lease holder was paused.
 
 use std::time::{Duration, Instant};
 
 use notchwalk_wire::LoadReport;
 
-use super::{policy, rounded, BenchOptions, Figures};
+use super::{policy, rounded, BenchOptions, Metrics};
 use crate::fleet::{Fleet, FleetConfig};
 
-/// Longer than the lease, shorter than the pause that engines without fencing
-/// are guarded against.
-const PAUSE: Duration = Duration::from_secs(8);
-/// How long everything may take.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Longer than the lease, but within the pause that is safe for engines without fencing.
+const PAUSE_DURATION: Duration = Duration::from_secs(8);
+const TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Runs the bench.
-pub fn run(_options: &BenchOptions) -> Figures {
-    let mut figures = Figures::new();
-    let mut stale = 0;
+pub fn run(_options: &BenchOptions) -> Metrics {
+    let mut metrics = Metrics::new();
+    let mut stale_orders = 0;
     for (name, checks_fence) in [("fenced", true), ("unfenced", false)] {
         let outcome = measure(checks_fence);
-        stale += outcome.stale;
-        figures.insert(
+        stale_orders += outcome.stale_orders;
+        metrics.insert(
             format!("{name}_loaded_after_s"),
             rounded(outcome.loaded_after_s, 1),
         );
-        figures.insert(format!("{name}_new_holder"), outcome.new_holder.into());
+        metrics.insert(format!("{name}_new_holder"), outcome.new_holder.into());
     }
-    figures.insert("stale_orders_run".to_owned(), stale.into());
-    figures
+    metrics.insert("stale_orders_run".to_owned(), stale_orders.into());
+    metrics
 }
 
 struct Outcome {
-    stale: u64,
+    stale_orders: u64,
     loaded_after_s: f64,
     new_holder: bool,
 }
@@ -45,26 +43,26 @@
     let holder = wait_for_holder(&fleet, None);
     let mut spec = fleet.config.bundle.clone();
     spec.versions = ["v1", "v2", "v3"].map(str::to_owned).to_vec();
-    let began = Instant::now();
+    let started = Instant::now();
     let parts = fleet.operators.parts(&spec);
     fleet
         .submit(&parts, "two more versions")
-        .expect("it is accepted");
-    // In the midst of its orders.
+        .expect("bundle was rejected");
+    // Pauses the holder while it sends its orders.
     std::thread::sleep(Duration::from_millis(900));
-    let paused = fleet.daemons[holder].as_ref().expect("it runs");
+    let paused = fleet.daemons[holder].as_ref().expect("node is not running");
     paused.pause();
     let paused_at = Instant::now();
     let new_holder = wait_for_holder(&fleet, Some(holder)) != holder;
-    std::thread::sleep(PAUSE.saturating_sub(paused_at.elapsed()));
+    std::thread::sleep(PAUSE_DURATION.saturating_sub(paused_at.elapsed()));
     paused.resume();
     wait_until_loaded(&fleet, &spec.versions);
-    let loaded_after_s = began.elapsed().as_secs_f64();
-    // Time for the woken one to do harm.
+    let loaded_after_s = started.elapsed().as_secs_f64();
+    // Allows the resumed node to send stale orders.
     std::thread::sleep(Duration::from_secs(3));
     let engines = 0..fleet.engines.len();
     Outcome {
-        stale: engines
+        stale_orders: engines
             .map(|i| fleet.engine_counts(i).stale_orders_run)
             .sum(),
         loaded_after_s,
@@ -72,33 +70,39 @@
     }
 }
 
-/// Waits until a daemon holds the lease, one that is not paused.
+/// Waits until a node other than `paused` holds the lease. Returns its index.
 fn wait_for_holder(fleet: &Fleet, paused: Option<usize>) -> usize {
-    let began = Instant::now();
+    let started = Instant::now();
     loop {
-        for (i, daemon) in fleet.daemons.iter().enumerate() {
-            let Some(daemon) = daemon.as_ref().filter(|_| paused != Some(i)) else {
+        for (i, node) in fleet.daemons.iter().enumerate() {
+            let Some(node) = node.as_ref().filter(|_| paused != Some(i)) else {
                 continue;
             };
-            let dump: serde_json::Value = fleet.read(daemon.addresses.operator, "/dump");
+            let dump: serde_json::Value = fleet.read(node.addresses.operator, "/dump");
             if dump["order_fence"].is_u64() {
                 return i;
             }
         }
-        assert!(began.elapsed() < PATIENCE, "nobody holds the lease");
+        assert!(
+            started.elapsed() < TIMEOUT,
+            "no node acquired the lease in time"
+        );
         std::thread::sleep(Duration::from_millis(50));
     }
 }
 
 fn wait_until_loaded(fleet: &Fleet, versions: &[String]) {
-    let began = Instant::now();
+    let started = Instant::now();
     let has_all = |i: usize| {
         let report: LoadReport = fleet.read(fleet.engines[i].addr, "/v1/load");
         let loaded = &report.loaded[0].versions;
         versions.iter().all(|v| loaded.contains(v))
     };
     while !(0..fleet.engines.len()).all(has_all) {
-        assert!(began.elapsed() < PATIENCE, "the versions are not loaded");
+        assert!(
+            started.elapsed() < TIMEOUT,
+            "engines did not load all versions in time"
+        );
         std::thread::sleep(Duration::from_millis(100));
     }
 }
--- a/crates/notchwalk_standin/src/bench/outage.rs
+++ b/crates/notchwalk_standin/src/bench/outage.rs
@@ -1,23 +1,23 @@
-//! The whole platform is down for a minute under load.
+//! Measures requests during a one-minute outage of the whole platform.
 
 use std::time::Duration;
 
-use super::{policy, BenchOptions, Figures};
+use super::{policy, BenchOptions, Metrics};
 use crate::{
     fleet::{Fleet, FleetConfig},
     platform::PlatformFault,
     report,
 };
 
-/// How long the platform is down.
-const DOWN: Duration = Duration::from_secs(60);
-/// Load before and after.
-const AROUND: Duration = Duration::from_secs(4);
-/// The timeout of all calls.
+/// Duration of the outage.
+const OUTAGE: Duration = Duration::from_secs(60);
+/// Duration of the load before and after the outage.
+const MARGIN: Duration = Duration::from_secs(4);
+/// Timeout of all calls.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Runs the bench.
-pub fn run(options: &BenchOptions) -> Figures {
+pub fn run(options: &BenchOptions) -> Metrics {
     let config = FleetConfig::new(policy::workspaces())
         .with_sizes(6, 12, 0)
         .with_time_scale(policy::TIME_SCALE)
@@ -25,22 +25,27 @@
     let fleet = Fleet::start(config);
     let all: Vec<usize> = (0..10).collect();
     let stream = policy::stream(40.0, (1_000, 20_000), (20, 80));
-    let planned = stream.plan(options.seed, DOWN + AROUND * 2, &all, fleet.config.entries);
+    let planned = stream.plan(
+        options.seed,
+        OUTAGE + MARGIN * 2,
+        &all,
+        fleet.config.entries,
+    );
     let sending = fleet.start_sending(policy::with_timeout(planned, TIMEOUT));
-    std::thread::sleep(AROUND);
+    std::thread::sleep(MARGIN);
     let down = PlatformFault {
         down: true,
         ..PlatformFault::default()
     };
     fleet.set_platform_fault(down);
-    std::thread::sleep(DOWN);
+    std::thread::sleep(OUTAGE);
     fleet.set_platform_fault(PlatformFault::default());
     let measured = sending.wait();
-    let mut figures = Figures::new();
-    figures.insert("requests".to_owned(), measured.len().into());
-    figures.insert("not_whole".to_owned(), policy::not_whole(&measured).into());
+    let mut metrics = Metrics::new();
+    metrics.insert("requests".to_owned(), measured.len().into());
+    metrics.insert("not_whole".to_owned(), policy::incomplete(&measured).into());
     for (outcome, count) in report::outcomes(&measured) {
         log::info!("{outcome}: {count}");
     }
-    figures
+    metrics
 }
--- a/crates/notchwalk_standin/src/bench/overload.rs
+++ b/crates/notchwalk_standin/src/bench/overload.rs
@@ -1,49 +1,54 @@
-//! Ten times the load that the fleet carries.
+//! Measures goodput at ten times the fleet's capacity, and the recovery after it.
 
 use std::time::Duration;
 
-use super::{policy, rounded, BenchOptions, Figures};
+use super::{policy, rounded, BenchOptions, Metrics};
 use crate::{
     caller::CallEnd,
     fleet::{Fleet, FleetConfig},
     report::Durations,
-    workload::{Measured, Planned},
+    workload::{Measured, PlannedCall},
 };
 
-const PROMPT: (u64, u64) = (1_000, 4_000);
-const ANSWER: (u32, u32) = (8, 32);
-/// What a caller waits for an answer.
+const PROMPT_TOKENS: (u64, u64) = (1_000, 4_000);
+const COMPLETION_TOKENS: (u32, u32) = (8, 32);
+/// Caller timeout.
 const TIMEOUT: Duration = Duration::from_millis(2_500);
-/// The load before and after.
-const NORMAL: f64 = 0.7;
-/// The load taken for the peak.
-const PEAK: f64 = 1.1;
-/// The overload.
-const TIMES: f64 = 10.0;
+/// Load after the overload, as a multiple of the capacity.
+const NORMAL_LOAD: f64 = 0.7;
+/// Load that gives the peak goodput, as a multiple of the capacity.
+const PEAK_LOAD: f64 = 1.1;
+/// Load of the overload, as a multiple of the capacity.
+const OVERLOAD: f64 = 10.0;
 
 /// Runs the bench.
-pub fn run(options: &BenchOptions) -> Figures {
-    let mut figures = Figures::new();
-    let measured = policy::measured_policies(options).into_iter();
+pub fn run(options: &BenchOptions) -> Metrics {
+    let mut metrics = Metrics::new();
+    let measured = policy::selected_policies(options).into_iter();
     for name in measured.filter(|name| *name != "least_loaded") {
         let fleet = fleet(name);
         let seconds = Duration::from_secs(options.seconds);
-        let peak = goodput(&send(&fleet, options.seed, PEAK, seconds), seconds);
-        let over = send(&fleet, options.seed + 1, TIMES, seconds);
-        let after = send(&fleet, options.seed + 2, NORMAL, Duration::from_secs(4));
+        let peak = goodput(&send(&fleet, options.seed, PEAK_LOAD, seconds), seconds);
+        let overloaded = send(&fleet, options.seed + 1, OVERLOAD, seconds);
+        let after = send(
+            &fleet,
+            options.seed + 2,
+            NORMAL_LOAD,
+            Duration::from_secs(4),
+        );
         let prefix = if name == "fair" { "" } else { "fifo_" };
-        let ratio = goodput(&over, seconds) / peak;
-        figures.insert(format!("{prefix}goodput_ratio"), rounded(ratio, 3));
-        figures.insert(format!("{prefix}peak_per_s"), rounded(peak, 1));
-        figures.insert(format!("{prefix}p95_after_ms"), rounded(p95_ms(&after), 0));
-        figures.insert(
+        let ratio = goodput(&overloaded, seconds) / peak;
+        metrics.insert(format!("{prefix}goodput_ratio"), rounded(ratio, 3));
+        metrics.insert(format!("{prefix}peak_per_s"), rounded(peak, 1));
+        metrics.insert(format!("{prefix}p95_after_ms"), rounded(p95_ms(&after), 0));
+        metrics.insert(
             format!("{prefix}not_whole_after"),
-            policy::not_whole(&after).into(),
+            policy::incomplete(&after).into(),
         );
-        figures.insert(format!("{prefix}refused"), refused(&over).into());
+        metrics.insert(format!("{prefix}refused"), refused(&overloaded).into());
     }
-    figures.insert("rss_mb".to_owned(), rounded(super::rss_mb(), 1));
-    figures
+    metrics.insert("rss_mb".to_owned(), rounded(super::rss_mb(), 1));
+    metrics
 }
 
 fn fleet(policy: &str) -> Fleet {
@@ -54,19 +59,19 @@
     Fleet::start(config)
 }
 
-fn send(fleet: &Fleet, seed: u64, load: f64, over: Duration) -> Vec<Measured> {
-    let per_s = policy::capacity_per_s(fleet) * load / policy::mean_prompt(PROMPT);
-    let mut stream = policy::stream(per_s, PROMPT, ANSWER);
+fn send(fleet: &Fleet, seed: u64, load: f64, duration: Duration) -> Vec<Measured> {
+    let per_s = policy::capacity_per_s(fleet) * load / policy::mean_prompt(PROMPT_TOKENS);
+    let mut stream = policy::stream(per_s, PROMPT_TOKENS, COMPLETION_TOKENS);
     stream.timeout = TIMEOUT;
     let all: Vec<usize> = (0..10).collect();
-    let planned: Vec<Planned> = stream.plan(seed, over, &all, fleet.config.entries);
+    let planned: Vec<PlannedCall> = stream.plan(seed, duration, &all, fleet.config.entries);
     fleet.send(planned)
 }
 
-/// Whole answers a second, in time.
-fn goodput(measured: &[Measured], over: Duration) -> f64 {
+/// Returns the complete responses per second.
+fn goodput(measured: &[Measured], duration: Duration) -> f64 {
     let good = measured.iter().filter(|m| m.result.end == CallEnd::Whole);
-    good.count() as f64 / over.as_secs_f64()
+    good.count() as f64 / duration.as_secs_f64()
 }
 
 fn p95_ms(measured: &[Measured]) -> f64 {
@@ -77,11 +82,11 @@
     times.quantile_ms(0.95)
 }
 
-/// Requests that were told at once to come back later.
+/// Counts requests rejected with status 429 within 500 ms.
 fn refused(measured: &[Measured]) -> usize {
-    let told = |m: &&Measured| {
-        let at_once = m.result.total < Duration::from_millis(500);
-        at_once && matches!(m.result.end, CallEnd::Failed { status: 429, .. })
+    let is_refused = |m: &&Measured| {
+        let immediate = m.result.total < Duration::from_millis(500);
+        immediate && matches!(m.result.end, CallEnd::Failed { status: 429, .. })
     };
-    measured.iter().filter(told).count()
+    measured.iter().filter(is_refused).count()
 }
--- a/crates/notchwalk_standin/src/bench/policy.rs
+++ b/crates/notchwalk_standin/src/bench/policy.rs
@@ -1,5 +1,4 @@
-//! What the benches of the policy share: fleets under each policy, and mixes
-//! modelled on both deployments.
+//! Shared parts of the policy benches: fleets, traffic and capacity.
 
 use std::{path::PathBuf, time::Duration};
 
@@ -8,23 +7,23 @@
     caller::CallEnd,
     fleet::{Fleet, FleetConfig},
     operators::WorkspaceSpec,
-    workload::{Measured, Planned, Stream},
+    workload::{Measured, PlannedCall, Stream},
 };
 
-/// How many times faster than real the engines run.
+/// Speed-up of the engines over real time.
 pub const TIME_SCALE: f64 = 5.0;
-/// The policies, by their names in the bundle.
+/// Policies by their names in the bundle.
 const POLICIES: [&str; 3] = ["fair", "fifo", "least_loaded"];
-/// Returns the policies that are to be measured.
-pub fn measured_policies(options: &BenchOptions) -> Vec<&'static str> {
-    let wanted = |name: &&str| options.only.as_deref().is_none_or(|only| only == *name);
-    POLICIES.into_iter().filter(wanted).collect()
+/// Returns the policies to measure.
+pub fn selected_policies(options: &BenchOptions) -> Vec<&'static str> {
+    let is_selected = |name: &&str| options.only.as_deref().is_none_or(|only| only == *name);
+    POLICIES.into_iter().filter(is_selected).collect()
 }
 
-/// No request of these benches needs longer.
+/// Timeout of calls; longer than any request of these benches takes.
 pub const TIMEOUT: Duration = Duration::from_secs(180);
 
-/// Ten workspaces, a few of them large.
+/// Returns ten workspaces of unequal weights.
 pub fn workspaces() -> Vec<WorkspaceSpec> {
     const WEIGHTS: [f64; 10] = [4.0, 4.0, 3.0, 2.0, 2.0, 1.0, 1.0, 1.0, 1.0, 1.0];
     let named = WEIGHTS.iter().enumerate();
@@ -33,56 +32,56 @@
         .collect()
 }
 
-/// Starts six daemons and twenty engines under a policy.
+/// Starts six nodes and twenty engines with a policy.
 pub fn fleet(policy: &str) -> Fleet {
-    let lines = format!(
+    let settings = format!(
         "kind = {policy}\nmax_timeout_ms = 3600000\nmax_requests = 100000\nageing_ms = 4000\n"
     );
     let config = FleetConfig::new(workspaces())
         .with_time_scale(TIME_SCALE)
-        .with_policy(&lines);
+        .with_policy(&settings);
     Fleet::start(config)
 }
 
-/// A stream of prompts of a length class.
-pub fn stream(per_s: f64, prompts: (u64, u64), answers: (u32, u32)) -> Stream {
+/// Returns a traffic class with the given rate and ranges of prompt and completion lengths.
+pub fn stream(per_s: f64, prompts: (u64, u64), completions: (u32, u32)) -> Stream {
     Stream {
         per_s,
         min_prompt: prompts.0,
         max_prompt: prompts.1,
-        min_answer: answers.0,
-        max_answer: answers.1,
+        min_answer: completions.0,
+        max_answer: completions.1,
         timeout: TIMEOUT,
     }
 }
 
-/// Prompt tokens a second that the fleet of these benches can compute.
+/// Returns the prefill capacity of a fleet, in prompt tokens per second.
 pub fn capacity_per_s(fleet: &Fleet) -> f64 {
-    const ONE_ENGINE: f64 = 512.0 / 0.028_48;
-    ONE_ENGINE * fleet.config.time_scale * fleet.config.engines as f64
+    const ENGINE_TOKENS_PER_S: f64 = 512.0 / 0.028_48;
+    ENGINE_TOKENS_PER_S * fleet.config.time_scale * fleet.config.engines as f64
 }
 
-/// The mean length of prompts spread evenly over orders of magnitude.
+/// Returns the mean of a log-uniform distribution of prompt lengths.
 pub fn mean_prompt(prompts: (u64, u64)) -> f64 {
     let (low, high) = (prompts.0 as f64, prompts.1 as f64);
     (high - low) / (high / low).ln()
 }
 
-/// Returns the path of this program, which runs daemons as processes.
+/// Returns the path of this program, which runs nodes as separate processes.
 pub fn this_program() -> PathBuf {
-    std::env::current_exe().expect("a program has a path")
+    std::env::current_exe().expect("path of the program is unknown")
 }
 
 /// Sets the timeout of all calls.
-pub fn with_timeout(mut planned: Vec<Planned>, timeout: Duration) -> Vec<Planned> {
+pub fn with_timeout(mut planned: Vec<PlannedCall>, timeout: Duration) -> Vec<PlannedCall> {
     for call in &mut planned {
         call.timeout = timeout;
     }
     planned
 }
 
-/// How many calls did not end with a whole answer.
-pub fn not_whole(measured: &[Measured]) -> usize {
-    let failed = |m: &&Measured| m.result.end != CallEnd::Whole;
-    measured.iter().filter(failed).count()
+/// Counts calls without a complete response.
+pub fn incomplete(measured: &[Measured]) -> usize {
+    let is_incomplete = |m: &&Measured| m.result.end != CallEnd::Whole;
+    measured.iter().filter(is_incomplete).count()
 }
--- a/crates/notchwalk_standin/src/bench/relay.rs
+++ b/crates/notchwalk_standin/src/bench/relay.rs
@@ -1,5 +1,5 @@
-//! What one daemon adds to the first token, and how many tokens a second it
-//! passes on, directly and through it in the same run.
+//! Measures the latency that one node adds to the first token and the tokens per second that
+//! it relays, compared with direct requests to the engines.
 
 use std::{
     net::SocketAddr,
@@ -11,7 +11,7 @@
 use notchwalk_http::prelude::*;
 use notchwalk_wire::{GenerateRequest, Prompt};
 
-use super::{rounded, BenchOptions, Figures};
+use super::{rounded, BenchOptions, Metrics};
 use crate::{
     caller::{self, Call, CallEnd},
     fleet::{Fleet, FleetConfig},
@@ -21,47 +21,47 @@
     workload::prompt_text,
 };
 
-/// Streams at the same time in the throughput phase.
+/// Number of concurrent streams in the throughput phase.
 const STREAMS: usize = 200;
-/// How many times faster than real the engines run in the throughput phase:
-/// so fast that the daemon is the slowest part.
+/// Speed-up of the engines over real time in the throughput phase, so that the node is the
+/// bottleneck.
 const THROUGHPUT_SCALE: f64 = 60.0;
-/// Requests of the first-token phase.
+/// Number of requests in the first-token phase.
 const SINGLE_REQUESTS: u64 = 1_500;
-/// The answer's length in the throughput phase.
-const LONG_ANSWER: u32 = 20_000;
-/// When counting begins, and how long it lasts: all streams run all the time.
+/// Completion length in the throughput phase, in tokens.
+const LONG_COMPLETION_TOKENS: u32 = 20_000;
+/// Start of counting, when all streams are running.
 const COUNT_FROM: Duration = Duration::from_millis(800);
-/// See [`COUNT_FROM`].
+/// Duration of counting; shorter than any stream.
 const COUNT_FOR: Duration = Duration::from_millis(1_500);
 
 /// Runs the bench.
-pub fn run(options: &BenchOptions) -> Figures {
-    let (direct, through) = block_on(first_tokens(&fleet(20.0), options.seed));
+pub fn run(options: &BenchOptions) -> Metrics {
+    let (direct, relayed) = block_on(first_tokens(&fleet(20.0), options.seed));
     let tokens_per_s = throughput(&fleet(THROUGHPUT_SCALE), options);
-    let mut figures = Figures::new();
+    let mut metrics = Metrics::new();
     for (name, q) in [("p50", 0.5), ("p95", 0.95)] {
-        let (direct, through) = (direct.quantile_ms(q), through.quantile_ms(q));
-        figures.insert(
+        let (direct, relayed) = (direct.quantile_ms(q), relayed.quantile_ms(q));
+        metrics.insert(
             format!("added_first_token_ms_{name}"),
-            rounded(through - direct, 3),
+            rounded(relayed - direct, 3),
         );
-        figures.insert(format!("direct_first_token_ms_{name}"), rounded(direct, 3));
+        metrics.insert(format!("direct_first_token_ms_{name}"), rounded(direct, 3));
     }
-    figures.insert("tokens_per_s".to_owned(), rounded(tokens_per_s.through, 0));
-    figures.insert(
+    metrics.insert("tokens_per_s".to_owned(), rounded(tokens_per_s.relayed, 0));
+    metrics.insert(
         "direct_tokens_per_s".to_owned(),
         rounded(tokens_per_s.direct, 0),
     );
-    figures.insert(
+    metrics.insert(
         "daemon_core_used".to_owned(),
-        rounded(tokens_per_s.core_used, 2),
+        rounded(tokens_per_s.cores_used, 2),
     );
-    figures.insert("rss_mb".to_owned(), rounded(super::rss_mb(), 1));
-    figures
+    metrics.insert("rss_mb".to_owned(), rounded(super::rss_mb(), 1));
+    metrics
 }
 
-/// Starts one daemon before six engines.
+/// Starts one node and six engines.
 fn fleet(time_scale: f64) -> Fleet {
     let mut config = FleetConfig::new(vec![WorkspaceSpec::new("bench", 1.0)])
         .with_sizes(1, 6, 0)
@@ -71,26 +71,27 @@
     Fleet::start(config)
 }
 
-/// One caller at a time, in turn directly to an engine and through the daemon.
+/// Sends requests one at a time, alternating between an engine and the node. Returns the times
+/// to first token.
 async fn first_tokens(fleet: &Fleet, seed: u64) -> (Durations, Durations) {
     let client = Client::new();
-    let (mut direct, mut through) = (Durations::default(), Durations::default());
-    let entry = fleet.entries()[0];
+    let (mut direct, mut relayed) = (Durations::default(), Durations::default());
+    let node = fleet.entries()[0];
     for i in 0..SINGLE_REQUESTS {
         let prompt = prompt_text(seed << 32 | i, 64);
         let engine = fleet.engines[i as usize % fleet.engines.len()].addr;
         if let Some(time) = direct_first_token(&client, engine, i, &prompt).await {
             direct.add(time);
         }
-        let one = call_of(fleet, entry, prompt, 2);
-        let result = caller::call(&client, &one).await;
-        assert_eq!(result.end, CallEnd::Whole, "a relayed answer is whole");
-        through.add(result.first_token.unwrap_or_default());
+        let call = build_call(fleet, node, prompt, 2);
+        let result = caller::call(&client, &call).await;
+        assert_eq!(result.end, CallEnd::Whole, "relayed response is incomplete");
+        relayed.add(result.first_token.unwrap_or_default());
     }
-    (direct, through)
+    (direct, relayed)
 }
 
-fn call_of(fleet: &Fleet, entry: SocketAddr, prompt: String, max_tokens: u32) -> Call {
+fn build_call(fleet: &Fleet, entry: SocketAddr, prompt: String, max_tokens: u32) -> Call {
     Call {
         entry,
         key: fleet.key(0).to_owned(),
@@ -130,45 +131,45 @@
     i: u64,
     prompt: &str,
 ) -> Option<Duration> {
-    let began = Instant::now();
-    let mut answer = client
+    let started = Instant::now();
+    let mut response = client
         .stream(engine, direct_request(i, prompt, 2))
         .await
         .ok()?;
-    answer.next().await.ok()??;
-    let first = began.elapsed();
-    while let Ok(Some(_)) = answer.next().await {}
-    answer.release();
+    response.next().await.ok()??;
+    let first = started.elapsed();
+    while let Ok(Some(_)) = response.next().await {}
+    response.release();
     Some(first)
 }
 
 struct Throughput {
     direct: f64,
-    through: f64,
-    core_used: f64,
+    relayed: f64,
+    cores_used: f64,
 }
 
-/// Many streams at once, by callers that only count bytes, so that the daemon
-/// is the slowest part.
+/// Measures tokens per second over many concurrent streams. Callers only count events, so that
+/// the node is the bottleneck.
 fn throughput(fleet: &Fleet, options: &BenchOptions) -> Throughput {
-    let direct = stream_all(fleet, options, false);
-    let watch = std::thread::spawn(|| {
+    let direct = stream_tokens_per_s(fleet, options, false);
+    let cpu_sampler = std::thread::spawn(|| {
         std::thread::sleep(COUNT_FROM);
-        let before = thread_cpu("entry-1");
+        let before = thread_cpu_s("entry-1");
         std::thread::sleep(COUNT_FOR);
-        (thread_cpu("entry-1") - before) / COUNT_FOR.as_secs_f64()
+        (thread_cpu_s("entry-1") - before) / COUNT_FOR.as_secs_f64()
     });
-    let through = stream_all(fleet, options, true);
-    let core_used = watch.join().expect("the watch ends");
+    let relayed = stream_tokens_per_s(fleet, options, true);
+    let cores_used = cpu_sampler.join().expect("CPU sampling thread panicked");
     Throughput {
         direct,
-        through,
-        core_used,
+        relayed,
+        cores_used,
     }
 }
 
-/// Returns the processor seconds of this process's thread of that name.
-fn thread_cpu(name: &str) -> f64 {
+/// Returns the CPU time of this process's threads with a given name, in seconds.
+fn thread_cpu_s(name: &str) -> f64 {
     const TICKS_PER_S: f64 = 100.0;
     let Ok(tasks) = std::fs::read_dir("/proc/self/task") else {
         return 0.0;
@@ -186,63 +187,65 @@
     ticks / TICKS_PER_S
 }
 
-fn stream_all(fleet: &Fleet, options: &BenchOptions, through: bool) -> f64 {
+fn stream_tokens_per_s(fleet: &Fleet, options: &BenchOptions, relayed: bool) -> f64 {
     const THREADS: usize = 2;
-    let began = Instant::now();
+    let started = Instant::now();
     let threads: Vec<_> = (0..THREADS)
         .map(|t| {
             let engines: Vec<_> = fleet.engines.iter().map(|e| e.addr).collect();
-            let entry = fleet.entries()[0];
+            let node = fleet.entries()[0];
             let key = fleet.key(0).to_owned();
-            let seed = options.seed + through as u64 * 1_000;
+            let seed = options.seed + relayed as u64 * 1_000;
             std::thread::spawn(move || {
-                let entry = through.then_some(entry);
-                block_on(stream_share(t, THREADS, &engines, entry, &key, seed, began))
+                let node = relayed.then_some(node);
+                block_on(stream_batch(
+                    t, THREADS, &engines, node, &key, seed, started,
+                ))
             })
         })
         .collect();
     let tokens: u64 = threads
         .into_iter()
-        .map(|t| t.join().expect("a caller ends"))
+        .map(|t| t.join().expect("caller thread panicked"))
         .sum();
     tokens as f64 / COUNT_FOR.as_secs_f64()
 }
 
-async fn stream_share(
-    share: usize,
-    shares: usize,
+async fn stream_batch(
+    batch: usize,
+    batches: usize,
     engines: &[SocketAddr],
-    entry: Option<SocketAddr>,
+    node: Option<SocketAddr>,
     key: &str,
     seed: u64,
-    began: Instant,
+    started: Instant,
 ) -> u64 {
     let client = Client::new();
     let mut tasks = Vec::new();
-    for i in (0..STREAMS).skip(share).step_by(shares) {
+    for i in (0..STREAMS).skip(batch).step_by(batches) {
         let prompt = prompt_text(seed << 20 | i as u64, 64);
-        let (addr, req) = match entry {
+        let (addr, req) = match node {
             None => {
                 let addr = engines[i % engines.len()];
                 (
                     addr,
-                    direct_request(1_000_000 + i as u64, &prompt, LONG_ANSWER),
+                    direct_request(1_000_000 + i as u64, &prompt, LONG_COMPLETION_TOKENS),
                 )
             }
-            Some(entry) => {
+            Some(node) => {
                 let body = serde_json::json!({
-                    "model": "lampwise", "prompt": prompt, "max_tokens": LONG_ANSWER,
+                    "model": "lampwise", "prompt": prompt, "max_tokens": LONG_COMPLETION_TOKENS,
                     "stream": true,
                 });
                 let req = OutgoingRequest::new(Method::POST, "/v1/completions")
                     .with_json(&body)
                     .with_header(http::header::AUTHORIZATION, caller::bearer(key));
-                (entry, req)
+                (node, req)
             }
         };
         let client = client.clone();
         tasks.push(monoio::spawn(async move {
-            count_tokens(&client, addr, req, began).await
+            count_tokens(&client, addr, req, started).await
         }));
     }
     let mut sum = 0;
@@ -252,29 +255,32 @@
     sum
 }
 
-/// Counts the tokens of a stream that come while all are counted.
+/// Counts the tokens of a stream that arrive within the counting window.
 async fn count_tokens(
     client: &Client,
     addr: SocketAddr,
     req: OutgoingRequest,
-    began: Instant,
+    started: Instant,
 ) -> u64 {
-    let mut answer = client.stream(addr, req).await.expect("a stream begins");
+    let mut response = client
+        .stream(addr, req)
+        .await
+        .expect("failed to start a stream");
     assert!(
-        answer.status.is_success(),
-        "a stream is answered: {}",
-        answer.status
+        response.status.is_success(),
+        "stream request failed: {}",
+        response.status
     );
-    let mut lines = 0;
-    while let Ok(Some(piece)) = answer.next().await {
-        let at = began.elapsed();
+    let mut events = 0;
+    while let Ok(Some(chunk)) = response.next().await {
+        let at = started.elapsed();
         if at >= COUNT_FROM + COUNT_FOR {
             break;
         }
         if at >= COUNT_FROM {
             // Each event ends with an empty line.
-            lines += piece.windows(2).filter(|w| w == b"\n\n").count() as u64;
+            events += chunk.windows(2).filter(|w| w == b"\n\n").count() as u64;
         }
     }
-    lines
+    events
 }
--- a/crates/notchwalk_standin/src/bench/soak.rs
+++ b/crates/notchwalk_standin/src/bench/soak.rs
@@ -1,20 +1,20 @@
-//! Long randomised runs in virtual time.
+//! Long randomised runs with faults in virtual time.
 
 use std::time::{Duration, Instant};
 
-use super::{rounded, BenchOptions, Figures};
+use super::{rounded, BenchOptions, Metrics};
 use crate::soak::{Mechanism, SoakOptions, World};
 
-/// Virtual seconds of one run.
+/// Virtual duration of one run, in seconds.
 const RUN_SECONDS: u64 = 120;
 
-/// Runs worlds with rising seeds until the time is over.
-pub fn run(options: &BenchOptions) -> Figures {
-    let began = Instant::now();
-    let over = Duration::from_secs(options.seconds);
+/// Runs simulations with consecutive seeds until the bench duration has elapsed.
+pub fn run(options: &BenchOptions) -> Metrics {
+    let started = Instant::now();
+    let duration = Duration::from_secs(options.seconds);
     let (mut runs, mut steps, mut admitted, mut completed, mut faults) = (0, 0, 0, 0, 0);
     let mut violations = Vec::new();
-    while began.elapsed() < over {
+    while started.elapsed() < duration {
         let seed = options.seed + runs;
         let report = World::new(SoakOptions::new(seed, RUN_SECONDS)).run();
         runs += 1;
@@ -22,30 +22,30 @@
         admitted += report.admitted;
         completed += report.completed;
         faults += report.faults;
-        let named = report.violations.into_iter();
-        violations.extend(named.map(|what| format!("seed {seed}: {what}")));
+        let run_violations = report.violations.into_iter();
+        violations.extend(run_violations.map(|violation| format!("seed {seed}: {violation}")));
     }
-    for what in violations.iter().take(20) {
-        eprintln!("{what}");
+    for violation in violations.iter().take(20) {
+        eprintln!("{violation}");
     }
-    let per_s = steps as f64 / began.elapsed().as_secs_f64();
-    let mut figures = Figures::new();
-    figures.insert("steps".to_owned(), steps.into());
-    figures.insert("violations".to_owned(), violations.len().into());
-    figures.insert("runs".to_owned(), runs.into());
-    figures.insert("virtual_seconds".to_owned(), (runs * RUN_SECONDS).into());
-    figures.insert("admitted".to_owned(), admitted.into());
-    figures.insert("completed".to_owned(), completed.into());
-    figures.insert("faults".to_owned(), faults.into());
+    let per_s = steps as f64 / started.elapsed().as_secs_f64();
+    let mut metrics = Metrics::new();
+    metrics.insert("steps".to_owned(), steps.into());
+    metrics.insert("violations".to_owned(), violations.len().into());
+    metrics.insert("runs".to_owned(), runs.into());
+    metrics.insert("virtual_seconds".to_owned(), (runs * RUN_SECONDS).into());
+    metrics.insert("admitted".to_owned(), admitted.into());
+    metrics.insert("completed".to_owned(), completed.into());
+    metrics.insert("faults".to_owned(), faults.into());
     for (key, mechanism) in [
         ("violations_without_cancels", Mechanism::Cancels),
         ("violations_without_claims", Mechanism::Claims),
     ] {
         let mut without = SoakOptions::new(options.seed, RUN_SECONDS);
         without.without = Some(mechanism);
-        let found = World::new(without).run().violations.len();
-        figures.insert(key.to_owned(), found.into());
+        let violation_count = World::new(without).run().violations.len();
+        metrics.insert(key.to_owned(), violation_count.into());
     }
-    figures.insert("steps_per_s".to_owned(), rounded(per_s, 0));
-    figures
+    metrics.insert("steps_per_s".to_owned(), rounded(per_s, 0));
+    metrics
 }
--- a/crates/notchwalk_standin/src/bench/steps.rs
+++ b/crates/notchwalk_standin/src/bench/steps.rs
@@ -1,4 +1,4 @@
-//! Events a second through `Node::step`.
+//! Measures events per second through `Node::step`.
 
 use std::{sync::Arc, time::Instant as WallInstant};
 
@@ -12,22 +12,22 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use super::{rounded, BenchOptions, Figures};
+use super::{rounded, BenchOptions, Metrics};
 use crate::operators::{BundleSpec, Operators, WorkspaceSpec};
 
 const SERVERS: u32 = 20;
-const FRAMES: u32 = 8;
-/// Requests that are kept open, so that lanes are never empty.
-const OPEN: usize = 2_000;
+const FRAMES_PER_REQUEST: u32 = 8;
+/// Number of open requests, so that lanes are never empty.
+const OPEN_REQUESTS: usize = 2_000;
 
 /// Runs the bench.
-pub fn run(options: &BenchOptions) -> Figures {
-    let mut figures = Figures::new();
+pub fn run(options: &BenchOptions) -> Metrics {
+    let mut metrics = Metrics::new();
     for workspaces in [10, 37_000] {
         let per_s = events_per_s(options, workspaces);
-        figures.insert(format!("events_per_s_{workspaces}"), rounded(per_s, 0));
+        metrics.insert(format!("events_per_s_{workspaces}"), rounded(per_s, 0));
     }
-    figures
+    metrics
 }
 
 fn bundle(workspaces: usize) -> Bundle {
@@ -41,7 +41,7 @@
         workspaces: names.collect(),
         policy: "max_requests = 1000000\n".to_owned(),
     };
-    Bundle::parse(1, &Operators::new(1).parts(&spec)).expect("a valid bundle")
+    Bundle::parse(1, &Operators::new(1).parts(&spec)).expect("invalid bundle")
 }
 
 fn report() -> LoadReport {
@@ -53,7 +53,7 @@
         slots: 64,
         backlog_tokens: 1_000,
         backlog_by_priority: vec![(120, 1_000)],
-        // Next to no time, so that the engines never are what is waited for.
+        // Minimal, so that the engines are never the bottleneck.
         prompt_token_ns: 1,
         answer_token_ns: 1,
         loaded: vec![LoadedModel {
@@ -68,7 +68,7 @@
 
 struct Driver {
     node: Node,
-    now: u64,
+    now_us: u64,
     out: Vec<Effect>,
     rng: Pcg64Mcg,
     workspaces: u32,
@@ -82,7 +82,7 @@
         let cfg = NodeConfig::new(VmId(1), BootNumber(1), "d", seed);
         let mut driver = Self {
             node: Node::new(cfg),
-            now: 1_000_000,
+            now_us: 1_000_000,
             out: Vec::new(),
             rng: Pcg64Mcg::seed_from_u64(seed),
             workspaces: workspaces as u32,
@@ -116,10 +116,10 @@
     }
 
     fn feed(&mut self, event: Event) {
-        self.now += 2;
+        self.now_us += 2;
         self.events += 1;
         self.node
-            .step(Instant::from_micros(self.now), event, &mut self.out);
+            .step(Instant::from_micros(self.now_us), event, &mut self.out);
         for effect in self.out.drain(..) {
             if let Effect::Dispatch(dispatch) = effect {
                 self.running.push(dispatch);
@@ -137,7 +137,7 @@
                 adapter: None,
                 version: None,
                 prompt_tokens: self.rng.random_range(100..4_000),
-                max_tokens: FRAMES,
+                max_tokens: FRAMES_PER_REQUEST,
                 prefix: Vec::new(),
             }),
             content: None,
@@ -147,7 +147,7 @@
         self.feed(Event::Arrive(Box::new(arrival)));
     }
 
-    /// Serves one running request to its end.
+    /// Completes one running request.
     fn serve(&mut self) {
         if self.running.is_empty() {
             self.feed(Event::Tick);
@@ -158,7 +158,7 @@
         let Some(id) = self.node.request_id(dispatch.request) else {
             return;
         };
-        for offset in 0..FRAMES {
+        for offset in 0..FRAMES_PER_REQUEST {
             self.feed(Event::Frame {
                 request: dispatch.request,
                 id,
@@ -173,21 +173,21 @@
             end: AttemptEnd::Complete {
                 prompt_tokens: 2_000,
                 cached_tokens: 0,
-                completion_tokens: FRAMES,
+                completion_tokens: FRAMES_PER_REQUEST,
             },
         });
     }
 
-    fn round(&mut self, i: u64) {
-        const LOADS_EVERY: u64 = 2_000;
-        const TICK_EVERY: u64 = 100;
-        if i % LOADS_EVERY == 0 {
+    fn run_round(&mut self, i: u64) {
+        const LOAD_REPORT_INTERVAL: u64 = 2_000;
+        const TICK_INTERVAL: u64 = 100;
+        if i % LOAD_REPORT_INTERVAL == 0 {
             self.report_loads();
         }
-        if i % TICK_EVERY == 0 {
+        if i % TICK_INTERVAL == 0 {
             self.feed(Event::Tick);
         }
-        if self.node.open_requests() < OPEN {
+        if self.node.open_requests() < OPEN_REQUESTS {
             self.arrive();
         }
         self.serve();
@@ -196,17 +196,17 @@
 
 fn events_per_s(options: &BenchOptions, workspaces: usize) -> f64 {
     let mut driver = Driver::new(options.seed, workspaces);
-    for _ in 0..OPEN {
+    for _ in 0..OPEN_REQUESTS {
         driver.arrive();
     }
     const WARM_UP: u64 = 20_000;
     const ROUNDS: u64 = 200_000;
     for i in 0..WARM_UP {
-        driver.round(i);
+        driver.run_round(i);
     }
-    let (began, before) = (WallInstant::now(), driver.events);
+    let (started, before) = (WallInstant::now(), driver.events);
     for i in 0..ROUNDS {
-        driver.round(i);
+        driver.run_round(i);
     }
-    (driver.events - before) as f64 / began.elapsed().as_secs_f64()
+    (driver.events - before) as f64 / started.elapsed().as_secs_f64()
 }
--- a/crates/notchwalk_standin/src/caller.rs
+++ b/crates/notchwalk_standin/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that checks that every answer is whole and its own.
+//! A caller that verifies every completion against the seed of its prompt.
 
 use std::{
     net::SocketAddr,
@@ -10,95 +10,95 @@
 use notchwalk_wire::{ApiError, OutcomeWord};
 use serde_json::{json, Value};
 
-use crate::answer::AnswerSeed;
+use crate::completion::CompletionSeed;
 
-/// One prompt to send.
+/// A completion request to send.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// The entry.
+    /// Caller address of the node.
     pub entry: SocketAddr,
-    /// The workspace's key.
+    /// API key of the workspace.
     pub key: String,
-    /// The model.
+    /// Model name.
     pub model: String,
-    /// The prompt.
+    /// Prompt text.
     pub prompt: String,
-    /// The longest answer, in tokens.
+    /// Maximum completion length, in tokens.
     pub max_tokens: u32,
-    /// Texts that end the answer.
+    /// Stop sequences.
     pub stop: Vec<String>,
-    /// The timeout asked for.
+    /// Requested timeout.
     pub timeout: Duration,
 }
 
 impl Call {
-    /// Returns how long the answer must be.
-    pub fn answer_tokens(&self) -> u32 {
-        let seed = AnswerSeed::of_text(&self.prompt);
-        let ends = |i: &u32| {
+    /// Returns the expected completion length, in tokens.
+    pub fn expected_tokens(&self) -> u32 {
+        let seed = CompletionSeed::of_text(&self.prompt);
+        let matches_stop = |i: &u32| {
             let token = seed.token(*i);
             self.stop.iter().any(|text| token.contains(text.as_str()))
         };
-        let stopped = match self.stop.is_empty() {
+        let stop_index = match self.stop.is_empty() {
             true => None,
-            false => (0..self.max_tokens).find(ends),
+            false => (0..self.max_tokens).find(matches_stop),
         };
-        stopped.map_or(self.max_tokens, |i| i + 1)
+        stop_index.map_or(self.max_tokens, |i| i + 1)
     }
 }
 
-/// How a call ended.
+/// The outcome of a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallEnd {
-    /// The answer was whole and its own.
+    /// The completion was complete and matched the prompt.
     Whole,
-    /// The answer was not what it must be.
+    /// The response violated the protocol or did not match the prompt.
     Wrong(String),
-    /// It was refused or failed, and the caller was told.
+    /// The request was rejected or failed with an API error.
     Failed {
-        /// The HTTP status, 0 after a stream had begun.
+        /// HTTP status; 0 for an error inside a stream.
         status: u16,
-        /// The code.
+        /// API error code.
         code: String,
-        /// Whether it ran.
+        /// Whether the request was executed.
         outcome: OutcomeWord,
-        /// When to come back.
+        /// Delay before the next attempt.
         retry_after: Option<Duration>,
     },
     /// The connection failed.
     Cut(String),
 }
 
-/// What a call measured.
+/// Outcome and timings of a call.
 #[derive(Clone, Debug)]
 pub struct CallResult {
-    /// How it ended.
+    /// Outcome of the call.
     pub end: CallEnd,
-    /// The time to the first token.
+    /// Time to first token.
     pub first_token: Option<Duration>,
-    /// The time to the end.
+    /// Time from sending the request to the end of the response.
     pub total: Duration,
-    /// Tokens received.
+    /// Number of tokens received.
     pub tokens: u32,
-    /// The longest time between two arrivals of tokens.
+    /// Maximum inter-token latency.
     pub longest_gap: Duration,
 }
 
 impl CallResult {
-    fn new(began: Instant, end: CallEnd) -> Self {
+    fn new(started: Instant, end: CallEnd) -> Self {
         Self {
             end,
             first_token: None,
-            total: began.elapsed(),
+            total: started.elapsed(),
             tokens: 0,
             longest_gap: Duration::ZERO,
         }
     }
 }
 
-/// Sends one prompt, streamed, and checks the answer.
+/// Sends a streaming completion request and verifies the response.
 pub async fn call(client: &Client, call: &Call) -> CallResult {
-    let began = Instant::now();
+    let started = Instant::now();
     let mut body = json!({
         "model": call.model, "prompt": call.prompt, "max_tokens": call.max_tokens,
         "stream": true,
@@ -114,121 +114,123 @@
             HeaderValue::from(call.timeout.as_millis() as u64),
         );
     drop(body);
-    // The daemon answers at the deadline; a caller that waits longer would
-    // hide a missing answer.
-    let patience = call.timeout + Duration::from_secs(5);
+    // The node responds at the deadline at the latest. The grace period is bounded so that a
+    // missing response is reported.
+    let client_timeout = call.timeout + Duration::from_secs(5);
     let exchange = async {
         match client.stream(call.entry, req).await {
-            Ok(answer) if answer.status == StatusCode::OK => read_stream(call, began, answer).await,
-            Ok(answer) => CallResult::new(began, read_failure(answer).await),
-            Err(e) => CallResult::new(began, CallEnd::Cut(e.to_string())),
+            Ok(response) if response.status == StatusCode::OK => {
+                read_stream(call, started, response).await
+            }
+            Ok(response) => CallResult::new(started, read_error(response).await),
+            Err(e) => CallResult::new(started, CallEnd::Cut(e.to_string())),
         }
     };
-    match monoio::time::timeout(patience, exchange).await {
+    match monoio::time::timeout(client_timeout, exchange).await {
         Ok(result) => result,
         Err(_) => {
-            let end = CallEnd::Wrong("no answer by five seconds after the deadline".to_owned());
-            CallResult::new(began, end)
+            let end = CallEnd::Wrong("no response within 5 s after the deadline".to_owned());
+            CallResult::new(started, end)
         }
     }
 }
 
-/// Returns the header value of a key.
+/// Returns the `Authorization` header value of an API key.
 ///
 /// # Panics
 ///
-/// Panics if the key holds control characters.
+/// Panics if the key contains control characters.
 pub fn bearer(key: &str) -> HeaderValue {
-    HeaderValue::from_str(&format!("Bearer {key}")).expect("keys are plain text")
+    HeaderValue::from_str(&format!("Bearer {key}")).expect("API key is not a valid header value")
 }
 
-/// Reads an error answer.
-pub async fn read_failure(answer: StreamedResponse) -> CallEnd {
-    const MAX_ERROR: usize = 1 << 20;
-    let status = answer.status.as_u16();
-    let retry_after = answer
+/// Reads an error response.
+pub async fn read_error(response: StreamedResponse) -> CallEnd {
+    const MAX_ERROR_BYTES: usize = 1 << 20;
+    let status = response.status.as_u16();
+    let retry_after = response
         .headers
         .get("retry-after-ms")
         .and_then(|v| v.to_str().ok());
     let retry_after = retry_after
         .and_then(|ms| ms.parse().ok())
         .map(Duration::from_millis);
-    let Ok(whole) = answer.whole(MAX_ERROR).await else {
-        return CallEnd::Cut("the error answer broke off".to_owned());
+    let Ok(body) = response.whole(MAX_ERROR_BYTES).await else {
+        return CallEnd::Cut("connection closed within the error response".to_owned());
     };
-    match whole.json::<ApiError>() {
+    match body.json::<ApiError>() {
         Ok(e) => CallEnd::Failed {
             status,
             code: e.error.code,
             outcome: e.error.outcome,
             retry_after,
         },
-        Err(e) => CallEnd::Wrong(format!("status {status} without an error body: {e}")),
+        Err(e) => CallEnd::Wrong(format!("status {status} without a valid error body: {e}")),
     }
 }
 
-async fn read_stream(call: &Call, began: Instant, mut answer: StreamedResponse) -> CallResult {
-    let mut reader = StreamReader::new(call, began);
+async fn read_stream(call: &Call, started: Instant, mut response: StreamedResponse) -> CallResult {
+    let mut reader = StreamReader::new(call, started);
     let end = loop {
-        match answer.next().await {
-            Ok(Some(piece)) => reader.take(&piece),
-            Ok(None) => break reader.end(),
+        match response.next().await {
+            Ok(Some(chunk)) => reader.feed(&chunk),
+            Ok(None) => break reader.finish(),
             Err(e) => break CallEnd::Cut(e.to_string()),
         }
     };
-    answer.release();
+    response.release();
     reader.result.end = end;
-    reader.result.total = began.elapsed();
+    reader.result.total = started.elapsed();
     reader.result
 }
 
 struct StreamReader {
-    seed: AnswerSeed,
-    wanted: u32,
-    began: Instant,
-    last: Instant,
+    seed: CompletionSeed,
+    expected_tokens: u32,
+    started: Instant,
+    last_token_at: Instant,
     buf: Vec<u8>,
-    wrong: Option<String>,
+    violation: Option<String>,
     failed: Option<CallEnd>,
     done: bool,
     result: CallResult,
 }
 
 impl StreamReader {
-    fn new(call: &Call, began: Instant) -> Self {
+    fn new(call: &Call, started: Instant) -> Self {
         Self {
-            seed: AnswerSeed::of_text(&call.prompt),
-            wanted: call.answer_tokens(),
-            began,
-            last: began,
+            seed: CompletionSeed::of_text(&call.prompt),
+            expected_tokens: call.expected_tokens(),
+            started,
+            last_token_at: started,
             buf: Vec::new(),
-            wrong: None,
+            violation: None,
             failed: None,
             done: false,
-            result: CallResult::new(began, CallEnd::Whole),
+            result: CallResult::new(started, CallEnd::Whole),
         }
     }
 
-    fn take(&mut self, piece: &[u8]) {
-        self.buf.extend_from_slice(piece);
+    fn feed(&mut self, chunk: &[u8]) {
+        self.buf.extend_from_slice(chunk);
         let buf = std::mem::take(&mut self.buf);
         let mut rest = &buf[..];
         while let Some(end) = rest.iter().position(|b| *b == b'\n') {
             if let Some(data) = rest[..end].strip_prefix(b"data: ") {
-                self.line(data);
+                self.handle_event(data);
             }
             rest = &rest[end + 1..];
         }
         self.buf = rest.to_vec();
     }
 
-    fn line(&mut self, data: &[u8]) {
+    fn handle_event(&mut self, data: &[u8]) {
         if data == b"[DONE]" {
             self.done = true;
             return;
         }
         let Ok(chunk) = serde_json::from_slice::<Value>(data) else {
-            self.wrong = Some("a chunk is no JSON".to_owned());
+            self.violation = Some("stream chunk is not valid JSON".to_owned());
             return;
         };
         if let Ok(error) = serde_json::from_value::<ApiError>(chunk.clone()) {
@@ -242,37 +244,40 @@
         }
         let text = chunk["choices"][0]["text"].as_str().unwrap_or("");
         if !text.is_empty() {
-            self.token(text);
+            self.handle_token(text);
         }
     }
 
-    fn token(&mut self, text: &str) {
+    fn handle_token(&mut self, text: &str) {
         let now = Instant::now();
         let result = &mut self.result;
         if result.first_token.is_none() {
-            result.first_token = Some(now - self.began);
+            result.first_token = Some(now - self.started);
         } else {
-            result.longest_gap = result.longest_gap.max(now - self.last);
+            result.longest_gap = result.longest_gap.max(now - self.last_token_at);
         }
-        self.last = now;
+        self.last_token_at = now;
         let expected = self.seed.token(result.tokens);
-        if text != expected && self.wrong.is_none() {
-            let place = result.tokens;
-            self.wrong = Some(format!("token {place} is {text:?}, not {expected:?}"));
+        if text != expected && self.violation.is_none() {
+            let index = result.tokens;
+            self.violation = Some(format!("token {index} is {text:?}, expected {expected:?}"));
         }
         result.tokens += 1;
     }
 
-    fn end(&mut self) -> CallEnd {
-        if let Some(wrong) = self.wrong.take() {
-            return CallEnd::Wrong(wrong);
+    fn finish(&mut self) -> CallEnd {
+        if let Some(violation) = self.violation.take() {
+            return CallEnd::Wrong(violation);
         }
         if let Some(failed) = self.failed.take() {
             return failed;
         }
-        if !self.done || self.result.tokens != self.wanted {
+        if !self.done || self.result.tokens != self.expected_tokens {
             let tokens = self.result.tokens;
-            return CallEnd::Wrong(format!("{tokens} of {} tokens came", self.wanted));
+            return CallEnd::Wrong(format!(
+                "completion truncated: got {tokens} of {} tokens",
+                self.expected_tokens
+            ));
         }
         CallEnd::Whole
     }
--- a/crates/notchwalk_standin/src/answer.rs
+++ b/crates/notchwalk_standin/src/completion.rs
@@ -1,14 +1,14 @@
-//! The stand-in engines' answers: a known function of the prompt, so that a
-//! caller can check that an answer is whole and its own.
+//! Deterministic completions of the stand-in engines. A completion is a function of its
+//! prompt, so a caller can verify that it is complete and belongs to its request.
 
 use notchwalk_core::leading_u64;
 use notchwalk_wire::Prompt;
 
-/// The seed of a prompt's answer.
+/// The seed that determines a prompt's completion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct AnswerSeed(u64);
+pub struct CompletionSeed(u64);
 
-impl AnswerSeed {
+impl CompletionSeed {
     /// Returns the seed of a text prompt.
     pub fn of_text(text: &str) -> Self {
         Self::of_bytes(text.as_bytes())
@@ -29,14 +29,14 @@
         Self(leading_u64(blake3::hash(bytes).as_bytes()))
     }
 
-    /// Returns token number `i` of the answer.
+    /// Returns the completion token at index `i`.
     pub fn token(self, i: u32) -> String {
         let mut x = self.0 ^ u64::from(i).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         format!(" {:06x}", (x >> 40) as u32)
     }
 
-    /// Returns the whole answer of `n` tokens.
+    /// Returns the first `n` tokens of the completion as one text.
     pub fn text(self, n: u32) -> String {
         (0..n).map(|i| self.token(i)).collect()
     }
--- a/crates/notchwalk_standin/src/demo.rs
+++ b/crates/notchwalk_standin/src/demo.rs
@@ -1,4 +1,4 @@
-//! The demo: a whole fleet in one process, with short and long prompts of
+//! The demo: runs a whole fleet in one process and sends it short and long prompts from
 //! several workspaces.
 
 use std::{
@@ -16,15 +16,15 @@
     fleet::{Fleet, FleetConfig},
     operators::WorkspaceSpec,
     report,
-    workload::{Measured, Planned, Stream},
+    workload::{Measured, PlannedCall, Stream},
 };
 
-/// How many times faster than real the demo's engines run.
+/// Speed-up of the demo's engines over real time.
 const TIME_SCALE: f64 = 8.0;
 /// How long each phase sends requests.
-const PHASE: Duration = Duration::from_secs(6);
+const PHASE_DURATION: Duration = Duration::from_secs(6);
 
-/// Returns the workspaces of the demo, by deployment.
+/// Returns the demo's workspaces.
 pub fn workspaces() -> Vec<WorkspaceSpec> {
     [
         ("load-ins", 4.0),
@@ -70,16 +70,16 @@
     }
 }
 
-/// The short prompts of a phase.
-fn short_plan(seed: u64, entries: usize) -> Vec<Planned> {
-    short().plan(seed, PHASE, &[0, 1], entries)
+/// Plans the short prompts of a phase.
+fn short_plan(seed: u64, nodes: usize) -> Vec<PlannedCall> {
+    short().plan(seed, PHASE_DURATION, &[0, 1], nodes)
 }
 
-/// The long prompts of a phase, among them one of a million tokens.
-fn long_plan(entries: usize) -> Vec<Planned> {
-    let mut planned = medium().plan(21, PHASE, &[2], entries);
-    planned.extend(long().plan(22, PHASE, &[3, 4], entries));
-    planned.push(Planned {
+/// Plans the medium and long prompts of a phase, including one of a million tokens.
+fn long_plan(nodes: usize) -> Vec<PlannedCall> {
+    let mut planned = medium().plan(21, PHASE_DURATION, &[2], nodes);
+    planned.extend(long().plan(22, PHASE_DURATION, &[3, 4], nodes));
+    planned.push(PlannedCall {
         at: Duration::from_millis(500),
         workspace: 3,
         entry: 2,
@@ -91,44 +91,47 @@
     planned
 }
 
-/// Runs the demo; tells whether every answer was whole.
+/// Runs the demo. Returns whether every response was complete.
 pub fn run() -> bool {
-    let began = Instant::now();
-    println!("Starting the platform, 20 engines, 3 service servers and 6 daemons ...");
+    let started = Instant::now();
+    println!("Starting the platform, 20 engines, 3 service servers and 6 nodes ...");
     let mut fleet = Fleet::start(FleetConfig::new(workspaces()).with_time_scale(TIME_SCALE));
     println!(
-        "Ready after {:.1} s. Short prompts alone ...",
-        began.elapsed().as_secs_f64()
+        "Ready after {:.1} s. Sending short prompts only ...",
+        started.elapsed().as_secs_f64()
     );
     let alone = fleet.send(short_plan(11, fleet.config.entries));
-    println!("Short prompts together with long ones ...");
+    println!("Sending short and long prompts together ...");
     let mut mixed = short_plan(12, fleet.config.entries);
     mixed.extend(long_plan(fleet.config.entries));
     let mixed = fleet.send(mixed);
     fleet.stop();
     println!(
-        "\nFirst token, by prompt length (engines run {TIME_SCALE} times faster than real ones):"
+        "\nTime to first token by prompt length (engines run {TIME_SCALE} times faster than real ones):"
     );
     println!("{}", report::first_token_table(&mixed));
     println!("{}", slowdown_table(&alone, &mixed));
     let all: Vec<Measured> = alone.into_iter().chain(mixed).collect();
     println!("{}", report::outcome_table(&all));
-    let whole = report::all_whole(&all);
-    let verdict = match whole {
-        true => "Every answer was whole and its caller's own.",
-        false => "NOT every answer was whole.",
+    let all_complete = report::all_whole(&all);
+    let verdict = match all_complete {
+        true => "Every response was complete and matched its prompt.",
+        false => "NOT every response was complete.",
     };
-    println!("{verdict} {:.1} s in all.", began.elapsed().as_secs_f64());
-    whole
+    println!(
+        "{verdict} Total time: {:.1} s.",
+        started.elapsed().as_secs_f64()
+    );
+    all_complete
 }
 
 fn slowdown_table(alone: &[Measured], mixed: &[Measured]) -> comfy_table::Table {
     let (alone, mixed) = (report::first_tokens(alone), report::first_tokens(mixed));
-    let mut table = report::table(&["short prompts", "alone", "with long ones", "slowdown"]);
+    let mut table = report::table(&["short prompts", "alone", "with long prompts", "slowdown"]);
     for (name, q) in [("p50", 0.5), ("p95", 0.95)] {
         let (before, after) = (alone[0].quantile_ms(q), mixed[0].quantile_ms(q));
         table.add_row([
-            format!("first token {name}"),
+            format!("time to first token {name}"),
             format!("{before:.0} ms"),
             format!("{after:.0} ms"),
             format!("{:.2} x", after / before),
@@ -137,18 +140,18 @@
     table
 }
 
-/// Starts the fleet and keeps it running until a signal comes.
+/// Starts the fleet and keeps it running until SIGINT or SIGTERM.
 ///
 /// # Errors
 ///
-/// Fails if signals can't be heard.
+/// Returns an error if a signal handler can't be registered or stdout can't be written.
 pub fn hold() -> std::io::Result<()> {
     let stop = Arc::new(AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGINT, signal_hook::consts::SIGTERM] {
         signal_hook::flag::register(signal, stop.clone())?;
     }
     let mut fleet = Fleet::start(FleetConfig::new(workspaces()).with_time_scale(TIME_SCALE));
-    let entries: Vec<_> = fleet.entries().iter().map(|a| a.to_string()).collect();
+    let nodes: Vec<_> = fleet.entries().iter().map(|a| a.to_string()).collect();
     let operator = fleet
         .daemons
         .iter()
@@ -156,7 +159,7 @@
         .next()
         .map(|d| d.addresses.operator.to_string());
     let line = json!({
-        "entries": entries, "operator": operator, "key": fleet.key(0),
+        "entries": nodes, "operator": operator, "key": fleet.key(0),
         "model": fleet.config.bundle.model, "service": fleet.config.bundle.service,
         "platform": fleet.platform.to_string(),
     });
--- a/crates/notchwalk_standin/src/deployment.rs
+++ b/crates/notchwalk_standin/src/deployment.rs
@@ -1,5 +1,4 @@
-//! A deployment of stand-ins, each as a process of its own, described by one
-//! INI file.
+//! A deployment of stand-ins that run as separate processes, described by one INI file.
 
 use std::{net::SocketAddr, path::Path, time::Duration};
 
@@ -12,42 +11,42 @@
 /// An engine of a deployment.
 #[derive(Clone, Debug)]
 pub struct EngineSpec {
-    /// Where it listens.
+    /// Listen address.
     pub addr: SocketAddr,
-    /// How it behaves.
+    /// Engine configuration.
     pub config: EngineConfig,
 }
 
 /// A server of a plain service.
 #[derive(Clone, Debug)]
 pub struct ServiceSpec {
-    /// Where it listens.
+    /// Listen address.
     pub addr: SocketAddr,
-    /// The service.
+    /// Service name.
     pub name: String,
 }
 
-/// All of a deployment.
+/// All processes of a deployment.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// Where the platform listens.
+    /// Listen address of the platform.
     pub platform: SocketAddr,
-    /// How the platform behaves.
+    /// Platform configuration.
     pub platform_config: PlatformConfig,
-    /// The engines.
+    /// Stand-in engines.
     pub engines: Vec<EngineSpec>,
-    /// The servers of plain services.
+    /// Servers of plain services.
     pub services: Vec<ServiceSpec>,
-    /// The VM list.
+    /// The VM list that the platform serves.
     pub vms: Vec<VmRecord>,
 }
 
 impl Deployment {
-    /// Reads a deployment's file.
+    /// Reads a deployment from a file.
     ///
     /// # Errors
     ///
-    /// Returns all findings; a file that can't be read is one.
+    /// Returns all findings, including an unreadable file.
     pub fn load(path: &Path) -> Result<Self, Findings> {
         let name = path.display().to_string();
         match std::fs::read_to_string(path) {
@@ -60,29 +59,29 @@
         }
     }
 
-    /// Parses a deployment's text; `name` stands in the findings.
+    /// Parses a deployment. `name` is the file name shown in findings.
     ///
     /// # Errors
     ///
     /// Returns all findings.
     pub fn parse(name: &str, text: &str) -> Result<Self, Findings> {
         let ini = IniFile::parse(name, text)?;
-        let deployment = read(&ini);
+        let deployment = read_deployment(&ini);
         ini.finish()?;
         deployment.ok_or_else(Findings::default)
     }
 }
 
-struct Listed {
+struct VmSection {
     id: u32,
     addr: SocketAddr,
     failure_domain: String,
 }
 
-/// Reads the sections of one kind, which all have an address and a failure
-/// domain.
-fn listed(ini: &IniFile, kind: &str) -> Vec<(Listed, Option<String>)> {
-    let mut found = Vec::new();
+/// Reads all sections of one kind. Each has an address and a failure domain, and some kinds
+/// have one more required field.
+fn listed(ini: &IniFile, kind: &str) -> Vec<(VmSection, Option<String>)> {
+    let mut sections = Vec::new();
     for (id, section) in ini.sections_of(kind) {
         let addr = section.required::<SocketAddr>("address");
         let failure_domain = section.required::<String>("failure_domain");
@@ -92,23 +91,23 @@
             _ => None,
         };
         let Ok(id) = id.parse() else {
-            section.add("", "the section's name is a number");
+            section.add("", "the section's name must be a number");
             continue;
         };
         let (Some(addr), Some(failure_domain)) = (addr, failure_domain) else {
             continue;
         };
-        let listed = Listed {
+        let listed = VmSection {
             id,
             addr,
             failure_domain,
         };
-        found.push((listed, extra));
+        sections.push((listed, extra));
     }
-    found
+    sections
 }
 
-fn record(listed: &Listed, kind: VmKind) -> VmRecord {
+fn vm_record(listed: &VmSection, kind: VmKind) -> VmRecord {
     VmRecord {
         id: listed.id,
         kind,
@@ -118,7 +117,7 @@
     }
 }
 
-fn read(ini: &IniFile) -> Option<Deployment> {
+fn read_deployment(ini: &IniFile) -> Option<Deployment> {
     let section = ini.section("platform");
     let platform = section.required::<SocketAddr>("address");
     let defaults = PlatformConfig::default();
@@ -149,13 +148,13 @@
         services: Vec::new(),
         vms: Vec::new(),
     };
-    for (entry, peer_address) in listed(ini, "entry") {
+    for (node, peer_address) in listed(ini, "entry") {
         let peer_address = peer_address.unwrap_or_default();
         let kind = VmKind::Entry { peer_address };
-        deployment.vms.push(record(&entry, kind));
+        deployment.vms.push(vm_record(&node, kind));
     }
     for (engine, _) in listed(ini, "engine") {
-        deployment.vms.push(record(&engine, VmKind::Engine));
+        deployment.vms.push(vm_record(&engine, VmKind::Engine));
         let config = EngineConfig::new(ServerId(engine.id), loaded.clone())
             .with_time_scale(time_scale)
             .with_capacity(capacity)
@@ -170,7 +169,7 @@
         let kind = VmKind::Service {
             service: name.clone(),
         };
-        deployment.vms.push(record(&server, kind));
+        deployment.vms.push(vm_record(&server, kind));
         deployment.services.push(ServiceSpec {
             addr: server.addr,
             name,
--- a/crates/notchwalk_standin/src/engine/api.rs
+++ b/crates/notchwalk_standin/src/engine/api.rs
@@ -1,4 +1,4 @@
-//! The HTTP API of a stand-in engine.
+//! HTTP API of a stand-in engine.
 
 use std::{cell::RefCell, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -21,52 +21,51 @@
     sequence::{Goal, Output, Sequence},
     simulation::Simulation,
 };
-use crate::answer::AnswerSeed;
+use crate::completion::CompletionSeed;
 
-/// The largest body, in bytes.
-const MAX_BODY: usize = 256 << 20;
-/// How long an idle engine sleeps between looks.
-const IDLE: Duration = Duration::from_millis(20);
+const MAX_BODY_BYTES: usize = 256 << 20;
+/// Longest sleep of an idle engine before it checks for work and faults again.
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Counts of a stand-in engine, for tests and benches.
+/// Counters of a stand-in engine, for tests and benches.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineCounts {
-    /// Work accepted.
+    /// Number of accepted requests.
     pub received: u64,
-    /// Milliseconds since work was last accepted.
+    /// Milliseconds since a request was last accepted.
     pub last_received_ms_ago: Option<u64>,
-    /// Memory held, in tokens.
+    /// KV memory in use, in tokens.
     pub used_tokens: u64,
-    /// Prompt tokens computed.
+    /// Prompt tokens prefilled.
     pub computed_tokens: u64,
-    /// Answer tokens made.
+    /// Completion tokens decoded.
     pub generated_tokens: u64,
-    /// Evictions for want of memory.
+    /// Sequences evicted because memory was exhausted.
     pub evictions: u64,
-    /// Orders with an old fencing number that were carried out.
+    /// Orders with a stale fencing token that were executed.
     pub stale_orders_run: u64,
 }
 
-/// A running stand-in engine.
+/// A handle to a running stand-in engine.
 #[derive(Clone)]
 pub struct EngineHandle {
     sim: Rc<RefCell<Simulation>>,
     fence: Rc<RefCell<FenceState>>,
-    other: Rc<RefCell<Option<(RequestId, Attempt)>>>,
+    previous_stream: Rc<RefCell<Option<(RequestId, Attempt)>>>,
     wake: unbounded::Tx<()>,
 }
 
 #[derive(Default)]
 struct FenceState {
     highest: u64,
-    stale_run: u64,
+    stale_orders_run: u64,
 }
 
 /// Starts a stand-in engine on a listener.
 ///
 /// # Errors
 ///
-/// Fails if the listener can't be used.
+/// Returns an error if the listener can't be used.
 pub fn serve_engine(
     listener: std::net::TcpListener,
     config: EngineConfig,
@@ -79,7 +78,7 @@
         wake,
         sim: Rc::new(RefCell::new(Simulation::new(config))),
         fence: Rc::default(),
-        other: Rc::default(),
+        previous_stream: Rc::default(),
     };
     notchwalk_http::spawn(run_steps(handle.sim.clone(), woken));
     let service: Rc<dyn Service> = Rc::new(handle.clone());
@@ -87,24 +86,28 @@
     Ok((addr, handle))
 }
 
-/// Runs the engine's steps for ever, on an absolute schedule. An idle engine
-/// begins at once when work comes.
+/// Runs engine steps forever on an absolute schedule. An idle engine is woken when a request
+/// arrives.
 async fn run_steps(sim: Rc<RefCell<Simulation>>, mut woken: unbounded::Rx<()>) {
-    const MAX_BEHIND: Duration = Duration::from_millis(50);
+    const MAX_LAG: Duration = Duration::from_millis(50);
     let mut due = std::time::Instant::now();
     loop {
         while woken.try_recv().is_ok() {}
-        let hung = matches!(sim.borrow().fault, Fault::Hung | Fault::Dead);
-        let took = if hung { None } else { sim.borrow_mut().step() };
+        let stalled = matches!(sim.borrow().fault, Fault::Hung | Fault::Dead);
+        let step_duration = if stalled {
+            None
+        } else {
+            sim.borrow_mut().step()
+        };
         let now = std::time::Instant::now();
-        let Some(took) = took else {
-            let _ = monoio::time::timeout(IDLE, woken.recv()).await;
+        let Some(step_duration) = step_duration else {
+            let _ = monoio::time::timeout(IDLE_POLL_INTERVAL, woken.recv()).await;
             due = std::time::Instant::now();
             continue;
         };
-        due = due.max(now.checked_sub(MAX_BEHIND).unwrap_or(now)) + took;
-        // Sleeps are whole milliseconds; steps that are behind follow at once,
-        // after the connections had their turn.
+        due = due.max(now.checked_sub(MAX_LAG).unwrap_or(now)) + step_duration;
+        // Sleeps have millisecond resolution. Late steps follow immediately, after the
+        // connection tasks have run.
         match due.checked_duration_since(now) {
             Some(ahead) => monoio::time::sleep(ahead).await,
             None => crate::thread::yield_now().await,
@@ -123,18 +126,18 @@
     }
 }
 
-/// Ends an answer's work when its connection is gone.
-struct AnswerGuard {
+/// Aborts a completion when its connection closes.
+struct CompletionGuard {
     sim: Rc<RefCell<Simulation>>,
     request: RequestId,
     attempt: Attempt,
 }
 
-impl Drop for AnswerGuard {
+impl Drop for CompletionGuard {
     fn drop(&mut self) {
         self.sim
             .borrow_mut()
-            .drop_answer(self.request, self.attempt);
+            .abort_completion(self.request, self.attempt);
     }
 }
 
@@ -150,15 +153,15 @@
 
     fn counts(&self) -> EngineCounts {
         let mut sim = self.sim.borrow_mut();
-        let (computed_tokens, generated_tokens) = sim.tokens_made();
+        let (computed_tokens, generated_tokens) = sim.token_counts();
         EngineCounts {
             received: sim.received,
             last_received_ms_ago: sim.last_received.map(|at| at.elapsed().as_millis() as u64),
-            used_tokens: sim.used(),
+            used_tokens: sim.used_tokens(),
             computed_tokens,
             generated_tokens,
-            evictions: sim.lagging_report().evictions,
-            stale_orders_run: self.fence.borrow().stale_run,
+            evictions: sim.delayed_report().evictions,
+            stale_orders_run: self.fence.borrow().stale_orders_run,
         }
     }
 
@@ -170,7 +173,7 @@
             Fault::Hung if !control => return std::future::pending().await,
             _ => {}
         }
-        let body = match exchange.body_bytes(MAX_BODY).await {
+        let body = match exchange.body_bytes(MAX_BODY_BYTES).await {
             Ok(body) => body,
             Err(_) => return exchange.abort(),
         };
@@ -181,7 +184,7 @@
             (&Method::POST, "/v1/cancel") => self.cancel(exchange, &body).await,
             (&Method::POST, "/v1/orders") => self.order(exchange, &body).await,
             (&Method::GET, "/v1/load") => {
-                let report = self.sim.borrow_mut().lagging_report();
+                let report = self.sim.borrow_mut().delayed_report();
                 exchange.respond_json(StatusCode::OK, &report).await;
                 Ok(())
             }
@@ -201,7 +204,7 @@
                 let after = after.and_then(|n| n.parse().ok()).unwrap_or(0);
                 let events = {
                     let mut sim = self.sim.borrow_mut();
-                    let lag = sim.config.cache_lag;
+                    let lag = sim.config.cache_event_lag;
                     sim.cache.events_after(after, lag)
                 };
                 exchange.respond_json(StatusCode::OK, &events).await;
@@ -209,7 +212,7 @@
             }
             (&Method::POST, "/standin/fault") => self.set_fault(exchange, &body).await,
             (&Method::POST, "/standin/leave") => {
-                self.sim.borrow_mut().leaving = true;
+                self.sim.borrow_mut().draining = true;
                 exchange.respond_text(StatusCode::OK, "leaving\n").await;
                 Ok(())
             }
@@ -218,7 +221,7 @@
                 exchange.respond_json(StatusCode::OK, &counts).await;
                 Ok(())
             }
-            _ => Err(refusal("not_found", "there is nothing here")),
+            _ => Err(refusal("not_found", "no such endpoint")),
         };
         if let Err(refusal) = done {
             exchange
@@ -240,7 +243,7 @@
         Ok(())
     }
 
-    /// Tells whether a model variant is loaded.
+    /// Returns whether a model variant is loaded.
     fn is_loaded(&self, model: &str, adapter: Option<&str>, version: Option<&str>) -> bool {
         let sim = self.sim.borrow();
         let Some(loaded) = sim.loaded.iter().find(|l| l.model == model) else {
@@ -252,11 +255,14 @@
 
     async fn generate(&self, exchange: &mut Exchange, body: &Bytes) -> Result<(), EngineRefusal> {
         let req: GenerateRequest = parse(body)?;
-        if self.fault() == Fault::Refusing {
-            return Err(refusal("overloaded", "no new work"));
+        if self.fault() == Fault::Overloaded {
+            return Err(refusal("overloaded", "the engine accepts no new work"));
         }
         if !self.is_loaded(&req.model, req.adapter.as_deref(), req.version.as_deref()) {
-            return Err(refusal("model_not_loaded", "the variant isn't loaded"));
+            return Err(refusal(
+                "model_not_loaded",
+                "the model variant is not loaded",
+            ));
         }
         let (prompt_tokens, prefix) = match &req.prompt {
             Prompt::Text(text) => (
@@ -266,8 +272,8 @@
             Prompt::Tokens(tokens) => (tokens.len() as u64, Vec::new()),
         };
         let imported = imported_tokens(&req.imports).min(prompt_tokens - 1);
-        let own_tokens = prompt_tokens - imported;
-        if own_tokens + u64::from(req.max_tokens) > self.sim.borrow().config.capacity_tokens {
+        let local_tokens = prompt_tokens - imported;
+        if local_tokens + u64::from(req.max_tokens) > self.sim.borrow().config.capacity_tokens {
             return Err(refusal(
                 "too_large",
                 "the prompt exceeds this engine's memory",
@@ -278,16 +284,16 @@
             request: req.request,
             attempt: req.attempt,
             priority: req.priority,
-            order: 0,
-            since: std::time::Instant::now(),
+            arrival_order: 0,
+            arrived_at: std::time::Instant::now(),
             prompt_tokens,
-            own_tokens,
-            computed: 0,
-            cached: 0,
+            local_tokens,
+            prefilled_tokens: 0,
+            cached_tokens: 0,
             prefix: if imported > 0 { Vec::new() } else { prefix },
-            generated: req.offset,
-            goal: Goal::Answer {
-                seed: AnswerSeed::of_prompt(&req.prompt),
+            generated_tokens: req.offset,
+            goal: Goal::Completion {
+                seed: CompletionSeed::of_prompt(&req.prompt),
                 offset: req.offset,
                 max_tokens: req.max_tokens,
                 stop: req.stop,
@@ -297,7 +303,7 @@
         };
         let (request, attempt) = (req.request, req.attempt);
         self.add(sequence);
-        let _guard = AnswerGuard {
+        let _guard = CompletionGuard {
             sim: self.sim.clone(),
             request,
             attempt,
@@ -314,15 +320,15 @@
         mut rx: unbounded::Rx<Output>,
     ) {
         let mut headers = HeaderMap::new();
-        let kind = HeaderValue::from_static("text/event-stream");
-        headers.insert(header::CONTENT_TYPE, kind);
-        let mut begun = false;
+        let content_type = HeaderValue::from_static("text/event-stream");
+        headers.insert(header::CONTENT_TYPE, content_type);
+        let mut stream_started = false;
         let mut sent = 0;
         loop {
-            let gone = exchange.peer_closed();
+            let disconnected = exchange.peer_closed();
             let first = monoio::select! {
                 output = rx.recv() => output,
-                () = gone => None,
+                () = disconnected => None,
             };
             let Some(mut output) = first else {
                 return exchange.abort();
@@ -330,31 +336,31 @@
             let mut data = Vec::new();
             let mut finished = false;
             loop {
-                if self.cuts_at(sent) {
+                if self.is_cut_at(sent) {
                     return exchange.abort();
                 }
                 sent += 1;
-                self.cross(&mut data, request, attempt);
+                self.inject_misrouted_frames(&mut data, request, attempt);
                 finished |= frame_into(&mut data, request, attempt, output);
                 match rx.try_recv() {
                     Ok(next) => output = next,
                     Err(_) => break,
                 }
             }
-            if let Fault::Late(ms) = self.fault() {
+            if let Fault::DelayedFrames(ms) = self.fault() {
                 monoio::time::sleep(Duration::from_millis(ms)).await;
             }
-            let written = if begun {
+            let write_result = if stream_started {
                 let mut framed = Vec::with_capacity(data.len() + 16);
                 chunk_into(&mut framed, &data);
                 exchange.write_framed(&framed).await
             } else {
-                begun = true;
+                stream_started = true;
                 exchange
                     .start_stream(StatusCode::OK, headers.clone(), &data)
                     .await
             };
-            if written.is_err() {
+            if write_result.is_err() {
                 return exchange.abort();
             }
             if finished {
@@ -364,7 +370,7 @@
         }
     }
 
-    fn cuts_at(&self, sent: u32) -> bool {
+    fn is_cut_at(&self, sent: u32) -> bool {
         match self.fault() {
             Fault::CutAfter(n) => sent >= n,
             Fault::Dead => true,
@@ -372,14 +378,17 @@
         }
     }
 
-    /// Mixes in a frame of another request or of an older attempt.
-    fn cross(&self, data: &mut Vec<u8>, request: RequestId, attempt: Attempt) {
-        let last = self.other.borrow_mut().replace((request, attempt));
-        if self.fault() != Fault::Crossed {
+    /// Under [`Fault::MisroutedFrames`], adds frames of another request and of an older attempt.
+    fn inject_misrouted_frames(&self, data: &mut Vec<u8>, request: RequestId, attempt: Attempt) {
+        let previous = self
+            .previous_stream
+            .borrow_mut()
+            .replace((request, attempt));
+        if self.fault() != Fault::MisroutedFrames {
             return;
         }
-        let older = (request, Attempt(attempt.0.wrapping_sub(1)));
-        for (request, attempt) in last.into_iter().chain([older]) {
+        let older_attempt = (request, Attempt(attempt.0.wrapping_sub(1)));
+        for (request, attempt) in previous.into_iter().chain([older_attempt]) {
             let text = "crossed".to_owned();
             frame_into(data, request, attempt, Output::Token(0, text));
         }
@@ -387,8 +396,8 @@
 
     async fn prefill(&self, exchange: &mut Exchange, body: &Bytes) -> Result<(), EngineRefusal> {
         let req: SegmentRequest = parse(body)?;
-        let own_tokens = req.to.saturating_sub(req.from).max(1);
-        if own_tokens > self.sim.borrow().config.capacity_tokens {
+        let local_tokens = req.to.saturating_sub(req.from).max(1);
+        if local_tokens > self.sim.borrow().config.capacity_tokens {
             return Err(refusal(
                 "too_large",
                 "the segment exceeds this engine's memory",
@@ -399,22 +408,22 @@
             request: req.request,
             attempt: req.attempt,
             priority: 0,
-            order: 0,
-            since: std::time::Instant::now(),
-            prompt_tokens: own_tokens,
-            own_tokens,
-            computed: 0,
-            cached: 0,
+            arrival_order: 0,
+            arrived_at: std::time::Instant::now(),
+            prompt_tokens: local_tokens,
+            local_tokens,
+            prefilled_tokens: 0,
+            cached_tokens: 0,
             prefix: Vec::new(),
-            generated: 0,
+            generated_tokens: 0,
             goal: Goal::Segment,
             running: false,
             tx,
         });
-        let gone = exchange.peer_closed();
+        let disconnected = exchange.peer_closed();
         let ready = monoio::select! {
             output = rx.recv() => output.is_some(),
-            () = gone => false,
+            () = disconnected => false,
         };
         if !ready {
             self.sim.borrow_mut().cancel(req.request, req.attempt);
@@ -443,13 +452,13 @@
 
     async fn order(&self, exchange: &mut Exchange, body: &Bytes) -> Result<(), EngineRefusal> {
         let req: OrderRequest = parse(body)?;
-        let answer = {
+        let response = {
             let mut fence = self.fence.borrow_mut();
             let mut sim = self.sim.borrow_mut();
             let stale = req.fence < fence.highest;
             let accepted = !(stale && sim.config.checks_fence);
             if accepted {
-                fence.stale_run += u64::from(stale);
+                fence.stale_orders_run += u64::from(stale);
                 apply_order(&mut sim, req.wanted);
             }
             fence.highest = fence.highest.max(req.fence);
@@ -458,7 +467,7 @@
                 fence: fence.highest,
             }
         };
-        exchange.respond_json(StatusCode::OK, &answer).await;
+        exchange.respond_json(StatusCode::OK, &response).await;
         Ok(())
     }
 }
@@ -482,7 +491,7 @@
     }
 }
 
-/// The tokens of a prompt's beginning that tickets stand for.
+/// Returns the length of the prompt prefix covered by `tickets`, in tokens.
 fn imported_tokens(tickets: &[String]) -> u64 {
     let ends = tickets
         .iter()
@@ -490,7 +499,7 @@
     ends.max().unwrap_or(0)
 }
 
-/// Appends an output as a frame; tells whether it is the last.
+/// Appends an output as a frame. Returns whether it is the last frame.
 fn frame_into(data: &mut Vec<u8>, request: RequestId, attempt: Attempt, output: Output) -> bool {
     let mut frame = EngineFrame {
         request,
--- a/crates/notchwalk_standin/src/engine/cache.rs
+++ b/crates/notchwalk_standin/src/engine/cache.rs
@@ -1,4 +1,4 @@
-//! The prefix cache of a stand-in engine and the events it publishes.
+//! Prefix cache of a stand-in engine and the events it publishes.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -9,33 +9,33 @@
 use notchwalk_decide::BLOCK_TOKENS;
 use notchwalk_wire::{CacheEvent, CacheEvents};
 
-/// Events kept for those who ask late; older ones are a gap.
+/// Number of retained events. Readers that are further behind see a gap.
 const MAX_EVENTS: usize = 4_096;
-/// Of so many answers, one leaves out some events.
+/// One of this many reads skips an event, to simulate a gap.
 const GAP_EVERY: u64 = 101;
 
-/// Cached blocks, the least recently used first to go.
+/// An LRU cache of KV blocks.
 #[derive(Debug, Default)]
 pub struct PrefixCache {
-    used_at: HashMap<u64, u64>,
-    order: VecDeque<(u64, u64)>,
-    clock: u64,
+    last_used: HashMap<u64, u64>,
+    lru_queue: VecDeque<(u64, u64)>,
+    use_counter: u64,
     events: VecDeque<(Instant, CacheEvent)>,
     last: u64,
-    answers: u64,
+    reads: u64,
 }
 
 impl PrefixCache {
-    /// Returns the memory that cached blocks take, in tokens.
+    /// Returns the memory used by cached blocks, in tokens.
     pub fn tokens(&self) -> Tokens {
-        self.used_at.len() as Tokens * BLOCK_TOKENS
+        self.last_used.len() as Tokens * BLOCK_TOKENS
     }
 
-    /// Returns how many tokens of a prompt are cached, and marks them as used.
-    pub fn hit(&mut self, prefix: &[u64]) -> Tokens {
+    /// Returns the number of cached tokens of a prompt and marks its blocks as recently used.
+    pub fn lookup(&mut self, prefix: &[u64]) -> Tokens {
         let hits = prefix
             .iter()
-            .take_while(|block| self.used_at.contains_key(block));
+            .take_while(|block| self.last_used.contains_key(block));
         let hits = hits.count();
         for block in &prefix[..hits] {
             self.touch(*block);
@@ -44,20 +44,20 @@
     }
 
     fn touch(&mut self, block: u64) {
-        self.clock += 1;
-        self.used_at.insert(block, self.clock);
-        self.order.push_back((self.clock, block));
+        self.use_counter += 1;
+        self.last_used.insert(block, self.use_counter);
+        self.lru_queue.push_back((self.use_counter, block));
     }
 
-    /// Stores a prompt's blocks as far as `room` tokens allow.
-    pub fn store(&mut self, prefix: &[u64], mut room: Tokens) {
+    /// Stores a prompt's blocks until `free` tokens are used up.
+    pub fn store(&mut self, prefix: &[u64], mut free: Tokens) {
         for block in prefix {
-            let known = self.used_at.contains_key(block);
-            if !known && room < BLOCK_TOKENS {
+            let is_cached = self.last_used.contains_key(block);
+            if !is_cached && free < BLOCK_TOKENS {
                 return;
             }
-            if !known {
-                room -= BLOCK_TOKENS;
+            if !is_cached {
+                free -= BLOCK_TOKENS;
                 self.publish(CacheEvent::Stored(*block));
             }
             self.touch(*block);
@@ -67,11 +67,11 @@
     /// Evicts blocks until at most `tokens` are cached.
     pub fn shrink_to(&mut self, tokens: Tokens) {
         while self.tokens() > tokens {
-            let Some((at, block)) = self.order.pop_front() else {
+            let Some((at, block)) = self.lru_queue.pop_front() else {
                 return;
             };
-            if self.used_at.get(&block) == Some(&at) {
-                self.used_at.remove(&block);
+            if self.last_used.get(&block) == Some(&at) {
+                self.last_used.remove(&block);
                 self.publish(CacheEvent::Evicted(block));
             }
         }
@@ -85,12 +85,15 @@
         }
     }
 
-    /// Returns the events after a number that are old enough, now and then
-    /// with a gap. After 0 it returns a snapshot.
+    /// Returns the events after sequence number `after` that are at least `lag` old,
+    /// occasionally with a gap. For `after` = 0 it returns a snapshot.
     pub fn events_after(&mut self, after: u64, lag: Duration) -> CacheEvents {
-        self.answers += 1;
+        self.reads += 1;
         if after == 0 {
-            let blocks = self.used_at.keys().map(|block| CacheEvent::Stored(*block));
+            let blocks = self
+                .last_used
+                .keys()
+                .map(|block| CacheEvent::Stored(*block));
             return CacheEvents {
                 first: self.last,
                 last: self.last,
@@ -100,17 +103,17 @@
         }
         let oldest = self.last + 1 - self.events.len() as u64;
         let mut first = (after + 1).max(oldest);
-        if self.answers % GAP_EVERY == 0 {
+        if self.reads % GAP_EVERY == 0 {
             first += 1;
         }
         let skip = first.saturating_sub(oldest) as usize;
         let old_enough = |at: &Instant| at.elapsed() >= lag;
-        let published = self
+        let visible = self
             .events
             .iter()
             .skip(skip)
             .take_while(|(at, _)| old_enough(at));
-        let events: Vec<_> = published.map(|(_, event)| *event).collect();
+        let events: Vec<_> = visible.map(|(_, event)| *event).collect();
         CacheEvents {
             first,
             last: match events.len() {
--- a/crates/notchwalk_standin/src/engine/fault.rs
+++ b/crates/notchwalk_standin/src/engine/fault.rs
@@ -1,26 +1,29 @@
-//! Faults that a stand-in engine takes on request.
+//! Faults that can be injected into a stand-in engine.
 
 use serde::{Deserialize, Serialize};
 
-/// What is wrong with an engine.
+/// A fault of an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// Everything takes this many times longer.
+    /// Steps take this many times longer.
     Slow(f64),
-    /// Every frame comes this many milliseconds late.
-    Late(u64),
-    /// Connections are closed without an answer, and its memory is lost.
+    /// Frames are delayed by this many milliseconds.
+    #[serde(rename = "late")]
+    DelayedFrames(u64),
+    /// Connections are closed without a response, and all memory is lost.
     Dead,
-    /// Connections stay open, but nothing happens.
+    /// Connections stay open without a response, and no steps run.
     Hung,
-    /// Every stream is cut after this many tokens.
+    /// Streams are aborted after this many frames.
     CutAfter(u32),
-    /// Frames of other requests and of older attempts are mixed into streams.
-    Crossed,
-    /// All new work is refused as overloaded.
-    Refusing,
+    /// Streams contain frames of other requests and of older attempts.
+    #[serde(rename = "crossed")]
+    MisroutedFrames,
+    /// New requests are rejected as overloaded.
+    #[serde(rename = "refusing")]
+    Overloaded,
 }
--- a/crates/notchwalk_standin/src/engine/mod.rs
+++ b/crates/notchwalk_standin/src/engine/mod.rs
@@ -1,6 +1,5 @@
-//! A stand-in model engine: batches continuously with a token budget a step,
-//! prefills in chunks, has limited memory and a prefix cache, honours
-//! priorities, and reports late.
+//! A stand-in model engine with continuous batching, a token budget per step, chunked prefill,
+//! limited KV memory, a prefix cache, request priorities and delayed load reports.
 
 mod api;
 mod cache;
--- a/crates/notchwalk_standin/src/engine/sequence.rs
+++ b/crates/notchwalk_standin/src/engine/sequence.rs
@@ -1,104 +1,103 @@
-//! One piece of work on a stand-in engine.
+//! A sequence: one unit of work on a stand-in engine.
 
 use std::time::Instant;
 
 use local_sync::mpsc::unbounded;
 use notchwalk_core::{Attempt, RequestId, Tokens};
 
-use crate::answer::AnswerSeed;
+use crate::completion::CompletionSeed;
 
-/// What a sequence tells its connection.
+/// An output of a sequence, sent to its connection.
 #[derive(Debug)]
 pub enum Output {
-    /// A token and its place in the answer.
+    /// A token and its index in the completion.
     Token(u32, String),
-    /// The answer is whole.
+    /// The completion has ended.
     Finished {
         /// `stop` or `length`.
         reason: &'static str,
-        /// Tokens of the prompt.
+        /// Length of the prompt, in tokens.
         prompt_tokens: Tokens,
-        /// Tokens of it that were cached.
+        /// Prompt tokens found in the prefix cache.
         cached_tokens: Tokens,
-        /// Tokens of the whole answer.
+        /// Length of the whole completion, in tokens.
         completion_tokens: u32,
     },
-    /// The segment is computed and held.
+    /// The segment is prefilled and held in memory.
     SegmentReady,
 }
 
 /// What a sequence computes.
 #[derive(Clone, Debug)]
 pub enum Goal {
-    /// An answer.
-    Answer {
-        /// The function that gives its tokens.
-        seed: AnswerSeed,
-        /// The first token wanted.
+    /// A completion.
+    Completion {
+        /// Seed of its tokens.
+        seed: CompletionSeed,
+        /// Index of the first token to generate.
         offset: u32,
-        /// The longest answer.
+        /// Maximum completion length, in tokens.
         max_tokens: u32,
-        /// Texts that end it.
+        /// Stop sequences.
         stop: Vec<String>,
     },
-    /// The KV cache of a part of a prompt, held until it is cancelled.
+    /// The KV cache of a prompt segment, held until it is cancelled.
     Segment,
 }
 
-/// A sequence, waiting or running.
+/// A waiting or running sequence.
 pub struct Sequence {
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
-    /// The attempt.
+    /// Attempt of the request.
     pub attempt: Attempt,
-    /// Higher is served first.
+    /// Scheduling priority; higher values first.
     pub priority: u8,
-    /// The place in the order of arrival.
-    pub order: u64,
-    /// When it arrived.
-    pub since: Instant,
-    /// Tokens of the whole prompt.
+    /// Sequence number of arrival.
+    pub arrival_order: u64,
+    /// Time of arrival.
+    pub arrived_at: Instant,
+    /// Length of the whole prompt, in tokens.
     pub prompt_tokens: Tokens,
-    /// Tokens of the prompt that this engine computes and holds.
-    pub own_tokens: Tokens,
-    /// Tokens computed or found in the cache.
-    pub computed: Tokens,
-    /// Tokens found in the cache.
-    pub cached: Tokens,
-    /// The prompt's blocks.
+    /// Prompt tokens that this engine prefills and holds; the others are imported.
+    pub local_tokens: Tokens,
+    /// Prompt tokens prefilled or found in the prefix cache.
+    pub prefilled_tokens: Tokens,
+    /// Prompt tokens found in the prefix cache.
+    pub cached_tokens: Tokens,
+    /// Block hashes of the prompt.
     pub prefix: Vec<u64>,
-    /// Tokens of the answer that exist.
-    pub generated: u32,
-    /// What is computed.
+    /// Completion tokens generated so far.
+    pub generated_tokens: u32,
+    /// What the sequence computes.
     pub goal: Goal,
-    /// Whether it holds memory.
+    /// Whether the sequence is admitted and holds memory.
     pub running: bool,
-    /// Where its output goes.
+    /// Sender of its outputs.
     pub tx: unbounded::Tx<Output>,
 }
 
 impl Sequence {
-    /// Returns the memory held, in tokens.
-    pub fn held(&self) -> Tokens {
+    /// Returns the KV memory in use, in tokens.
+    pub fn used_tokens(&self) -> Tokens {
         match self.running {
-            true => self.own_tokens + Tokens::from(self.generated),
+            true => self.local_tokens + Tokens::from(self.generated_tokens),
             false => 0,
         }
     }
 
-    /// Returns the prompt tokens still to be computed.
-    pub fn left(&self) -> Tokens {
-        self.own_tokens - self.computed.min(self.own_tokens)
+    /// Returns the number of prompt tokens that remain to be prefilled.
+    pub fn remaining_prompt_tokens(&self) -> Tokens {
+        self.local_tokens - self.prefilled_tokens.min(self.local_tokens)
     }
 
-    /// Tells whether the sequence is a segment that is only held.
+    /// Returns whether the sequence is a prefilled segment held in memory.
     pub fn is_held_segment(&self) -> bool {
-        matches!(self.goal, Goal::Segment) && self.running && self.left() == 0
+        matches!(self.goal, Goal::Segment) && self.running && self.remaining_prompt_tokens() == 0
     }
 
-    /// Returns the key by which sequences are served: priority first, then
-    /// arrival.
-    pub fn rank(&self) -> (std::cmp::Reverse<u8>, u64) {
-        (std::cmp::Reverse(self.priority), self.order)
+    /// Returns the scheduling key: priority first, then arrival.
+    pub fn scheduling_key(&self) -> (std::cmp::Reverse<u8>, u64) {
+        (std::cmp::Reverse(self.priority), self.arrival_order)
     }
 }
--- a/crates/notchwalk_standin/src/engine/simulation.rs
+++ b/crates/notchwalk_standin/src/engine/simulation.rs
@@ -1,4 +1,4 @@
-//! The engine's steps, without I/O.
+//! Simulation of the engine's steps, without I/O.
 
 use std::{
     cmp::Reverse,
@@ -18,36 +18,36 @@
 
 /// The state of one engine.
 pub struct Simulation {
-    /// Its properties.
+    /// Configuration of the engine.
     pub config: EngineConfig,
-    /// What is wrong with it.
+    /// The injected fault.
     pub fault: Fault,
-    /// What is loaded.
+    /// Loaded models.
     pub loaded: Vec<LoadedModel>,
-    /// Whether it leaves.
-    pub leaving: bool,
-    /// Its prefix cache.
+    /// Whether the engine is draining.
+    pub draining: bool,
+    /// Prefix cache.
     pub cache: PrefixCache,
-    /// Requests that were ever sent here, for tests.
+    /// Number of accepted requests since the start.
     pub received: u64,
-    /// When work was last accepted.
+    /// When a request was last accepted.
     pub last_received: Option<Instant>,
     sequences: Vec<Sequence>,
     next_order: u64,
     evictions: u64,
     computed_tokens: u64,
     generated_tokens: u64,
-    reports: Vec<(Instant, LoadReport)>,
+    report_history: Vec<(Instant, LoadReport)>,
 }
 
 impl Simulation {
-    /// Builds an idle engine.
+    /// Creates an idle engine.
     pub fn new(config: EngineConfig) -> Self {
         Self {
             loaded: config.loaded.clone(),
             config,
             fault: Fault::None,
-            leaving: false,
+            draining: false,
             cache: PrefixCache::default(),
             received: 0,
             last_received: None,
@@ -56,61 +56,61 @@
             evictions: 0,
             computed_tokens: 0,
             generated_tokens: 0,
-            reports: Vec::new(),
+            report_history: Vec::new(),
         }
     }
 
-    /// Returns the memory held by sequences, in tokens.
-    pub fn used(&self) -> Tokens {
-        self.sequences.iter().map(Sequence::held).sum()
+    /// Returns the KV memory used by sequences, in tokens.
+    pub fn used_tokens(&self) -> Tokens {
+        self.sequences.iter().map(Sequence::used_tokens).sum()
     }
 
-    /// Returns prompt and answer tokens made since the start.
-    pub fn tokens_made(&self) -> (u64, u64) {
+    /// Returns the numbers of prompt tokens prefilled and completion tokens generated.
+    pub fn token_counts(&self) -> (u64, u64) {
         (self.computed_tokens, self.generated_tokens)
     }
 
-    /// Adds work. An older attempt of the same request ends.
+    /// Adds a sequence and removes older attempts of the same request.
     pub fn add(&mut self, mut sequence: Sequence) {
         let (request, attempt) = (sequence.request, sequence.attempt);
         self.sequences
             .retain(|s| s.request != request || s.attempt >= attempt);
-        sequence.order = self.next_order;
+        sequence.arrival_order = self.next_order;
         self.next_order += 1;
         self.received += 1;
         self.last_received = Some(Instant::now());
         self.sequences.push(sequence);
     }
 
-    /// Ends a request's attempts; returns the freed tokens.
+    /// Cancels a request's attempts up to `up_to`. Returns the freed memory, in tokens.
     pub fn cancel(&mut self, request: RequestId, up_to: Attempt) -> Tokens {
-        let before = self.used();
+        let before = self.used_tokens();
         self.sequences
             .retain(|s| s.request != request || s.attempt > up_to);
-        before - self.used()
+        before - self.used_tokens()
     }
 
-    /// Ends an answer whose connection is gone.
-    pub fn drop_answer(&mut self, request: RequestId, attempt: Attempt) {
-        let gone = |s: &Sequence| {
+    /// Aborts a completion whose connection closed.
+    pub fn abort_completion(&mut self, request: RequestId, attempt: Attempt) {
+        let aborted = |s: &Sequence| {
             s.request == request && s.attempt == attempt && !matches!(s.goal, Goal::Segment)
         };
-        self.sequences.retain(|s| !gone(s));
+        self.sequences.retain(|s| !aborted(s));
     }
 
-    /// Loses everything, as a crash does.
+    /// Drops all sequences and the cache, as in a crash.
     pub fn crash(&mut self) {
         self.sequences.clear();
         self.cache.shrink_to(0);
     }
 
-    /// Lists the memory held.
+    /// Returns the memory held by each running sequence.
     pub fn holdings(&self) -> Vec<Holding> {
         let holding = |s: &Sequence| Holding {
             request: s.request,
             attempt: s.attempt,
-            tokens: s.held(),
-            age_ms: s.since.elapsed().as_millis() as u64,
+            tokens: s.used_tokens(),
+            age_ms: s.arrived_at.elapsed().as_millis() as u64,
         };
         self.sequences
             .iter()
@@ -119,21 +119,21 @@
             .collect()
     }
 
-    /// Runs one step; returns how long it takes, `None` if there is nothing to
-    /// do.
+    /// Runs one step. Returns its duration, or `None` if there is no work.
     pub fn step(&mut self) -> Option<Duration> {
-        self.sequences.sort_unstable_by_key(Sequence::rank);
+        self.sequences
+            .sort_unstable_by_key(Sequence::scheduling_key);
         self.admit();
-        let answers = self.generate();
-        let prompts = self.compute_prompts(answers);
-        let answers_only = self.finish_step();
-        if answers == 0 && prompts == 0 && answers_only == 0 {
+        let decoded = self.decode();
+        let prefilled = self.prefill(decoded);
+        let finished = self.remove_finished();
+        if decoded == 0 && prefilled == 0 && finished == 0 {
             return None;
         }
         let config = &self.config;
-        let work = config.step_base
-            + config.prompt_token.mul_f64(prompts as f64)
-            + config.answer_token.mul_f64(answers as f64);
+        let work = config.step_overhead
+            + config.prefill_per_token.mul_f64(prefilled as f64)
+            + config.decode_per_token.mul_f64(decoded as f64);
         let factor = match self.fault {
             Fault::Slow(factor) => factor,
             _ => 1.0,
@@ -141,9 +141,9 @@
         Some(config.scaled(work).mul_f64(factor))
     }
 
-    /// Starts waiting sequences in order while slots and memory allow.
+    /// Admits waiting sequences in order while slots and memory allow.
     fn admit(&mut self) {
-        let mut used = self.used();
+        let mut used = self.used_tokens();
         let mut running = self
             .sequences
             .iter()
@@ -154,33 +154,33 @@
             if sequence.running {
                 continue;
             }
-            let need = sequence.own_tokens + Tokens::from(sequence.generated);
-            if running >= self.config.slots || used + need > capacity {
+            let required = sequence.local_tokens + Tokens::from(sequence.generated_tokens);
+            if running >= self.config.slots || used + required > capacity {
                 break;
             }
             sequence.running = true;
-            sequence.cached = self
+            sequence.cached_tokens = self
                 .cache
-                .hit(&sequence.prefix)
-                .min(sequence.own_tokens - 1);
-            sequence.computed = sequence.cached;
-            used += need;
+                .lookup(&sequence.prefix)
+                .min(sequence.local_tokens - 1);
+            sequence.prefilled_tokens = sequence.cached_tokens;
+            used += required;
             running += 1;
         }
         self.cache.shrink_to(capacity.saturating_sub(used));
     }
 
-    /// Makes one token for each sequence whose prompt is computed. Returns
-    /// how many.
-    fn generate(&mut self) -> u64 {
+    /// Decodes one token for each sequence whose prompt is prefilled. Returns the number of
+    /// tokens.
+    fn decode(&mut self) -> u64 {
         let capacity = self.config.capacity_tokens;
-        let mut used = self.used();
-        let mut made = 0;
+        let mut used = self.used_tokens();
+        let mut decoded = 0;
         let mut i = 0;
         while i < self.sequences.len() {
             let sequence = &self.sequences[i];
-            let answers = matches!(sequence.goal, Goal::Answer { .. });
-            if !sequence.running || sequence.left() > 0 || !answers {
+            let is_completion = matches!(sequence.goal, Goal::Completion { .. });
+            if !sequence.running || sequence.remaining_prompt_tokens() > 0 || !is_completion {
                 i += 1;
                 continue;
             }
@@ -188,140 +188,155 @@
                 if !self.evict_after(i) {
                     break;
                 }
-                used = self.used();
+                used = self.used_tokens();
                 continue;
             }
             let sequence = &mut self.sequences[i];
             emit_token(sequence);
             used += 1;
-            made += 1;
+            decoded += 1;
             i += 1;
         }
-        self.generated_tokens += made;
-        made
+        self.generated_tokens += decoded;
+        decoded
     }
 
-    /// Takes the memory of the last running sequence behind `i`; it starts
-    /// anew later.
+    /// Evicts the last running sequence after index `i`, which restarts later. Returns whether
+    /// there was one.
     fn evict_after(&mut self, i: usize) -> bool {
-        let mut behind = self.sequences.iter().enumerate().skip(i + 1);
-        let victim = behind.rfind(|(_, s)| s.running && !s.is_held_segment());
+        let mut candidates = self.sequences.iter().enumerate().skip(i + 1);
+        let victim = candidates.rfind(|(_, s)| s.running && !s.is_held_segment());
         let Some((victim, _)) = victim else {
             return false;
         };
         let sequence = &mut self.sequences[victim];
         sequence.running = false;
-        sequence.computed = 0;
+        sequence.prefilled_tokens = 0;
         self.evictions += 1;
         true
     }
 
-    /// Computes prompt tokens, in order, with what is left of the budget.
-    fn compute_prompts(&mut self, answers: u64) -> Tokens {
-        let mut budget = self.config.step_budget.saturating_sub(answers);
-        let mut done = 0;
+    /// Prefills prompt tokens in order with the rest of the step's budget. Returns their
+    /// number.
+    fn prefill(&mut self, decoded: u64) -> Tokens {
+        let mut budget = self.config.step_token_budget.saturating_sub(decoded);
+        let mut prefilled = 0;
         for sequence in &mut self.sequences {
-            if !sequence.running || sequence.left() == 0 {
+            if !sequence.running || sequence.remaining_prompt_tokens() == 0 {
                 continue;
             }
-            let chunk = sequence.left().min(budget);
-            sequence.computed += chunk;
+            let chunk = sequence.remaining_prompt_tokens().min(budget);
+            sequence.prefilled_tokens += chunk;
             budget -= chunk;
-            done += chunk;
-            if sequence.left() > 0 {
+            prefilled += chunk;
+            if sequence.remaining_prompt_tokens() > 0 {
                 break;
             }
             if matches!(sequence.goal, Goal::Segment) {
                 let _ = sequence.tx.send(Output::SegmentReady);
             }
         }
-        self.computed_tokens += done;
-        done
+        self.computed_tokens += prefilled;
+        prefilled
     }
 
-    /// Ends whole answers and caches their prompts; returns how many ended.
-    fn finish_step(&mut self) -> usize {
-        let mut ended = Vec::new();
+    /// Removes finished completions and caches their prompts. Returns the number of removed
+    /// sequences.
+    fn remove_finished(&mut self) -> usize {
+        let mut finished_prefixes = Vec::new();
         self.sequences.retain_mut(|sequence| {
-            let Some(reason) = end_of(sequence) else {
+            let Some(reason) = finish_reason(sequence) else {
                 return true;
             };
             let _ = sequence.tx.send(Output::Finished {
                 reason,
                 prompt_tokens: sequence.prompt_tokens,
-                cached_tokens: sequence.cached,
-                completion_tokens: sequence.generated,
+                cached_tokens: sequence.cached_tokens,
+                completion_tokens: sequence.generated_tokens,
             });
-            ended.push(std::mem::take(&mut sequence.prefix));
+            finished_prefixes.push(std::mem::take(&mut sequence.prefix));
             false
         });
-        for prefix in &ended {
-            let taken = self.used() + self.cache.tokens();
-            let room = self.config.capacity_tokens.saturating_sub(taken);
+        for prefix in &finished_prefixes {
+            let used = self.used_tokens() + self.cache.tokens();
+            let room = self.config.capacity_tokens.saturating_sub(used);
             self.cache.store(prefix, room);
         }
-        ended.len()
+        finished_prefixes.len()
     }
 
     fn backlog_by_priority(&self) -> Vec<(u8, Tokens)> {
         let mut backlog = BTreeMap::new();
-        for sequence in self.sequences.iter().filter(|s| s.left() > 0) {
-            *backlog.entry(Reverse(sequence.priority)).or_default() += sequence.left();
+        for sequence in self
+            .sequences
+            .iter()
+            .filter(|s| s.remaining_prompt_tokens() > 0)
+        {
+            *backlog.entry(Reverse(sequence.priority)).or_default() +=
+                sequence.remaining_prompt_tokens();
         }
         let by_priority = backlog.into_iter();
         by_priority.map(|(priority, n)| (priority.0, n)).collect()
     }
 
-    fn report_now(&self) -> LoadReport {
+    fn current_report(&self) -> LoadReport {
         let running = self.sequences.iter().filter(|s| s.running).count();
         let scale = self.config.time_scale;
         let ns = |d: Duration| (d.as_nanos() as f64 / scale) as u64;
-        // A full step's base is spread over its tokens.
-        let spread = self.config.step_base.as_nanos() as f64 / self.config.step_budget as f64;
+        // The step overhead is spread over the tokens of a full step.
+        let overhead_per_token =
+            self.config.step_overhead.as_nanos() as f64 / self.config.step_token_budget as f64;
         LoadReport {
             capacity_tokens: self.config.capacity_tokens,
-            used_tokens: self.used(),
+            used_tokens: self.used_tokens(),
             running: running as u32,
             waiting: (self.sequences.len() - running) as u32,
             slots: self.config.slots,
-            backlog_tokens: self.sequences.iter().map(Sequence::left).sum(),
+            backlog_tokens: self
+                .sequences
+                .iter()
+                .map(Sequence::remaining_prompt_tokens)
+                .sum(),
             backlog_by_priority: self.backlog_by_priority(),
-            prompt_token_ns: ns(self.config.prompt_token) + (spread / scale) as u64,
-            answer_token_ns: ns(self.config.answer_token) + (spread / scale) as u64,
+            prompt_token_ns: ns(self.config.prefill_per_token)
+                + (overhead_per_token / scale) as u64,
+            answer_token_ns: ns(self.config.decode_per_token) + (overhead_per_token / scale) as u64,
             loaded: self.loaded.clone(),
-            leaving: self.leaving,
+            leaving: self.draining,
             evictions: self.evictions,
         }
     }
 
-    /// Returns the load as it was a moment ago.
-    pub fn lagging_report(&mut self) -> LoadReport {
+    /// Returns the load report as of `report_lag` ago.
+    pub fn delayed_report(&mut self) -> LoadReport {
         let now = Instant::now();
-        let report = self.report_now();
-        self.reports.push((now, report));
+        let report = self.current_report();
+        self.report_history.push((now, report));
         let lag = self.config.report_lag;
-        let old_enough = self.reports.iter().rposition(|(at, _)| now - *at >= lag);
+        let old_enough = self
+            .report_history
+            .iter()
+            .rposition(|(at, _)| now - *at >= lag);
         let at = old_enough.unwrap_or(0);
-        self.reports.drain(..at);
-        let mut report = self.reports[0].1.clone();
-        report.leaving = self.leaving;
+        self.report_history.drain(..at);
+        let mut report = self.report_history[0].1.clone();
+        report.leaving = self.draining;
         report
     }
 }
 
 fn emit_token(sequence: &mut Sequence) {
-    let Goal::Answer { seed, offset, .. } = &sequence.goal else {
+    let Goal::Completion { seed, offset, .. } = &sequence.goal else {
         return;
     };
-    // A resumed answer starts at its offset; what came before is not made
-    // again.
-    let place = sequence.generated.max(*offset);
-    let _ = sequence.tx.send(Output::Token(place, seed.token(place)));
-    sequence.generated = place + 1;
+    // A resumed completion starts at its offset; earlier tokens aren't generated again.
+    let index = sequence.generated_tokens.max(*offset);
+    let _ = sequence.tx.send(Output::Token(index, seed.token(index)));
+    sequence.generated_tokens = index + 1;
 }
 
-fn end_of(sequence: &Sequence) -> Option<&'static str> {
-    let Goal::Answer {
+fn finish_reason(sequence: &Sequence) -> Option<&'static str> {
+    let Goal::Completion {
         seed,
         max_tokens,
         stop,
@@ -330,15 +345,15 @@
     else {
         return None;
     };
-    if sequence.left() > 0 || sequence.generated == 0 {
+    if sequence.remaining_prompt_tokens() > 0 || sequence.generated_tokens == 0 {
         return None;
     }
-    let last = seed.token(sequence.generated - 1);
+    let last = seed.token(sequence.generated_tokens - 1);
     if stop
         .iter()
         .any(|text| !text.is_empty() && last.contains(text.as_str()))
     {
         return Some("stop");
     }
-    (sequence.generated >= *max_tokens).then_some("length")
+    (sequence.generated_tokens >= *max_tokens).then_some("length")
 }
