--- a/crates/notchwalk_standin/src/fleet.rs
+++ b/crates/notchwalk_standin/src/fleet.rs
@@ -1,5 +1,5 @@
-//! A whole fleet in this process: platform, engines, services and real
-//! daemons, each on free loopback ports.
+//! A whole fleet in one process: stand-in platform, engines and services, and real nodes,
+//! all on ephemeral loopback ports.
 
 use std::{
     net::{SocketAddr, TcpListener},
@@ -19,62 +19,61 @@
 
 use crate::{
     engine::{serve_engine, EngineConfig, EngineCounts, Fault},
-    entry::Entry,
+    node::NodeHandle,
     operators::{BundleSpec, Operators, WorkspaceSpec},
     platform::{serve_platform, PlatformConfig, PlatformFault},
     service::serve_service,
     thread::{block_on, ServingThread},
-    workload::{self, Measured, Planned},
+    workload::{self, Measured, PlannedCall},
 };
 
-/// The first number of engines in the VM list.
-const FIRST_ENGINE: u32 = 1_000;
-/// The first number of plain services' servers.
-const FIRST_SERVICE: u32 = 2_000;
-/// How long a fleet may take until it is ready.
-const READY_WITHIN: Duration = Duration::from_secs(15);
+/// VM id of the first engine.
+const FIRST_ENGINE_ID: u32 = 1_000;
+/// VM id of the first service server.
+const FIRST_SERVICE_ID: u32 = 2_000;
+const READY_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// What a fleet consists of.
+/// Configuration of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetConfig {
-    /// Entry daemons.
+    /// Number of nodes.
     pub entries: usize,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Servers of the plain service.
+    /// Number of servers of the plain service.
     pub services: usize,
-    /// Failure domains, used in turn.
-    pub domains: Vec<String>,
-    /// How many times faster than real the engines run.
+    /// Failure domains, assigned round-robin.
+    pub failure_domains: Vec<String>,
+    /// Speed-up of the engines over real time.
     pub time_scale: f64,
-    /// Each engine's memory, in tokens.
+    /// KV memory of each engine, in tokens.
     pub capacity_tokens: u64,
-    /// Requests an engine runs at once.
+    /// Maximum number of requests that an engine runs concurrently.
     pub slots: u32,
-    /// Engines that share one thread of this process.
+    /// Number of engines per thread of this process.
     pub engines_per_thread: usize,
-    /// What the bundle says.
+    /// Content of the bundle.
     pub bundle: BundleSpec,
-    /// How daemons count memory.
+    /// How nodes reserve engine memory.
     pub reserve: ReserveMode,
-    /// The platform.
+    /// Configuration of the stand-in platform.
     pub platform: PlatformConfig,
-    /// How long callers keep the list of entries.
+    /// How long callers cache the list of nodes.
     pub entries_ttl: Duration,
-    /// The program that runs each daemon as a process of its own
-    /// (`notchwalk-standin`); without it they are threads.
-    pub entry_program: Option<PathBuf>,
+    /// The program (`notchwalk-standin`) that runs each node as a separate process. If `None`,
+    /// nodes are threads of this process.
+    pub node_program: Option<PathBuf>,
 }
 
 impl FleetConfig {
-    /// Builds the fleet of a deployment as it is today: six entries, twenty
-    /// engines, three servers of a plain service.
+    /// Returns the default fleet: six nodes, twenty engines and three servers of a plain
+    /// service.
     pub fn new(workspaces: Vec<WorkspaceSpec>) -> Self {
         Self {
             entries: 6,
             engines: 20,
             services: 3,
-            domains: ["ruwi", "ghala", "seeb"].map(str::to_owned).to_vec(),
+            failure_domains: ["ruwi", "ghala", "seeb"].map(str::to_owned).to_vec(),
             time_scale: 4.0,
             capacity_tokens: 400_000,
             slots: 64,
@@ -91,105 +90,105 @@
             reserve: ReserveMode::TopUp,
             platform: PlatformConfig::default(),
             entries_ttl: Duration::from_secs(2),
-            entry_program: None,
+            node_program: None,
         }
     }
 
-    /// Sets the sizes.
-    pub fn with_sizes(mut self, entries: usize, engines: usize, services: usize) -> Self {
-        self.entries = entries;
+    /// Sets the numbers of nodes, engines and service servers.
+    pub fn with_sizes(mut self, nodes: usize, engines: usize, services: usize) -> Self {
+        self.entries = nodes;
         self.engines = engines;
         self.services = services;
         self
     }
 
-    /// Sets how many times faster than real the engines run.
+    /// Sets the speed-up of the engines over real time.
     pub fn with_time_scale(mut self, time_scale: f64) -> Self {
         self.time_scale = time_scale;
         self
     }
 
-    /// Runs each daemon as a process of its own.
+    /// Runs each node as a separate process of `program`.
     pub fn with_entry_program(mut self, program: impl Into<PathBuf>) -> Self {
-        self.entry_program = Some(program.into());
+        self.node_program = Some(program.into());
         self
     }
 
-    /// Sets the policy's lines.
+    /// Sets the policy settings, as INI lines.
     pub fn with_policy(mut self, policy: &str) -> Self {
         self.bundle.policy = policy.to_owned();
         self
     }
 }
 
-/// A server of the fleet that can be spoken to directly.
+/// A backend server of the fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetServer {
-    /// Its number in the VM list.
+    /// VM id.
     pub id: u32,
-    /// Its address.
+    /// Listen address.
     pub addr: SocketAddr,
 }
 
-/// Calls on their way.
-pub struct Sending(JoinHandle<Vec<Measured>>);
+/// A handle to calls in flight.
+pub struct SendHandle(JoinHandle<Vec<Measured>>);
 
-impl Sending {
-    /// Waits for all calls.
+impl SendHandle {
+    /// Waits for all calls and returns their results.
     ///
     /// # Panics
     ///
-    /// Panics if a caller panicked.
+    /// Panics if the sending thread panicked.
     pub fn wait(self) -> Vec<Measured> {
-        self.0.join().expect("the callers end")
+        self.0.join().expect("sending thread panicked")
     }
 }
 
-/// A running fleet. Dropping it ends everything.
+/// A running fleet. Dropping it stops all its nodes and stand-ins.
 pub struct Fleet {
-    /// What it consists of.
+    /// Configuration of the fleet.
     pub config: FleetConfig,
-    /// The daemons; `None` where one was ended.
-    pub daemons: Vec<Option<Entry>>,
-    /// The engines.
+    /// The nodes by index; `None` for a killed node.
+    pub daemons: Vec<Option<NodeHandle>>,
+    /// Engines by index.
     pub engines: Vec<FleetServer>,
-    /// The servers of the plain service.
+    /// Servers of the plain service.
     pub services: Vec<FleetServer>,
-    /// The platform's address.
+    /// Address of the platform.
     pub platform: SocketAddr,
-    /// The operators who sign its bundles.
+    /// Operators that sign the bundles.
     pub operators: Operators,
     records: Vec<VmRecord>,
     peer_key: PeerKey,
-    // Ended after the daemons, in this order.
+    // Dropped after the nodes, in this order.
     _threads: Vec<ServingThread>,
 }
 
-fn free_listener() -> TcpListener {
-    TcpListener::bind("127.0.0.1:0").expect("a free port")
+fn bind_ephemeral() -> TcpListener {
+    TcpListener::bind("127.0.0.1:0").expect("failed to bind a loopback port")
 }
 
-fn loopback() -> SocketAddr {
-    "127.0.0.1:0".parse().expect("an address")
+fn ephemeral_addr() -> SocketAddr {
+    "127.0.0.1:0".parse().expect("valid socket address")
 }
 
 impl Fleet {
-    /// Starts a fleet and waits until every daemon is ready.
+    /// Starts a fleet and waits until every node is ready.
     ///
     /// # Panics
     ///
-    /// Panics if something can't start, or takes too long.
+    /// Panics if a component can't start or the nodes aren't ready within the timeout.
     pub fn start(config: FleetConfig) -> Self {
         let mut threads = Vec::new();
         let mut records = Vec::new();
         let engines = start_engines(&config, &mut threads, &mut records);
         let services = start_services(&config, &mut threads, &mut records);
-        let listener = free_listener();
-        let platform = listener.local_addr().expect("an address");
+        let listener = bind_ephemeral();
+        let platform = listener.local_addr().expect("listener has no address");
         let platform_config = config.platform;
-        let listed = records.clone();
+        let vms = records.clone();
         threads.push(ServingThread::start("platform", move || async move {
-            serve_platform(listener, platform_config, listed).expect("the platform starts");
+            serve_platform(listener, platform_config, vms).expect("failed to start the platform");
         }));
         let mut fleet = Self {
             daemons: Vec::new(),
@@ -211,51 +210,53 @@
         fleet
     }
 
-    /// Starts a daemon in place `i`, for the first time or again.
+    /// Starts or restarts node `i`.
     ///
     /// # Panics
     ///
-    /// Panics if it can't start.
+    /// Panics if the node can't start.
     pub fn start_daemon(&mut self, i: usize) {
         let vm = i as u32 + 1;
-        let domain = self.config.domains[i % self.config.domains.len()].clone();
-        let daemon = match self.config.entry_program.clone() {
+        let failure_domain =
+            self.config.failure_domains[i % self.config.failure_domains.len()].clone();
+        let node = match self.config.node_program.clone() {
             Some(program) => {
-                let text = self.settings_text(vm, &domain);
-                Entry::in_process(&program, &text).expect("a daemon's process starts")
+                let text = self.settings_text(vm, &failure_domain);
+                NodeHandle::in_process(&program, &text).expect("failed to start a node process")
             }
-            None => Entry::in_thread(self.settings(vm, &domain)).expect("a daemon starts"),
+            None => NodeHandle::in_thread(self.settings(vm, &failure_domain))
+                .expect("failed to start a node"),
         };
         let record = VmRecord {
             id: vm,
             kind: VmKind::Entry {
-                peer_address: daemon.addresses.peer.to_string(),
+                peer_address: node.addresses.peer.to_string(),
             },
-            address: daemon.addresses.caller.to_string(),
-            failure_domain: domain,
+            address: node.addresses.caller.to_string(),
+            failure_domain,
             state: VmState::Live,
         };
         self.records.retain(|r| r.id != vm);
         self.records.push(record);
-        self.daemons[i] = Some(daemon);
+        self.daemons[i] = Some(node);
         self.publish_vms();
     }
 
-    fn settings(&self, vm: u32, domain: &str) -> DaemonSettings {
+    fn settings(&self, vm: u32, failure_domain: &str) -> DaemonSettings {
         let listen = ListenAddresses {
-            caller: loopback(),
-            peer: loopback(),
-            operator: loopback(),
+            caller: ephemeral_addr(),
+            peer: ephemeral_addr(),
+            operator: ephemeral_addr(),
         };
         let keys = PeerKeys::single(self.peer_key);
-        DaemonSettings::new(VmId(vm), domain, listen, self.platform, keys)
+        DaemonSettings::new(VmId(vm), failure_domain, listen, self.platform, keys)
             .with_reserve(self.config.reserve)
             .with_entries_ttl(self.config.entries_ttl)
     }
 
-    fn settings_text(&self, vm: u32, domain: &str) -> String {
+    fn settings_text(&self, vm: u32, failure_domain: &str) -> String {
         format!(
-            "[daemon]\nvm = {vm}\nfailure_domain = {domain}\ncaller_address = 127.0.0.1:0\n\
+            "[daemon]\nvm = {vm}\nfailure_domain = {failure_domain}\ncaller_address = 127.0.0.1:0\n\
              peer_address = 127.0.0.1:0\noperator_address = 127.0.0.1:0\n\
              entries_ttl_ms = {}\n[platform]\naddress = {}\n[peers]\nkeys = {}\n",
             self.config.entries_ttl.as_millis(),
@@ -264,22 +265,22 @@
         )
     }
 
-    /// Ends daemon `i` at once, as a crash would. The VM list still names it.
+    /// Kills node `i` without draining. The VM list still contains it.
     pub fn kill_daemon(&mut self, i: usize) {
-        if let Some(mut daemon) = self.daemons[i].take() {
-            daemon.kill();
-            let _ = daemon.join();
+        if let Some(mut node) = self.daemons[i].take() {
+            node.kill();
+            let _ = node.join();
         }
     }
 
-    /// Takes a VM off the list.
+    /// Removes a VM from the VM list.
     pub fn unlist(&mut self, id: u32) {
         self.records.retain(|r| r.id != id);
         self.publish_vms();
     }
 
-    /// Marks a VM as leaving in the list.
-    pub fn mark_leaving(&mut self, id: u32) {
+    /// Marks a VM as draining in the VM list.
+    pub fn mark_draining(&mut self, id: u32) {
         for record in self.records.iter_mut().filter(|r| r.id == id) {
             record.state = VmState::Leaving;
         }
@@ -287,67 +288,69 @@
     }
 
     fn publish_vms(&self) {
-        self.control(self.platform, "/standin/vms", &self.records);
+        self.post_control(self.platform, "/standin/vms", &self.records);
     }
 
-    /// Posts to a stand-in's control path.
+    /// Posts JSON to a control path of a stand-in.
     ///
     /// # Panics
     ///
-    /// Panics if the stand-in does not answer.
-    pub fn control<T: Serialize>(&self, addr: SocketAddr, path: &str, value: &T) {
+    /// Panics if the stand-in doesn't respond with success.
+    pub fn post_control<T: Serialize>(&self, addr: SocketAddr, path: &str, value: &T) {
         let req = OutgoingRequest::new(Method::POST, path).with_json(value);
-        let answer = block_on(Client::new().send(addr, req, Duration::from_secs(5), 1 << 20));
-        let answer = answer.expect("the stand-in answers");
-        assert!(answer.status.is_success(), "{path}: {}", answer.status);
+        let response = block_on(Client::new().send(addr, req, Duration::from_secs(5), 1 << 20));
+        let response = response.expect("no response from the stand-in");
+        assert!(response.status.is_success(), "{path}: {}", response.status);
     }
 
-    /// Reads from a stand-in or an operator address.
+    /// Sends a GET request to a stand-in or an operator address.
     ///
     /// # Panics
     ///
-    /// Panics if there is no answer.
+    /// Panics if there is no response.
     fn get(&self, addr: SocketAddr, path: &str) -> WholeResponse {
         let req = OutgoingRequest::new(Method::GET, path);
         let client = Client::new();
-        let answer = block_on(client.send(addr, req, Duration::from_secs(5), 64 << 20));
-        answer.expect("an answer")
+        let response = block_on(client.send(addr, req, Duration::from_secs(5), 64 << 20));
+        response.expect("no response")
     }
 
     /// Reads JSON from a stand-in or an operator address.
     ///
     /// # Panics
     ///
-    /// Panics if there is no answer of that type.
+    /// Panics if there is no response or its body is not of type `T`.
     pub fn read<T: DeserializeOwned>(&self, addr: SocketAddr, path: &str) -> T {
-        self.get(addr, path).json().expect("the expected type")
+        self.get(addr, path)
+            .json()
+            .expect("unexpected response body")
     }
 
     /// Reads text from a stand-in or an operator address.
     ///
     /// # Panics
     ///
-    /// Panics if there is no answer.
+    /// Panics if there is no response.
     pub fn read_text(&self, addr: SocketAddr, path: &str) -> String {
         String::from_utf8_lossy(&self.get(addr, path).body).into_owned()
     }
 
-    /// Sets an engine's fault.
+    /// Injects a fault into an engine.
     pub fn set_engine_fault(&self, i: usize, fault: Fault) {
-        self.control(self.engines[i].addr, "/standin/fault", &fault);
+        self.post_control(self.engines[i].addr, "/standin/fault", &fault);
     }
 
-    /// Sets the platform's fault.
+    /// Injects a fault into the platform.
     pub fn set_platform_fault(&self, fault: PlatformFault) {
-        self.control(self.platform, "/standin/fault", &fault);
+        self.post_control(self.platform, "/standin/fault", &fault);
     }
 
-    /// Returns an engine's counts.
+    /// Returns the counters of an engine.
     pub fn engine_counts(&self, i: usize) -> EngineCounts {
         self.read(self.engines[i].addr, "/standin/counts")
     }
 
-    /// Returns the callers' addresses of the daemons that run.
+    /// Returns the caller addresses of the running nodes.
     pub fn entries(&self) -> Vec<SocketAddr> {
         self.daemons
             .iter()
@@ -356,26 +359,26 @@
             .collect()
     }
 
-    /// Returns the keys of all workspaces, in order.
+    /// Returns the API keys of all workspaces, in order.
     pub fn keys(&self) -> Vec<String> {
         let workspaces = self.config.bundle.workspaces.iter();
         workspaces.map(|w| w.key.clone()).collect()
     }
 
-    /// Sends planned calls to the daemons and waits for all.
-    pub fn send(&self, planned: Vec<Planned>) -> Vec<Measured> {
+    /// Sends planned calls to the running nodes and waits for the results.
+    pub fn send(&self, planned: Vec<PlannedCall>) -> Vec<Measured> {
         self.start_sending(planned).wait()
     }
 
-    /// Starts to send planned calls to the daemons that run now.
-    pub fn start_sending(&self, planned: Vec<Planned>) -> Sending {
-        let (entries, keys) = (self.entries(), self.keys());
+    /// Starts sending planned calls to the running nodes.
+    pub fn start_sending(&self, planned: Vec<PlannedCall>) -> SendHandle {
+        let (nodes, keys) = (self.entries(), self.keys());
         let model = self.config.bundle.model.clone();
-        let run = move || workload::run(&entries, &keys, &model, planned);
-        Sending(std::thread::spawn(run))
+        let send = move || workload::run_open_loop(&nodes, &keys, &model, planned);
+        SendHandle(std::thread::spawn(send))
     }
 
-    /// Returns the key of workspace `i`.
+    /// Returns the API key of workspace `i`.
     pub fn key(&self, i: usize) -> &str {
         &self.config.bundle.workspaces[i].key
     }
@@ -383,14 +386,14 @@
     fn submit_first_bundle(&self) {
         let parts = self.operators.parts(&self.config.bundle);
         self.submit(&parts, "first bundle")
-            .expect("the first bundle is accepted");
+            .expect("first bundle was rejected");
     }
 
-    /// Signs and submits parts as the next version.
+    /// Signs parts and submits them as the next bundle version.
     ///
     /// # Errors
     ///
-    /// Fails if they are not accepted.
+    /// Returns an error if the bundle is rejected.
     pub fn submit(
         &self,
         parts: &[notchwalk_bundle::Part],
@@ -406,28 +409,28 @@
     }
 
     fn wait_until_ready(&self) {
-        let began = Instant::now();
+        let started = Instant::now();
         loop {
-            let waiting = self
+            let not_ready = self
                 .daemons
                 .iter()
                 .flatten()
                 .filter(|d| !self.is_ready(d))
                 .count();
-            if waiting == 0 {
+            if not_ready == 0 {
                 return;
             }
             assert!(
-                began.elapsed() < READY_WITHIN,
-                "{waiting} daemons are not ready"
+                started.elapsed() < READY_TIMEOUT,
+                "{not_ready} nodes are not ready"
             );
             std::thread::sleep(Duration::from_millis(50));
         }
     }
 
-    /// Tells whether a daemon is ready and has heard all peers and servers.
-    fn is_ready(&self, daemon: &Entry) -> bool {
-        let dump: serde_json::Value = self.read(daemon.addresses.operator, "/dump");
+    /// Returns whether a node is ready and has received reports from all peers and servers.
+    fn is_ready(&self, node: &NodeHandle) -> bool {
+        let dump: serde_json::Value = self.read(node.addresses.operator, "/dump");
         let servers = dump["servers"].as_array().map_or(0, |servers| {
             let serves = |s: &&serde_json::Value| !s["serves"].as_array().is_none_or(Vec::is_empty);
             servers.iter().filter(serves).count()
@@ -440,18 +443,18 @@
             && peers + 1 >= self.daemons.iter().flatten().count()
     }
 
-    /// Tells all daemons to drain, and waits for them.
+    /// Drains all nodes and waits until they exit.
     ///
     /// # Panics
     ///
-    /// Panics if a daemon's thread panicked.
+    /// Panics if a node's thread panicked.
     pub fn stop(&mut self) {
-        for daemon in self.daemons.iter().flatten() {
-            daemon.stop();
+        for node in self.daemons.iter().flatten() {
+            node.stop();
         }
-        for daemon in self.daemons.iter_mut() {
-            if let Some(daemon) = daemon.take() {
-                let _ = daemon.join();
+        for node in self.daemons.iter_mut() {
+            if let Some(node) = node.take() {
+                let _ = node.join();
             }
         }
     }
@@ -459,12 +462,12 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        for daemon in self.daemons.iter_mut().flatten() {
-            daemon.kill();
+        for node in self.daemons.iter_mut().flatten() {
+            node.kill();
         }
-        for daemon in self.daemons.iter_mut() {
-            if let Some(daemon) = daemon.take() {
-                let _ = daemon.join();
+        for node in self.daemons.iter_mut() {
+            if let Some(node) = node.take() {
+                let _ = node.join();
             }
         }
     }
@@ -481,11 +484,11 @@
         adapters: vec!["tour".to_owned()],
     }];
     let mut servers = Vec::new();
-    let mut starting = Vec::new();
+    let mut pending = Vec::new();
     for i in 0..config.engines {
-        let id = FIRST_ENGINE + i as u32;
-        let listener = free_listener();
-        let addr = listener.local_addr().expect("an address");
+        let id = FIRST_ENGINE_ID + i as u32;
+        let listener = bind_ephemeral();
+        let addr = listener.local_addr().expect("listener has no address");
         let mut engine = EngineConfig::new(ServerId(id), loaded.clone())
             .with_time_scale(config.time_scale)
             .with_capacity(config.capacity_tokens)
@@ -495,18 +498,18 @@
             id,
             kind: VmKind::Engine,
             address: addr.to_string(),
-            failure_domain: config.domains[i % config.domains.len()].clone(),
+            failure_domain: config.failure_domains[i % config.failure_domains.len()].clone(),
             state: VmState::Live,
         });
         servers.push(FleetServer { id, addr });
-        starting.push((listener, engine));
+        pending.push((listener, engine));
     }
-    while !starting.is_empty() {
-        let rest = starting.split_off(starting.len().min(config.engines_per_thread));
-        let group = std::mem::replace(&mut starting, rest);
+    while !pending.is_empty() {
+        let rest = pending.split_off(pending.len().min(config.engines_per_thread));
+        let group = std::mem::replace(&mut pending, rest);
         threads.push(ServingThread::start("engines", move || async move {
             for (listener, engine) in group {
-                serve_engine(listener, engine).expect("an engine starts");
+                serve_engine(listener, engine).expect("failed to start an engine");
             }
         }));
     }
@@ -520,9 +523,9 @@
 ) -> Vec<FleetServer> {
     let mut servers = Vec::new();
     for i in 0..config.services {
-        let id = FIRST_SERVICE + i as u32;
-        let listener = free_listener();
-        let addr = listener.local_addr().expect("an address");
+        let id = FIRST_SERVICE_ID + i as u32;
+        let listener = bind_ephemeral();
+        let addr = listener.local_addr().expect("listener has no address");
         let name = config.bundle.service.clone();
         records.push(VmRecord {
             id,
@@ -530,12 +533,12 @@
                 service: name.clone(),
             },
             address: addr.to_string(),
-            failure_domain: config.domains[i % config.domains.len()].clone(),
+            failure_domain: config.failure_domains[i % config.failure_domains.len()].clone(),
             state: VmState::Live,
         });
         servers.push(FleetServer { id, addr });
         threads.push(ServingThread::start("service", move || async move {
-            serve_service(listener, &name).expect("a service starts");
+            serve_service(listener, &name).expect("failed to start a service");
         }));
     }
     servers
--- a/crates/notchwalk_standin/src/lib.rs
+++ b/crates/notchwalk_standin/src/lib.rs
@@ -1,15 +1,15 @@
-//! Stand-ins of the systems that notchwalk serves and uses: model engines,
-//! plain services and the platform, with a load tool, a demo and benches. For
-//! development only; never shipped with the daemon.
+//! Stand-ins of the systems around notchwalk (model engines, plain services and the
+//! platform), with a load tool, a demo and benches. For development only, not part of a
+//! release.
 
-pub mod answer;
 pub mod bench;
 pub mod caller;
+pub mod completion;
 pub mod demo;
 pub mod deployment;
 pub mod engine;
-pub mod entry;
 pub mod fleet;
+pub mod node;
 pub mod operators;
 pub mod platform;
 pub mod processes;
--- a/crates/notchwalk_standin/src/main.rs
+++ b/crates/notchwalk_standin/src/main.rs
@@ -1,4 +1,4 @@
-//! `notchwalk-standin`: stand-ins, load, demo and benches, for development.
+//! `notchwalk-standin`: stand-ins, load tool, demo and benches, for development.
 
 use std::{net::SocketAddr, path::Path, path::PathBuf, process::ExitCode, time::Duration};
 
@@ -7,18 +7,18 @@
     bench::{BenchOptions, BENCHES},
     demo,
     deployment::Deployment,
-    entry::run_entry,
+    node::run_node,
     processes::{self, LoadOptions},
     routed::{self, bound::Counted, policy::POLICIES},
     workload::Stream,
 };
 
-/// Stand-ins of the systems that notchwalk serves, a load tool, a demo and
+/// Stand-ins of the systems around notchwalk, a load tool, a demo and
 /// benches. For development only.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 enum Command {
-    /// Run a whole fleet in this process and show how it serves
+    /// Run a whole fleet in this process and report how it serves short and long prompts
     #[bpaf(command)]
     Demo {
         /// Keep the fleet running until Ctrl-C; the first line is JSON with addresses and a key
@@ -45,62 +45,62 @@
         #[bpaf(argument("FILE"))]
         deployment: PathBuf,
     },
-    /// Run one daemon as this process; used by benches that kill it
+    /// Run one node as this process; used by benches that kill or pause it
     #[bpaf(command, hide)]
     Entry {
-        /// The daemon's settings
+        /// The node's settings file
         #[bpaf(argument("FILE"))]
         settings: PathBuf,
     },
-    /// Play waves of routed requests over simulated engines, in simulated time,
-    /// and compare who decides on which knowledge
+    /// Simulate bursts of routed requests over simulated engines, in virtual time,
+    /// and compare routing policies
     #[bpaf(command)]
     Experiment {
-        /// Seeds to play, from 1
+        /// Number of seeds to simulate, starting with 1
         #[bpaf(argument("N"), fallback(5))]
         seeds: u64,
-        /// Times the users' traffic
+        /// Load as a multiple of the reference traffic
         #[bpaf(argument("FACTOR"), fallback(1.0))]
         load: f64,
-        /// Only this policy
+        /// Simulate only this policy
         #[bpaf(argument("NAME"), optional)]
         only: Option<String>,
-        /// Draws a plot into this file
+        /// Write a plot to this file
         #[bpaf(argument("SVG"), optional)]
         plot: Option<PathBuf>,
     },
-    /// Send prompts to entries and check every answer
+    /// Send prompts to nodes and verify every completion
     #[bpaf(command)]
     Load {
-        /// An entry's address for callers; may be repeated
+        /// Caller address of a node; may be repeated
         #[bpaf(argument("ADDR"), some("at least one --entry is needed"))]
         entry: Vec<SocketAddr>,
-        /// The workspace's key
+        /// API key of the workspace
         #[bpaf(argument("KEY"))]
         key: String,
-        /// The model
+        /// Name of the model
         #[bpaf(argument("NAME"))]
         model: String,
-        /// Requests a second
+        /// Requests per second
         #[bpaf(argument("N"), fallback(10.0))]
         per_s: f64,
-        /// The shortest prompt, in tokens
+        /// Minimum prompt length, in tokens
         #[bpaf(argument("N"), fallback(1_000))]
         min_prompt: u64,
-        /// The longest prompt, in tokens
+        /// Maximum prompt length, in tokens
         #[bpaf(argument("N"), fallback(4_000))]
         max_prompt: u64,
-        /// The answers' length, in tokens
+        /// Completion length, in tokens
         #[bpaf(argument("N"), fallback(50))]
         answer: u32,
-        /// How long prompts are sent, in seconds
+        /// Duration of the load, in seconds
         #[bpaf(argument("S"), fallback(10))]
         seconds: u64,
         /// The seed of the traffic
         #[bpaf(argument("N"), fallback(1))]
         seed: u64,
     },
-    /// Measure something; the last line is one JSON object
+    /// Run a bench; the last line of output is one JSON object
     #[bpaf(command)]
     Bench {
         /// Print only the JSON object
@@ -108,13 +108,13 @@
         /// The seed of the traffic
         #[bpaf(argument("N"), fallback(1))]
         seed: u64,
-        /// About how long each measured phase takes
+        /// Approximate duration of each measured phase, in seconds
         #[bpaf(argument("S"), fallback(10))]
         seconds: u64,
-        /// Measure only this policy; for tuning
+        /// Measure only this policy
         #[bpaf(argument("POLICY"))]
         only: Option<String>,
-        /// The bench; without a name, all are listed
+        /// Name of the bench; if omitted, all benches are listed
         #[bpaf(positional("NAME"))]
         name: Option<String>,
     },
@@ -132,10 +132,10 @@
             true => ExitCode::SUCCESS,
             false => ExitCode::FAILURE,
         },
-        Command::Platform { deployment } => stand_in(&deployment, processes::platform),
-        Command::Engines { deployment } => stand_in(&deployment, processes::engines),
-        Command::Services { deployment } => stand_in(&deployment, processes::services),
-        Command::Entry { settings } => match run_entry(&settings) {
+        Command::Platform { deployment } => run_stand_ins(&deployment, processes::platform),
+        Command::Engines { deployment } => run_stand_ins(&deployment, processes::engines),
+        Command::Services { deployment } => run_stand_ins(&deployment, processes::services),
+        Command::Entry { settings } => match run_node(&settings) {
             Ok(()) => ExitCode::SUCCESS,
             Err(e) => fail(&e.to_string()),
         },
@@ -152,7 +152,7 @@
         } => {
             const TIMEOUT: Duration = Duration::from_secs(120);
             let options = LoadOptions {
-                entries: entry,
+                nodes: entry,
                 key,
                 model,
                 stream: Stream {
@@ -163,7 +163,7 @@
                     max_answer: answer,
                     timeout: TIMEOUT,
                 },
-                over: Duration::from_secs(seconds),
+                duration: Duration::from_secs(seconds),
                 seed,
             };
             match processes::load(&options) {
@@ -208,7 +208,7 @@
         .collect();
     if reports.is_empty() {
         let names: Vec<&str> = POLICIES.iter().map(|policy| policy.name).collect();
-        return fail(&format!("there is no such policy; there are {names:?}"));
+        return fail(&format!("unknown policy; available: {names:?}"));
     }
     if only.is_none() {
         let bounds = [Counted::Reading, Counted::All];
@@ -221,8 +221,8 @@
     }
 }
 
-/// Runs one kind of stand-in of a deployment.
-fn stand_in(path: &Path, run: fn(Deployment) -> std::io::Result<()>) -> ExitCode {
+/// Loads a deployment and runs one kind of its stand-ins.
+fn run_stand_ins(path: &Path, run: fn(Deployment) -> std::io::Result<()>) -> ExitCode {
     match Deployment::load(path) {
         Ok(deployment) => match run(deployment) {
             Ok(()) => ExitCode::SUCCESS,
@@ -244,16 +244,16 @@
     };
     let Some(bench) = BENCHES.iter().find(|b| b.name == name) else {
         return fail(&format!(
-            "there is no bench {name:?}; without a name, all are listed"
+            "unknown bench {name:?}; run without a name to list all benches"
         ));
     };
-    let figures = (bench.run)(options);
+    let metrics = (bench.run)(options);
     if !json {
         println!("{}: {}", bench.name, bench.about);
-        for (key, value) in &figures {
+        for (key, value) in &metrics {
             println!("  {key:<28} {value}");
         }
     }
-    println!("{}", serde_json::Value::from(figures));
+    println!("{}", serde_json::Value::from(metrics));
     ExitCode::SUCCESS
 }
--- a/crates/notchwalk_standin/src/entry.rs
+++ b/crates/notchwalk_standin/src/node.rs
@@ -1,5 +1,5 @@
-//! Entry daemons of a fleet: threads of this process, or processes of their
-//! own, which can be killed and paused as real ones.
+//! Nodes of a fleet. A node runs as a thread of this process or as a separate process that
+//! can be killed and paused.
 
 use std::{
     io::{BufRead, BufReader, Write},
@@ -15,9 +15,9 @@
 use rustix::process::{kill_process, Pid, Signal};
 use serde::{Deserialize, Serialize};
 
-/// The addresses an entry process prints on its first line.
+/// The addresses that a node process prints on its first line.
 #[derive(Serialize, Deserialize)]
-struct Printed {
+struct PrintedAddresses {
     caller: SocketAddr,
     peer: SocketAddr,
     operator: SocketAddr,
@@ -28,32 +28,32 @@
     Process(Child),
 }
 
-/// A running entry daemon.
-pub struct Entry {
-    /// Where it listens.
+/// A handle to a running node.
+pub struct NodeHandle {
+    /// Listen addresses.
     pub addresses: BoundAddresses,
     kind: Kind,
 }
 
-impl Entry {
-    /// Starts a daemon in a thread.
+impl NodeHandle {
+    /// Starts a node in a thread of this process.
     ///
     /// # Errors
     ///
-    /// Fails if an address can't be bound.
+    /// Returns an error if an address can't be bound.
     pub fn in_thread(settings: DaemonSettings) -> Result<Self, DaemonError> {
-        let daemon = start_in_thread(settings)?;
+        let node = start_in_thread(settings)?;
         Ok(Self {
-            addresses: daemon.addresses,
-            kind: Kind::Thread(daemon),
+            addresses: node.addresses,
+            kind: Kind::Thread(node),
         })
     }
 
-    /// Starts a daemon as a process: `program entry --settings FILE`.
+    /// Starts a node as a separate process: `program entry --settings FILE`.
     ///
     /// # Errors
     ///
-    /// Fails if the process can't be started or says nothing.
+    /// Returns an error if the process can't be started or doesn't print its addresses.
     pub fn in_process(program: &Path, settings: &str) -> std::io::Result<Self> {
         let mut file = tempfile::NamedTempFile::new()?;
         file.write_all(settings.as_bytes())?;
@@ -67,7 +67,7 @@
         if let Some(stdout) = child.stdout.as_mut() {
             BufReader::new(stdout).read_line(&mut line)?;
         }
-        let printed: Printed = serde_json::from_str(&line)?;
+        let printed: PrintedAddresses = serde_json::from_str(&line)?;
         Ok(Self {
             addresses: BoundAddresses {
                 caller: printed.caller,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Returns the process's number, if it is one.
+    /// Returns the process id, or `None` for a thread.
     pub fn process_id(&self) -> Option<u32> {
         match &self.kind {
             Kind::Thread(_) => None,
@@ -95,52 +95,52 @@
         }
     }
 
-    /// Tells it to drain and end.
+    /// Starts a graceful shutdown.
     pub fn stop(&self) {
         match &self.kind {
-            Kind::Thread(daemon) => daemon.stop(),
+            Kind::Thread(node) => node.stop(),
             Kind::Process(_) => self.signal(Signal::TERM),
         }
     }
 
-    /// Ends it at once, as a crash would.
+    /// Kills the node without draining.
     pub fn kill(&mut self) {
         match &mut self.kind {
-            Kind::Thread(daemon) => daemon.kill(),
+            Kind::Thread(node) => node.kill(),
             Kind::Process(child) => drop(child.kill()),
         }
     }
 
-    /// Pauses a process; threads can't be paused.
+    /// Suspends a process. Has no effect on a thread.
     pub fn pause(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// Lets a paused process go on.
+    /// Resumes a suspended process.
     pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Waits for its end; tells whether it ended in order.
+    /// Waits for the node to exit. Returns whether it exited cleanly.
     pub fn join(self) -> bool {
         match self.kind {
-            Kind::Thread(daemon) => daemon.join().is_ok(),
+            Kind::Thread(node) => node.join().is_ok(),
             Kind::Process(mut child) => child.wait().is_ok_and(|status| status.success()),
         }
     }
 }
 
-/// Runs a daemon as this process; prints its addresses on the first line.
+/// Runs a node as this process and prints its addresses on the first line.
 ///
 /// # Errors
 ///
-/// Fails if it can't start.
-pub fn run_entry(settings: &Path) -> Result<(), DaemonError> {
+/// Returns an error if the node can't start.
+pub fn run_node(settings: &Path) -> Result<(), DaemonError> {
     let settings = DaemonSettings::load(settings)?;
     let signals = Signals::from_process()?;
     let listeners = Listeners::bind(&settings)?;
     let addresses = listeners.addresses()?;
-    let printed = Printed {
+    let printed = PrintedAddresses {
         caller: addresses.caller,
         peer: addresses.peer,
         operator: addresses.operator,
--- a/crates/notchwalk_standin/src/operators.rs
+++ b/crates/notchwalk_standin/src/operators.rs
@@ -1,5 +1,4 @@
-//! Bundles for stand-in fleets: texts of the parts, and two operators who
-//! sign.
+//! Bundles for stand-in fleets: generates the parts and signs them with two operator keys.
 
 use notchwalk_bundle::{key_hash, Bundle, Manifest, Part, PartName, SigningKey};
 use notchwalk_platform::{BundleHead, Platform, SubmitError};
@@ -7,16 +6,16 @@
 /// A workspace of a stand-in fleet.
 #[derive(Clone, Debug)]
 pub struct WorkspaceSpec {
-    /// The name.
+    /// Workspace name.
     pub name: String,
-    /// The share.
+    /// Fair-share weight.
     pub weight: f64,
-    /// The callers' key.
+    /// API key of its callers.
     pub key: String,
 }
 
 impl WorkspaceSpec {
-    /// Builds a workspace with a key made from its name.
+    /// Returns a workspace whose API key is derived from its name.
     pub fn new(name: &str, weight: f64) -> Self {
         Self {
             name: name.to_owned(),
@@ -26,33 +25,33 @@
     }
 }
 
-/// What the bundle of a stand-in fleet says.
+/// Content of a stand-in fleet's bundle.
 #[derive(Clone, Debug)]
 pub struct BundleSpec {
-    /// The model's name.
+    /// Model name.
     pub model: String,
-    /// Its context, in tokens.
+    /// Context window of the model, in tokens.
     pub context_tokens: u64,
-    /// The model's versions, the default first.
+    /// Versions of the model, the default first.
     pub versions: Vec<String>,
-    /// Whether the engines refuse old fencing numbers.
+    /// Whether the engines reject stale fencing tokens.
     pub checks_fence: bool,
-    /// The plain service's name.
+    /// Name of the plain service.
     pub service: String,
-    /// The workspaces.
+    /// Workspaces of the fleet.
     pub workspaces: Vec<WorkspaceSpec>,
-    /// The policy's settings, as INI lines.
+    /// Policy settings, as INI lines.
     pub policy: String,
 }
 
-/// An author and a reviewer.
+/// The signing keys of an author and a reviewer.
 pub struct Operators {
     author: SigningKey,
     reviewer: SigningKey,
 }
 
 impl Operators {
-    /// Makes two operators from a seed.
+    /// Derives both keys from a seed.
     pub fn new(seed: u8) -> Self {
         Self {
             author: SigningKey::from_bytes(&[seed; 32]),
@@ -62,7 +61,7 @@
 
     /// Returns the parts of a bundle.
     pub fn parts(&self, spec: &BundleSpec) -> Vec<Part> {
-        let hex = |key: &SigningKey| hex_of(key.verifying_key().as_bytes());
+        let hex = |key: &SigningKey| to_hex(key.verifying_key().as_bytes());
         let operators = format!(
             "[operator author]\npublic_key = {}\nroles = author\n\n\
              [operator reviewer]\npublic_key = {}\nroles = reviewer\n",
@@ -99,23 +98,23 @@
         ]
     }
 
-    /// Signs and submits parts as the version after `before`.
+    /// Signs parts and submits them as the version after `previous`.
     ///
     /// # Errors
     ///
-    /// Fails if the bundle is not accepted.
+    /// Returns an error if the bundle is invalid or rejected.
     pub async fn submit(
         &self,
         platform: &dyn Platform,
-        before: Option<&BundleHead>,
+        previous: Option<&BundleHead>,
         parts: &[Part],
         reason: &str,
     ) -> Result<BundleHead, SubmitError> {
-        let version = before.map_or(1, |head| head.version + 1);
+        let version = previous.map_or(1, |head| head.version + 1);
         Bundle::parse(version, parts)?;
         let mut manifest = Manifest {
             version,
-            previous: before.map_or_else(String::new, |head| head.manifest.clone()),
+            previous: previous.map_or_else(String::new, |head| head.manifest.clone()),
             reason: reason.to_owned(),
             parts: parts.iter().map(|p| (p.name, p.digest())).collect(),
             signatures: Vec::new(),
@@ -126,6 +125,6 @@
     }
 }
 
-fn hex_of(bytes: &[u8]) -> String {
+fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
--- a/crates/notchwalk_standin/src/platform/api.rs
+++ b/crates/notchwalk_standin/src/platform/api.rs
@@ -1,4 +1,4 @@
-//! The HTTP API of the stand-in platform.
+//! HTTP API of the stand-in platform.
 
 use std::{
     cell::{Cell, RefCell},
@@ -19,21 +19,20 @@
 
 use super::table::Table;
 
-/// The largest body, in bytes.
-const MAX_BODY: usize = 64 << 20;
+const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// How a stand-in platform behaves.
+/// Configuration of a stand-in platform.
 #[derive(Clone, Copy, Debug)]
 pub struct PlatformConfig {
-    /// Writes of the table a second.
+    /// Maximum table writes per second.
     pub writes_per_s: f64,
-    /// How long an answer takes.
+    /// Response latency.
     pub latency: Duration,
-    /// How old the VM list is when it is given.
+    /// Delay of updates to the VM list.
     pub list_lag: Duration,
-    /// Bytes a second that the weight store allows.
+    /// Bandwidth of the weight store, in bytes per second.
     pub weight_bytes_per_s: f64,
-    /// The seed of its random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
@@ -49,27 +48,29 @@
     }
 }
 
-/// What is wrong with the platform.
+/// Faults injected into the platform.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct PlatformFault {
-    /// Nothing is answered; connections are closed.
+    /// All connections are closed without a response.
     pub down: bool,
-    /// Table and objects don't answer, but the VM list does.
+    /// Table and object requests fail; the VM list is still served.
     pub store_down: bool,
-    /// Every answer takes this much longer, in milliseconds.
+    /// Additional latency, in milliseconds.
     pub slow_ms: u64,
-    /// The part of writes that take effect but whose answer is lost, 0 to 1.
-    pub lose_answers: f64,
+    /// Fraction (0 to 1) of writes that are applied but whose response is dropped.
+    #[serde(rename = "lose_answers")]
+    pub response_loss_ratio: f64,
 }
 
-/// Counts of a stand-in platform, for tests and benches.
+/// Counters of a stand-in platform, for tests and benches.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlatformCounts {
-    /// Transactions that changed something.
+    /// Transactions that changed the table.
     pub writes: u64,
-    /// Answers that were lost on request.
-    pub lost_answers: u64,
+    /// Responses dropped by [`PlatformFault::response_loss_ratio`].
+    #[serde(rename = "lost_answers")]
+    pub dropped_responses: u64,
 }
 
 struct State {
@@ -80,7 +81,7 @@
     fault: Cell<PlatformFault>,
     next_write: Cell<Instant>,
     next_weight: Cell<Instant>,
-    lost: Cell<u64>,
+    dropped_responses: Cell<u64>,
     rng: RefCell<Pcg64Mcg>,
 }
 
@@ -92,7 +93,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the listener can't be used.
+/// Returns an error if the listener can't be used.
 pub fn serve_platform(
     listener: std::net::TcpListener,
     config: PlatformConfig,
@@ -110,7 +111,7 @@
         fault: Cell::default(),
         next_write: Cell::new(now),
         next_weight: Cell::new(now),
-        lost: Cell::new(0),
+        dropped_responses: Cell::new(0),
         rng: RefCell::new(Pcg64Mcg::seed_from_u64(config.seed)),
     };
     let service: Rc<dyn Service> = Rc::new(Api {
@@ -121,28 +122,28 @@
 }
 
 impl State {
-    /// Waits for the table's next free write.
-    async fn take_write(&self) {
+    /// Waits for the next write permitted by the write rate limit.
+    async fn acquire_write(&self) {
         let now = Instant::now();
         let at = self.next_write.get().max(now);
-        let pause = Duration::from_secs_f64(1.0 / self.config.writes_per_s);
-        self.next_write.set(at + pause);
+        let interval = Duration::from_secs_f64(1.0 / self.config.writes_per_s);
+        self.next_write.set(at + interval);
         if at > now {
             monoio::time::sleep(at - now).await;
         }
     }
 
-    fn loses_answer(&self) -> bool {
-        let part = self.fault.get().lose_answers;
-        let loses = part > 0.0 && self.rng.borrow_mut().random_bool(part.min(1.0));
-        if loses {
-            self.lost.set(self.lost.get() + 1);
+    fn should_drop_response(&self) -> bool {
+        let fraction = self.fault.get().response_loss_ratio;
+        let dropped = fraction > 0.0 && self.rng.borrow_mut().random_bool(fraction.min(1.0));
+        if dropped {
+            self.dropped_responses.set(self.dropped_responses.get() + 1);
         }
-        loses
+        dropped
     }
 
-    /// Returns the VM list as it was a moment ago.
-    fn lagging_vms(&self) -> Vec<VmRecord> {
+    /// Returns the VM list as of `list_lag` ago.
+    fn delayed_vms(&self) -> Vec<VmRecord> {
         let mut vms = self.vms.borrow_mut();
         while vms.len() > 1 && vms[1].0.elapsed() >= self.config.list_lag {
             vms.pop_front();
@@ -153,7 +154,7 @@
     fn counts(&self) -> PlatformCounts {
         PlatformCounts {
             writes: self.table.borrow().writes,
-            lost_answers: self.lost.get(),
+            dropped_responses: self.dropped_responses.get(),
         }
     }
 }
@@ -165,7 +166,7 @@
 impl Api {
     async fn route(&self, exchange: &mut Exchange) {
         let state = &self.state;
-        let Ok(body) = exchange.body_bytes(MAX_BODY).await else {
+        let Ok(body) = exchange.body_bytes(MAX_BODY_BYTES).await else {
             return exchange.abort();
         };
         let path = exchange.path().to_owned();
@@ -179,19 +180,19 @@
             return exchange.abort();
         }
         monoio::time::sleep(state.config.latency + Duration::from_millis(fault.slow_ms)).await;
-        let found = match (&method, path.as_str()) {
+        let handled = match (&method, path.as_str()) {
             (&Method::POST, "/table/transaction") => self.transact(exchange, &body).await,
             (&Method::POST, "/table/read") => self.read(exchange, &body).await,
             (&Method::GET, "/vms") => {
                 exchange
-                    .respond_json(StatusCode::OK, &state.lagging_vms())
+                    .respond_json(StatusCode::OK, &state.delayed_vms())
                     .await;
                 true
             }
-            (&Method::POST, "/weights/reserve") => self.reserve(exchange).await,
+            (&Method::POST, "/weights/reserve") => self.reserve_weight_bandwidth(exchange).await,
             _ => self.object(exchange, &method, &path, body).await,
         };
-        if !found {
+        if !handled {
             exchange
                 .respond_text(StatusCode::NOT_FOUND, "not found\n")
                 .await;
@@ -202,17 +203,17 @@
         let Some(tx) = parse::<TableTransaction>(body) else {
             return false;
         };
-        self.state.take_write().await;
+        self.state.acquire_write().await;
         if self.state.fault.get().down {
             exchange.abort();
             return true;
         }
-        let answer = self.state.table.borrow_mut().transact(&tx);
-        if self.state.loses_answer() {
+        let response = self.state.table.borrow_mut().transact(&tx);
+        if self.state.should_drop_response() {
             exchange.abort();
             return true;
         }
-        exchange.respond_json(StatusCode::OK, &answer).await;
+        exchange.respond_json(StatusCode::OK, &response).await;
         true
     }
 
@@ -230,7 +231,7 @@
         true
     }
 
-    async fn reserve(&self, exchange: &mut Exchange) -> bool {
+    async fn reserve_weight_bandwidth(&self, exchange: &mut Exchange) -> bool {
         let query = exchange.head.uri.query().unwrap_or("");
         let bytes = query
             .strip_prefix("bytes=")
@@ -240,8 +241,8 @@
         };
         let now = Instant::now();
         let at = self.state.next_weight.get().max(now);
-        let took = Duration::from_secs_f64(bytes / self.state.config.weight_bytes_per_s);
-        self.state.next_weight.set(at + took);
+        let duration = Duration::from_secs_f64(bytes / self.state.config.weight_bytes_per_s);
+        self.state.next_weight.set(at + duration);
         let wait = serde_json::json!({ "wait_s": (at - now).as_secs_f64() });
         exchange.respond_json(StatusCode::OK, &wait).await;
         true
--- a/crates/notchwalk_standin/src/platform/mod.rs
+++ b/crates/notchwalk_standin/src/platform/mod.rs
@@ -1,5 +1,5 @@
-//! A stand-in platform: a transactional table, objects, the VM list and the
-//! weight store, with outages and lost answers on request.
+//! A stand-in platform with a transactional table, objects, the VM list and the weight store.
+//! Outages and lost responses can be injected.
 
 mod api;
 mod table;
--- a/crates/notchwalk_standin/src/platform/table.rs
+++ b/crates/notchwalk_standin/src/platform/table.rs
@@ -1,4 +1,4 @@
-//! The transactional table.
+//! Transactional table of the stand-in platform.
 
 use std::{
     collections::BTreeMap,
@@ -7,30 +7,30 @@
 
 use notchwalk_wire::{Condition, Row, TableOp, TableTransaction, TableTransactionAnswer};
 
-struct Stored {
+struct StoredRow {
     value: String,
     version: u64,
-    lapses: Option<Instant>,
+    expires_at: Option<Instant>,
 }
 
-/// Rows by key.
+/// A table of versioned rows with optional expiry.
 #[derive(Default)]
 pub struct Table {
-    rows: BTreeMap<String, Stored>,
-    /// Transactions that changed something.
+    rows: BTreeMap<String, StoredRow>,
+    /// Number of transactions that changed a row.
     pub writes: u64,
 }
 
 impl Table {
-    fn live(&self, key: &str) -> Option<&Stored> {
+    fn live_row(&self, key: &str) -> Option<&StoredRow> {
         let row = self.rows.get(key)?;
-        let lapsed = row.lapses.is_some_and(|at| Instant::now() >= at);
-        (!lapsed).then_some(row)
+        let expired = row.expires_at.is_some_and(|at| Instant::now() >= at);
+        (!expired).then_some(row)
     }
 
-    /// Returns a row.
+    /// Returns an unexpired row.
     pub fn get(&self, key: &str) -> Option<Row> {
-        let row = self.live(key)?;
+        let row = self.live_row(key)?;
         Some(Row {
             key: key.to_owned(),
             value: row.value.clone(),
@@ -38,8 +38,8 @@
         })
     }
 
-    fn holds(&self, op: &TableOp) -> bool {
-        let row = self.live(&op.key);
+    fn condition_holds(&self, op: &TableOp) -> bool {
+        let row = self.live_row(&op.key);
         match &op.condition {
             Condition::Any => true,
             Condition::Absent => row.is_none(),
@@ -53,26 +53,26 @@
             self.rows.remove(&op.key);
             return;
         };
-        let version = self.live(&op.key).map_or(0, |r| r.version) + 1;
-        let lapses = op.ttl_s.map(|s| Instant::now() + Duration::from_secs(s));
-        let stored = Stored {
+        let version = self.live_row(&op.key).map_or(0, |r| r.version) + 1;
+        let expires_at = op.ttl_s.map(|s| Instant::now() + Duration::from_secs(s));
+        let stored = StoredRow {
             value: value.clone(),
             version,
-            lapses,
+            expires_at,
         };
         self.rows.insert(op.key.clone(), stored);
     }
 
-    /// Runs a transaction.
+    /// Executes a transaction.
     pub fn transact(&mut self, tx: &TableTransaction) -> TableTransactionAnswer {
-        let stopped = tx.all_or_none && !tx.ops.iter().all(|op| self.holds(op));
+        let aborted = tx.all_or_none && !tx.ops.iter().all(|op| self.condition_holds(op));
         let mut applied = Vec::new();
         for op in &tx.ops {
-            let applies = !stopped && self.holds(op);
-            if applies {
+            let should_apply = !aborted && self.condition_holds(op);
+            if should_apply {
                 self.apply(op);
             }
-            applied.push(applies);
+            applied.push(should_apply);
         }
         if applied.contains(&true) {
             self.writes += 1;
--- a/crates/notchwalk_standin/src/processes.rs
+++ b/crates/notchwalk_standin/src/processes.rs
@@ -1,4 +1,4 @@
-//! Stand-ins as processes of their own, and the load tool.
+//! Stand-ins that run as separate processes, and the load tool.
 
 use std::{
     io,
@@ -16,8 +16,7 @@
     workload::{self, Stream},
 };
 
-/// Serves until the process is ended.
-async fn for_ever() {
+async fn run_forever() {
     loop {
         monoio::time::sleep(Duration::from_secs(3_600)).await;
     }
@@ -27,13 +26,13 @@
 ///
 /// # Errors
 ///
-/// Fails if its address can't be listened on.
+/// Returns an error if its address can't be bound.
 pub fn platform(deployment: Deployment) -> io::Result<()> {
     let listener = TcpListener::bind(deployment.platform)?;
     block_on(async move {
         let addr = serve_platform(listener, deployment.platform_config, deployment.vms)?;
         println!("the platform listens on {addr}");
-        for_ever().await;
+        run_forever().await;
         Ok(())
     })
 }
@@ -42,7 +41,7 @@
 ///
 /// # Errors
 ///
-/// Fails if an address can't be listened on.
+/// Returns an error if an address can't be bound.
 pub fn engines(deployment: Deployment) -> io::Result<()> {
     block_on(async move {
         for engine in deployment.engines {
@@ -51,7 +50,7 @@
             let (addr, _) = serve_engine(listener, engine.config)?;
             println!("engine {id} listens on {addr}");
         }
-        for_ever().await;
+        run_forever().await;
         Ok(())
     })
 }
@@ -60,7 +59,7 @@
 ///
 /// # Errors
 ///
-/// Fails if an address can't be listened on.
+/// Returns an error if an address can't be bound.
 pub fn services(deployment: Deployment) -> io::Result<()> {
     block_on(async move {
         for service in deployment.services {
@@ -68,37 +67,37 @@
             let addr = serve_service(listener, &service.name)?;
             println!("{} listens on {addr}", service.name);
         }
-        for_ever().await;
+        run_forever().await;
         Ok(())
     })
 }
 
-/// What the load tool sends.
+/// Options of the load tool.
 #[derive(Clone, Debug)]
 pub struct LoadOptions {
-    /// The entries.
-    pub entries: Vec<SocketAddr>,
-    /// The workspace's key.
+    /// Caller addresses of the nodes.
+    pub nodes: Vec<SocketAddr>,
+    /// API key of the workspace.
     pub key: String,
-    /// The model.
+    /// Model name.
     pub model: String,
-    /// The traffic.
+    /// Traffic profile.
     pub stream: Stream,
-    /// How long it is sent.
-    pub over: Duration,
-    /// Its seed.
+    /// Duration of the load.
+    pub duration: Duration,
+    /// Seed of the traffic.
     pub seed: u64,
 }
 
-/// Sends load and prints what came of it; tells whether all answers were
-/// whole.
+/// Sends the load and prints its latencies and outcomes. Returns whether every completion was
+/// complete.
 pub fn load(options: &LoadOptions) -> bool {
-    let entries = options.entries.len();
+    let nodes = options.nodes.len();
     let planned = options
         .stream
-        .plan(options.seed, options.over, &[0], entries);
+        .plan(options.seed, options.duration, &[0], nodes);
     let keys = [options.key.clone()];
-    let measured = workload::run(&options.entries, &keys, &options.model, planned);
+    let measured = workload::run_open_loop(&options.nodes, &keys, &options.model, planned);
     println!("{}", report::first_token_table(&measured));
     println!("{}", report::outcome_table(&measured));
     report::all_whole(&measured)
--- a/crates/notchwalk_standin/src/report.rs
+++ b/crates/notchwalk_standin/src/report.rs
@@ -1,4 +1,4 @@
-//! Figures from measured calls, and tables a person likes to read.
+//! Statistics of measured calls, and tables for the terminal.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -8,7 +8,7 @@
 
 use crate::{caller::CallEnd, workload::Measured};
 
-/// Length classes in reports: the largest prompt and the name.
+/// Prompt length classes: the maximum length in tokens and the name.
 pub const CLASSES: [(u64, &str); 4] = [
     (4_096, "up to 4k"),
     (32_768, "up to 32k"),
@@ -16,72 +16,72 @@
     (u64::MAX, "up to 1M"),
 ];
 
-/// Returns the place of a prompt's class in [`CLASSES`].
+/// Returns the index of a prompt's class in [`CLASSES`].
 pub fn class_of(prompt_tokens: u64) -> usize {
-    let found = CLASSES
+    let index = CLASSES
         .iter()
-        .position(|(largest, _)| prompt_tokens <= *largest);
-    found.unwrap_or(CLASSES.len() - 1)
+        .position(|(max_tokens, _)| prompt_tokens <= *max_tokens);
+    index.unwrap_or(CLASSES.len() - 1)
 }
 
-/// Durations, for quantiles.
+/// A histogram of durations.
 #[derive(Clone, Debug)]
 pub struct Durations(Histogram<u64>);
 
 impl Default for Durations {
     fn default() -> Self {
-        const DIGITS: u8 = 3;
-        Self(Histogram::new(DIGITS).expect("a valid precision"))
+        const SIGNIFICANT_DIGITS: u8 = 3;
+        Self(Histogram::new(SIGNIFICANT_DIGITS).expect("a valid precision"))
     }
 }
 
 impl Durations {
-    /// Adds one.
+    /// Records a duration.
     pub fn add(&mut self, d: Duration) {
-        // Recording fails only in a histogram that may not grow; this one may.
+        // Recording can't fail, since the histogram resizes automatically.
         let _ = self.0.record(d.as_micros().max(1) as u64);
     }
 
-    /// Returns a quantile, in milliseconds; 0 if there are none.
+    /// Returns a quantile in milliseconds, or 0 if the histogram is empty.
     pub fn quantile_ms(&self, q: f64) -> f64 {
         self.0.value_at_quantile(q) as f64 / 1_000.0
     }
 
-    /// Returns how many there are.
+    /// Returns the number of recorded durations.
     pub fn len(&self) -> u64 {
         self.0.len()
     }
 
-    /// Tells whether there are none.
+    /// Returns whether no duration was recorded.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 }
 
-/// Times to first token, by class.
+/// Returns times to first token by prompt length class.
 pub fn first_tokens(measured: &[Measured]) -> [Durations; 4] {
     let mut classes: [Durations; 4] = Default::default();
     for m in measured {
-        if let Some(first) = m.result.first_token {
-            classes[class_of(m.planned.prompt_tokens)].add(first);
+        if let Some(ttft) = m.result.first_token {
+            classes[class_of(m.planned.prompt_tokens)].add(ttft);
         }
     }
     classes
 }
 
-/// Returns a call's outcome in a few words.
+/// Formats the outcome of a call.
 pub fn outcome_text(end: &CallEnd) -> String {
     match end {
-        CallEnd::Whole => "whole".to_owned(),
-        CallEnd::Wrong(reason) => format!("WRONG: {reason}"),
-        CallEnd::Cut(reason) => format!("cut: {reason}"),
+        CallEnd::Whole => "complete".to_owned(),
+        CallEnd::Wrong(reason) => format!("INVALID: {reason}"),
+        CallEnd::Cut(reason) => format!("connection lost: {reason}"),
         CallEnd::Failed { code, outcome, .. } => {
-            let word = match outcome {
+            let outcome_name = match outcome {
                 OutcomeWord::NotRun => "not run",
                 OutcomeWord::Ran => "ran",
                 OutcomeWord::Unknown => "unknown",
             };
-            format!("{code} ({word})")
+            format!("{code} ({outcome_name})")
         }
     }
 }
@@ -95,15 +95,15 @@
     counts
 }
 
-/// Tells whether every answer was whole.
+/// Returns whether every response was complete.
 pub fn all_whole(measured: &[Measured]) -> bool {
     measured.iter().all(|m| m.result.end == CallEnd::Whole)
 }
 
-/// Builds an empty table with headings; numbers stand to the right.
-pub fn table(headings: &[&str]) -> Table {
+/// Returns an empty table with headings. All columns but the first are right-aligned.
+pub fn table(headers: &[&str]) -> Table {
     let mut table = Table::new();
-    table.load_preset(UTF8_FULL_CONDENSED).set_header(headings);
+    table.load_preset(UTF8_FULL_CONDENSED).set_header(headers);
     for column in table.column_iter_mut().skip(1) {
         column.set_cell_alignment(CellAlignment::Right);
     }
@@ -112,7 +112,12 @@
 
 /// Returns the table of times to first token.
 pub fn first_token_table(measured: &[Measured]) -> Table {
-    let mut table = table(&["prompt, tokens", "requests", "first token p50", "p95"]);
+    let mut table = table(&[
+        "prompt, tokens",
+        "requests",
+        "time to first token p50",
+        "p95",
+    ]);
     for ((_, name), times) in CLASSES.iter().zip(first_tokens(measured)) {
         if times.is_empty() {
             continue;
--- a/crates/notchwalk_standin/src/service.rs
+++ b/crates/notchwalk_standin/src/service.rs
@@ -1,5 +1,5 @@
-//! A stand-in plain service. It counts the runs of each booking, so that a
-//! call that ran twice shows.
+//! A stand-in plain service. It counts how often each call was executed, so that duplicates
+//! can be detected.
 
 use std::{
     cell::{Cell, RefCell},
@@ -14,25 +14,25 @@
 use notchwalk_http::{serve, Exchange, LocalBoxFuture, ServerLimits, Service};
 use serde::{Deserialize, Serialize};
 
-/// The largest body, in bytes.
-const MAX_BODY: usize = 64 << 20;
+const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// What is wrong with a service.
+/// Faults injected into a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ServiceFault {
-    /// Each call takes this long, in milliseconds.
+    /// Delay of each call, in milliseconds.
     pub slow_ms: u64,
-    /// Connections are closed before anything is run.
+    /// Connections are closed before the call is executed.
     pub dead: bool,
-    /// Calls run, but every nth answer is lost.
-    pub lose_every: u64,
+    /// Every nth call is executed, but its response is dropped; 0 disables.
+    #[serde(rename = "lose_every")]
+    pub drop_response_every: u64,
 }
 
-/// How often each call ran: by the `x-call` header, or by path.
+/// Execution counts of calls, keyed by the `x-call` header or by path.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceRuns {
-    /// Runs by call.
+    /// Number of executions by call.
     pub runs: HashMap<String, u64>,
 }
 
@@ -41,7 +41,7 @@
     name: String,
     runs: RefCell<ServiceRuns>,
     fault: Cell<ServiceFault>,
-    total: Cell<u64>,
+    total_calls: Cell<u64>,
 }
 
 struct Api(Rc<State>);
@@ -50,7 +50,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the listener can't be used.
+/// Returns an error if the listener can't be used.
 pub fn serve_service(listener: std::net::TcpListener, name: &str) -> std::io::Result<SocketAddr> {
     listener.set_nonblocking(true)?;
     let addr = listener.local_addr()?;
@@ -71,7 +71,7 @@
         if state.fault.get().dead && !path.starts_with("/standin/") {
             return exchange.abort();
         }
-        let Ok(body) = exchange.body_bytes(MAX_BODY).await else {
+        let Ok(body) = exchange.body_bytes(MAX_BODY_BYTES).await else {
             return exchange.abort();
         };
         match path.as_str() {
@@ -93,19 +93,20 @@
             *run += 1;
             *run
         };
-        state.total.set(state.total.get() + 1);
+        state.total_calls.set(state.total_calls.get() + 1);
         let fault = state.fault.get();
         if fault.slow_ms > 0 {
             monoio::time::sleep(Duration::from_millis(fault.slow_ms)).await;
         }
-        if fault.lose_every > 0 && state.total.get() % fault.lose_every == 0 {
+        if fault.drop_response_every > 0 && state.total_calls.get() % fault.drop_response_every == 0
+        {
             return exchange.abort();
         }
-        let answer = serde_json::json!({
+        let response = serde_json::json!({
             "service": state.name, "method": exchange.head.method.as_str(),
             "path": path, "body_bytes": body.len(), "run": run,
         });
-        exchange.respond_json(StatusCode::OK, &answer).await;
+        exchange.respond_json(StatusCode::OK, &response).await;
     }
 }
 
--- a/crates/notchwalk_standin/src/thread.rs
+++ b/crates/notchwalk_standin/src/thread.rs
@@ -1,4 +1,4 @@
-//! Threads with a runtime of their own.
+//! Threads that each run their own async runtime.
 
 use std::{
     future::Future,
@@ -13,20 +13,20 @@
 
 use monoio::{LegacyDriver, RuntimeBuilder};
 
-/// Runs a future to its end on a new runtime of this thread.
+/// Runs a future to completion on a new runtime on this thread.
 ///
 /// # Panics
 ///
-/// Panics if the runtime can't start.
+/// Panics if the runtime can't be built.
 pub fn block_on<T>(future: impl Future<Output = T>) -> T {
     let builder = RuntimeBuilder::<LegacyDriver>::new().enable_timer();
     builder
         .build()
-        .expect("the runtime starts")
+        .expect("failed to build the runtime")
         .block_on(future)
 }
 
-/// Lets the other tasks of this thread run once.
+/// Yields once to the other tasks of this thread.
 pub async fn yield_now() {
     let mut yielded = false;
     std::future::poll_fn(|cx| {
@@ -39,32 +39,31 @@
     .await;
 }
 
-/// A thread that serves until it is dropped.
+/// A thread that runs tasks until it is dropped.
 pub struct ServingThread {
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl ServingThread {
-    /// Starts a thread; `start` spawns its tasks, which live until the thread
-    /// is dropped.
+    /// Starts a thread. `start` spawns its tasks, which run until the thread is stopped.
     ///
     /// # Panics
     ///
-    /// Panics if the thread can't start.
+    /// Panics if the thread can't be spawned.
     pub fn start<F, Fut>(name: &str, start: F) -> Self
     where
         F: FnOnce() -> Fut + Send + 'static,
         Fut: Future<Output = ()>,
     {
-        const LOOK_EVERY: Duration = Duration::from_millis(20);
+        const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
         let stop = Arc::new(AtomicBool::new(false));
         let flag = stop.clone();
         let body = move || {
             block_on(async move {
                 start().await;
                 while !flag.load(Ordering::Relaxed) {
-                    monoio::time::sleep(LOOK_EVERY).await;
+                    monoio::time::sleep(STOP_POLL_INTERVAL).await;
                 }
                 notchwalk_http::end_all().await;
             });
@@ -74,11 +73,11 @@
             .spawn(body);
         Self {
             stop,
-            thread: Some(thread.expect("a thread starts")),
+            thread: Some(thread.expect("failed to spawn a thread")),
         }
     }
 
-    /// Ends the thread, as a crash of its processes would.
+    /// Requests the thread to stop. Its tasks are aborted.
     pub fn kill(&self) {
         self.stop.store(true, Ordering::Relaxed);
     }
--- a/crates/notchwalk_standin/src/workload.rs
+++ b/crates/notchwalk_standin/src/workload.rs
@@ -1,5 +1,5 @@
-//! Planned traffic, and sending it: an open loop, so that a slow system is not
-//! spared by callers who wait for it.
+//! Generates traffic and sends it to nodes. The open loop sends calls at planned times
+//! whether or not earlier calls have ended, so that a slow system is not offered less load.
 
 use std::{
     cell::RefCell,
@@ -17,37 +17,37 @@
     thread::block_on,
 };
 
-/// Bytes of a token in prompts made here.
+/// Prompt bytes per token.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// One call to be made.
+/// A call planned by [`Stream::plan`].
 #[derive(Clone, Debug)]
-pub struct Planned {
-    /// When, from the start of the run.
+pub struct PlannedCall {
+    /// Send time, from the start of the run.
     pub at: Duration,
-    /// The workspace, by place.
+    /// Index of the workspace.
     pub workspace: usize,
-    /// The entry, by place.
+    /// Index of the node.
     pub entry: usize,
-    /// The prompt's length, in tokens.
+    /// Prompt length, in tokens.
     pub prompt_tokens: u64,
-    /// The answer's length, in tokens.
+    /// Completion length, in tokens.
     pub max_tokens: u32,
-    /// The timeout asked for.
+    /// Requested timeout.
     pub timeout: Duration,
-    /// Makes the prompt differ from all others.
+    /// Makes the prompt unique.
     pub salt: u64,
 }
 
-impl Planned {
-    /// Returns the prompt's text.
+impl PlannedCall {
+    /// Returns the prompt text.
     pub fn prompt(&self) -> String {
         prompt_text(self.salt, self.prompt_tokens)
     }
 }
 
-/// Returns a text of so many tokens that differs by its salt from the first
-/// word on.
+/// Returns a text of `tokens` tokens that starts with the salt, so that prompts of different
+/// salts share no prefix.
 pub fn prompt_text(salt: u64, tokens: u64) -> String {
     const FILLER: &str = "truss span load pan tilt gobo dimmer patch cue fade wash beam rig hang ";
     let bytes = tokens as usize * BYTES_PER_TOKEN;
@@ -59,62 +59,62 @@
     text
 }
 
-/// A planned call and what came of it.
+/// A planned call and its result.
 #[derive(Clone, Debug)]
 pub struct Measured {
-    /// The plan.
-    pub planned: Planned,
-    /// The result.
+    /// The planned call.
+    pub planned: PlannedCall,
+    /// Its result.
     pub result: CallResult,
 }
 
-/// One kind of call in a mix.
+/// A class of traffic: its rate and the ranges of its lengths.
 #[derive(Clone, Copy, Debug)]
 pub struct Stream {
-    /// Calls a second, on average.
+    /// Mean calls per second.
     pub per_s: f64,
-    /// The shortest prompt, in tokens.
+    /// Minimum prompt length, in tokens.
     pub min_prompt: u64,
-    /// The longest prompt, in tokens.
+    /// Maximum prompt length, in tokens.
     pub max_prompt: u64,
-    /// The shortest answer, in tokens.
+    /// Minimum completion length, in tokens.
     pub min_answer: u32,
-    /// The longest answer, in tokens.
+    /// Maximum completion length, in tokens.
     pub max_answer: u32,
-    /// The timeout.
+    /// Requested timeout.
     pub timeout: Duration,
 }
 
 impl Stream {
-    /// Plans the calls of this kind over a time; the workspaces given take
-    /// turns at random.
+    /// Plans calls with Poisson arrivals for a duration. The workspace and the node of each
+    /// call are drawn uniformly.
     pub fn plan(
         &self,
         seed: u64,
-        over: Duration,
+        duration: Duration,
         workspaces: &[usize],
-        entries: usize,
-    ) -> Vec<Planned> {
+        nodes: usize,
+    ) -> Vec<PlannedCall> {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut planned = Vec::new();
         let mut at = Duration::ZERO;
         loop {
             let gap = -rng.random_range(f64::EPSILON..1.0_f64).ln() / self.per_s;
             at += Duration::from_secs_f64(gap);
-            if at >= over {
+            if at >= duration {
                 return planned;
             }
-            // Lengths spread evenly over orders of magnitude.
+            // Prompt lengths are log-uniform.
             let (low, high) = ((self.min_prompt as f64).ln(), (self.max_prompt as f64).ln());
             let length = if high > low {
                 rng.random_range(low..high).exp()
             } else {
                 low.exp()
             };
-            planned.push(Planned {
+            planned.push(PlannedCall {
                 at,
                 workspace: workspaces[rng.random_range(0..workspaces.len())],
-                entry: rng.random_range(0..entries),
+                entry: rng.random_range(0..nodes),
                 prompt_tokens: length.round() as u64,
                 max_tokens: rng.random_range(self.min_answer..=self.max_answer),
                 timeout: self.timeout,
@@ -124,54 +124,54 @@
     }
 }
 
-/// Sends planned calls to entries from several threads and waits for all.
+/// Sends planned calls to nodes from several threads and waits for all results.
 ///
 /// # Panics
 ///
-/// Panics if a thread panics.
-pub fn run(
-    entries: &[SocketAddr],
+/// Panics if a sending thread panics.
+pub fn run_open_loop(
+    nodes: &[SocketAddr],
     keys: &[String],
     model: &str,
-    mut planned: Vec<Planned>,
+    mut planned: Vec<PlannedCall>,
 ) -> Vec<Measured> {
     const THREADS: usize = 3;
     planned.sort_by_key(|p| p.at);
-    let began = Instant::now();
-    let mut shares: Vec<Vec<Planned>> = vec![Vec::new(); THREADS];
+    let started = Instant::now();
+    let mut batches: Vec<Vec<PlannedCall>> = vec![Vec::new(); THREADS];
     for (i, plan) in planned.into_iter().enumerate() {
-        shares[i % THREADS].push(plan);
+        batches[i % THREADS].push(plan);
     }
-    let threads: Vec<_> = shares
+    let threads: Vec<_> = batches
         .into_iter()
-        .map(|share| {
-            let (entries, keys, model) = (entries.to_vec(), keys.to_vec(), model.to_owned());
-            std::thread::spawn(move || block_on(run_share(began, share, &entries, &keys, &model)))
+        .map(|batch| {
+            let (nodes, keys, model) = (nodes.to_vec(), keys.to_vec(), model.to_owned());
+            std::thread::spawn(move || block_on(send_batch(started, batch, &nodes, &keys, &model)))
         })
         .collect();
     let results = threads
         .into_iter()
-        .flat_map(|t| t.join().expect("a caller's thread ends"));
+        .flat_map(|t| t.join().expect("sending thread panicked"));
     results.collect()
 }
 
-async fn run_share(
-    began: Instant,
-    share: Vec<Planned>,
-    entries: &[SocketAddr],
+async fn send_batch(
+    started: Instant,
+    batch: Vec<PlannedCall>,
+    nodes: &[SocketAddr],
     keys: &[String],
     model: &str,
 ) -> Vec<Measured> {
     let client = Client::new();
     let results = Rc::new(RefCell::new(Vec::new()));
     let mut tasks = Vec::new();
-    for planned in share {
-        let wait = planned.at.saturating_sub(began.elapsed());
+    for planned in batch {
+        let wait = planned.at.saturating_sub(started.elapsed());
         if !wait.is_zero() {
             monoio::time::sleep(wait).await;
         }
-        let one = Call {
-            entry: entries[planned.entry % entries.len()],
+        let call = Call {
+            entry: nodes[planned.entry % nodes.len()],
             key: keys[planned.workspace].clone(),
             model: model.to_owned(),
             prompt: planned.prompt(),
@@ -181,7 +181,7 @@
         };
         let (client, results) = (client.clone(), results.clone());
         tasks.push(monoio::spawn(async move {
-            let result = caller::call(&client, &one).await;
+            let result = caller::call(&client, &call).await;
             results.borrow_mut().push(Measured { planned, result });
         }));
     }
@@ -191,71 +191,73 @@
     results.take()
 }
 
-/// A caller that sends its next request when the last one ended.
+/// A closed-loop caller, which sends its next request when the previous one has ended.
 #[derive(Clone, Debug)]
 pub struct ClosedCaller {
-    /// The workspace, by place.
+    /// Index of the workspace.
     pub workspace: usize,
-    /// The entry, by place.
+    /// Index of the node.
     pub entry: usize,
-    /// What it sends; the rate is not used.
+    /// Lengths and timeout of its calls; the rate is ignored.
     pub stream: Stream,
-    /// Texts that end its answers.
+    /// Stop sequences.
     pub stop: Vec<String>,
-    /// Makes its prompts differ from those of others.
+    /// Seed of its prompts and lengths.
     pub seed: u64,
 }
 
-/// What a closed caller's request came to, and when its first token came.
+/// The result of a closed-loop caller's request.
 #[derive(Clone, Debug)]
 pub struct ClosedResult {
-    /// The workspace, by place.
+    /// Index of the workspace.
     pub workspace: usize,
-    /// The prompt's length, in tokens.
+    /// Prompt length, in tokens.
     pub prompt_tokens: u64,
-    /// When the first token came, from the start of the run.
+    /// Arrival time of the first token, from the start of the run.
     pub first_token_at: Option<Duration>,
-    /// The result.
+    /// Outcome and timings of the call.
     pub result: CallResult,
 }
 
-/// Runs closed callers for a time. What has not ended by then is abandoned, as
-/// by callers that go away.
+/// Runs closed-loop callers for a duration. Requests still running at the end are aborted.
 ///
 /// # Panics
 ///
-/// Panics if a thread panics.
+/// Panics if a sending thread panics.
 pub fn run_closed(
-    entries: &[SocketAddr],
+    nodes: &[SocketAddr],
     keys: &[String],
     model: &str,
     callers: Vec<ClosedCaller>,
-    over: Duration,
+    duration: Duration,
 ) -> Vec<ClosedResult> {
     const THREADS: usize = 3;
-    let began = Instant::now();
-    let mut shares: Vec<Vec<ClosedCaller>> = vec![Vec::new(); THREADS];
+    let started = Instant::now();
+    let mut batches: Vec<Vec<ClosedCaller>> = vec![Vec::new(); THREADS];
     for (i, caller) in callers.into_iter().enumerate() {
-        shares[i % THREADS].push(caller);
+        batches[i % THREADS].push(caller);
     }
-    let threads: Vec<_> = shares
+    let threads: Vec<_> = batches
         .into_iter()
-        .map(|share| {
-            let (entries, keys, model) = (entries.to_vec(), keys.to_vec(), model.to_owned());
+        .map(|batch| {
+            let (nodes, keys, model) = (nodes.to_vec(), keys.to_vec(), model.to_owned());
             std::thread::spawn(move || {
                 block_on(async move {
                     let results = Rc::new(RefCell::new(Vec::new()));
                     let client = Client::new();
-                    for caller in share {
-                        let entry = entries[caller.entry % entries.len()];
+                    for caller in batch {
+                        let entry = nodes[caller.entry % nodes.len()];
                         let key = keys[caller.workspace].clone();
                         let (client, model) = (client.clone(), model.clone());
                         let results = results.clone();
                         notchwalk_http::spawn(async move {
-                            call_on(&client, began, entry, key, model, caller, &results).await;
+                            run_closed_caller(
+                                &client, started, entry, key, model, caller, &results,
+                            )
+                            .await;
                         });
                     }
-                    monoio::time::sleep(over.saturating_sub(began.elapsed())).await;
+                    monoio::time::sleep(duration.saturating_sub(started.elapsed())).await;
                     notchwalk_http::end_all().await;
                     results.take()
                 })
@@ -264,13 +266,13 @@
         .collect();
     let results = threads
         .into_iter()
-        .flat_map(|t| t.join().expect("a caller's thread ends"));
+        .flat_map(|t| t.join().expect("sending thread panicked"));
     results.collect()
 }
 
-async fn call_on(
+async fn run_closed_caller(
     client: &Client,
-    began: Instant,
+    started: Instant,
     entry: SocketAddr,
     key: String,
     model: String,
@@ -290,7 +292,7 @@
             low.exp()
         };
         let prompt_tokens = length.round() as u64;
-        let one = Call {
+        let call = Call {
             entry,
             key: key.clone(),
             model: model.clone(),
@@ -299,8 +301,8 @@
             stop: caller.stop.clone(),
             timeout: stream.timeout,
         };
-        let sent_at = began.elapsed();
-        let result = caller::call(client, &one).await;
+        let sent_at = started.elapsed();
+        let result = caller::call(client, &call).await;
         let retry_after = match &result.end {
             caller::CallEnd::Failed { retry_after, .. } => *retry_after,
             _ => None,
@@ -311,8 +313,8 @@
             first_token_at: result.first_token.map(|first| sent_at + first),
             result,
         });
-        if let Some(pause) = retry_after {
-            monoio::time::sleep(pause).await;
+        if let Some(delay) = retry_after {
+            monoio::time::sleep(delay).await;
         }
     }
 }
