--- a/crates/notchwalk_standin/src/soak/arrivals.rs
+++ b/crates/notchwalk_standin/src/soak/arrivals.rs
@@ -1,29 +1,29 @@
-//! The requests that come in a randomised run.
+//! Random requests submitted during a simulation.
 
 use notchwalk_bundle::{ModelKey, ServiceKey, WorkspaceKey};
 use notchwalk_decide::{Arrival, CallWork, CallerKey, Event, GenerateWork, Work};
 use rand::Rng;
 
-use super::{callers::Wanted, world::World};
+use super::{callers::RequestKind, world::World};
 
 impl World {
     pub(super) fn schedule_arrivals(&mut self, end_us: u64) {
-        let gap = self.rng.random_range(2_000..40_000);
-        self.after(gap, move |w| {
+        let gap_us = self.rng.random_range(2_000..40_000);
+        self.schedule_after(gap_us, move |w| {
             if w.now_us < end_us {
-                w.arrive();
+                w.submit_random_request();
                 w.schedule_arrivals(end_us);
             }
         });
     }
 
-    fn arrive(&mut self) {
+    fn submit_random_request(&mut self) {
         let i = self.rng.random_range(0..self.nodes.len());
         let boot = self.nodes[i].boot;
         if self.nodes[i].node.is_none() || self.now_us < self.nodes[i].paused_until_us {
             return;
         }
-        let (wanted, work) = match self.rng.random_range(0..10) {
+        let (kind, work) = match self.rng.random_range(0..10) {
             0..=6 => self.random_generation(),
             _ => self.random_call(),
         };
@@ -39,11 +39,11 @@
             timeout_ms: Some(timeout_ms),
         };
         let deadline_us = self.now_us + timeout_ms * 1_000;
-        self.nodes[i].arriving = Some((wanted, deadline_us));
+        self.nodes[i].pending_arrival = Some((kind, deadline_us));
         self.feed(i, boot, Event::Arrive(Box::new(arrival)));
     }
 
-    fn random_generation(&mut self) -> (Wanted, Work) {
+    fn random_generation(&mut self) -> (RequestKind, Work) {
         let prompt_tokens = match self.rng.random_range(0..20) {
             0 => self.rng.random_range(40_000..70_000),
             1 => self.rng.random_range(33_000..38_000),
@@ -58,12 +58,12 @@
             max_tokens,
             prefix: Vec::new(),
         };
-        (Wanted::Answer(max_tokens), Work::Generate(work))
+        (RequestKind::Completion(max_tokens), Work::Generate(work))
     }
 
-    fn random_call(&mut self) -> (Wanted, Work) {
+    fn random_call(&mut self) -> (RequestKind, Work) {
         let key = self.chance(70).then(|| {
-            // Few enough keys that several tries meet.
+            // The key space is small so that concurrent attempts share keys.
             let epoch = self.now_us / 3_000_000;
             format!("k{epoch}-{}", self.rng.random_range(0..20))
         });
@@ -73,6 +73,6 @@
             idempotency_key: key.clone(),
             fingerprint: "same".to_owned(),
         };
-        (Wanted::Call(key), Work::Call(work))
+        (RequestKind::Call(key), Work::Call(work))
     }
 }
--- a/crates/notchwalk_standin/src/soak/callers.rs
+++ b/crates/notchwalk_standin/src/soak/callers.rs
@@ -1,4 +1,4 @@
-//! The callers of a randomised run: what each was promised and what it got.
+//! Open requests as seen by their callers, and checks of what callers receive.
 
 use std::collections::HashMap;
 
@@ -6,43 +6,44 @@
 use notchwalk_decide::{Completion, Failure, RequestKey};
 use notchwalk_wire::OutcomeWord;
 
-/// What a caller asked for.
+/// The kind of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Wanted {
-    /// An answer of so many tokens.
-    Answer(u32),
-    /// A call, with its idempotency key if it has one.
+pub enum RequestKind {
+    /// A completion of exactly this many tokens.
+    Completion(u32),
+    /// A service call, with its idempotency key if any.
     Call(Option<String>),
 }
 
-/// One admitted request, as its caller sees it.
+/// An admitted request that has not finished.
 #[derive(Clone, Debug)]
-pub struct Open {
-    /// The request's id.
+pub struct OpenRequest {
+    /// The request ID.
     pub id: RequestId,
-    /// What was asked for.
-    pub wanted: Wanted,
-    /// The deadline, in microseconds.
+    /// What the caller requested.
+    pub kind: RequestKind,
+    /// The caller's deadline, in microseconds of virtual time.
     pub deadline_us: u64,
-    /// Tokens that came.
+    /// The number of tokens received so far.
     pub received: u32,
-    /// Whether a backend took the request in.
+    /// Whether a backend server accepted any attempt.
     pub ran: bool,
 }
 
-/// All open requests of one boot of a node.
+/// The open requests of one incarnation of a node.
 #[derive(Debug, Default)]
 pub struct OpenRequests {
-    /// The requests.
-    pub open: HashMap<RequestKey, Open>,
+    /// The open requests, by the node's request key.
+    pub open: HashMap<RequestKey, OpenRequest>,
 }
 
 impl OpenRequests {
-    /// Takes in tokens that were passed on.
+    /// Records a frame of tokens that the node delivered to the caller.
     ///
     /// # Errors
     ///
-    /// Says what is wrong with them.
+    /// Returns a description if the request is not open, the frame belongs to
+    /// another request, or the tokens do not continue those already received.
     pub fn deliver(
         &mut self,
         request: RequestKey,
@@ -51,54 +52,56 @@
     ) -> Result<(), String> {
         let (id, offset, count) = frame;
         let Some(open) = self.open.get_mut(&request) else {
-            return Err(format!("{id} got tokens after its end"));
+            return Err(format!("{id}: received tokens after the request finished"));
         };
         if open.id != id {
-            return Err(format!("{} got tokens of {id}", open.id));
+            return Err(format!("{}: received tokens of {id}", open.id));
         }
         if offset + skip != open.received || skip >= count {
             let got = open.received;
             return Err(format!(
-                "{id} has {got} tokens and got {offset}+{skip} of {count}"
+                "{id}: received {got} tokens, next frame has offset {offset}, skip {skip}, count {count}"
             ));
         }
         open.received = offset + count;
         Ok(())
     }
 
-    /// Takes in the end of a request.
+    /// Closes a request and returns it.
     ///
     /// # Errors
     ///
-    /// Says which promise it breaks.
+    /// Returns a description if the request is not open, is past its deadline by
+    /// more than `slack_us`, received the wrong number of tokens, or ran but is
+    /// reported as not run.
     pub fn finish(
         &mut self,
         request: RequestKey,
         result: &Result<Completion, Failure>,
         now_us: u64,
         slack_us: u64,
-    ) -> Result<Open, String> {
+    ) -> Result<OpenRequest, String> {
         let Some(open) = self.open.remove(&request) else {
-            return Err("a request ended twice".to_owned());
+            return Err("a request finished twice".to_owned());
         };
         if now_us > open.deadline_us + slack_us {
-            return Err(format!("{} ended after its deadline", open.id));
+            return Err(format!("{}: finished after its deadline", open.id));
         }
-        match (result, &open.wanted) {
-            (Ok(_), Wanted::Answer(tokens)) if open.received != *tokens => Err(format!(
-                "{} ended with {} of {tokens} tokens",
+        match (result, &open.kind) {
+            (Ok(_), RequestKind::Completion(tokens)) if open.received != *tokens => Err(format!(
+                "{}: completed with {} of {tokens} tokens",
                 open.id, open.received
             )),
             (Err(failure), _) if failure.outcome == OutcomeWord::NotRun && open.ran => Err(
-                format!("{} ran and was called not run: {failure:?}", open.id),
+                format!("{}: ran but was reported as not run: {failure:?}", open.id),
             ),
             _ => Ok(open),
         }
     }
 
-    /// Returns a request that should have ended by now, if there is one.
+    /// Returns an open request that is past its deadline by more than `slack_us`.
     pub fn overdue(&self, now_us: u64, slack_us: u64) -> Option<RequestId> {
-        let late = |o: &&Open| now_us > o.deadline_us + slack_us;
-        self.open.values().find(late).map(|o| o.id)
+        let is_late = |o: &&OpenRequest| now_us > o.deadline_us + slack_us;
+        self.open.values().find(is_late).map(|o| o.id)
     }
 }
--- a/crates/notchwalk_standin/src/soak/delivery.rs
+++ b/crates/notchwalk_standin/src/soak/delivery.rs
@@ -1,5 +1,5 @@
-//! What lies between nodes and fakes: streams, cancels, calls, claims and the
-//! links between nodes, each with its own ways to fail.
+//! The simulated network between nodes and fakes: streams, cancels, calls,
+//! claims and peer messages, each with random failures.
 
 use notchwalk_core::{Attempt, RequestId, ServerId, VmId};
 use notchwalk_decide::{AttemptEnd, ClaimAnswer, ClaimRow, Dispatch, Event, RequestKey};
@@ -7,20 +7,24 @@
 use rand::Rng;
 
 use super::{
-    callers::Wanted,
+    callers::RequestKind,
     world::{Mechanism, World},
 };
 
 impl World {
-    /// Tells whether a stream's other end has been closed.
+    /// Returns whether the node has closed the attempt's connection.
     pub(super) fn is_closed(&self, id: RequestId, attempt: Attempt) -> bool {
         self.closed.contains(&(id, Attempt(u16::MAX)))
-            || self.latest.get(&id).is_some_and(|latest| *latest > attempt)
+            || self
+                .latest_attempts
+                .get(&id)
+                .is_some_and(|latest| *latest > attempt)
     }
 
-    pub(super) fn note_ran(&mut self, i: usize, boot: u64, key: RequestKey, id: RequestId) {
-        if self.called_not_run.contains(&id) {
-            self.violated(format!("{id} was called not run and then ran"));
+    /// Records that a backend server accepted the request.
+    pub(super) fn record_run(&mut self, i: usize, boot: u64, key: RequestKey, id: RequestId) {
+        if self.reported_not_run.contains(&id) {
+            self.record_violation(format!("{id}: reported as not run and then ran"));
         }
         if self.nodes[i].boot == boot {
             if let Some(open) = self.nodes[i].requests.open.get_mut(&key) {
@@ -29,7 +33,7 @@
         }
     }
 
-    pub(super) fn ended(
+    pub(super) fn end_attempt(
         &mut self,
         i: usize,
         boot: u64,
@@ -45,7 +49,7 @@
         self.feed(i, boot, event);
     }
 
-    pub(super) fn accept(
+    pub(super) fn start_generation(
         &mut self,
         i: usize,
         boot: u64,
@@ -57,68 +61,68 @@
         if self.is_closed(id, d.attempt) {
             return;
         }
-        if self.engines[engine].dead {
-            return self.ended(i, boot, d.request, d.attempt, AttemptEnd::NotSent);
+        if self.engines[engine].crashed {
+            return self.end_attempt(i, boot, d.request, d.attempt, AttemptEnd::NotSent);
         }
         if self.engines[engine].hung {
             return;
         }
         if self.chance(3) {
             let code = "overloaded".to_owned();
-            return self.ended(i, boot, d.request, d.attempt, AttemptEnd::Refused { code });
+            return self.end_attempt(i, boot, d.request, d.attempt, AttemptEnd::Refused { code });
         }
-        self.note_ran(i, boot, d.request, id);
+        self.record_run(i, boot, d.request, id);
         let now = self.now_us;
         self.engines[engine].accept(id, d.attempt, 1_000, now);
-        self.stream(i, boot, id, d, d.offset, max_tokens);
+        self.schedule_frame(i, boot, id, d, d.offset, max_tokens);
     }
 
-    /// Makes the next frame of a stream.
-    pub(super) fn stream(
+    /// Schedules the next frame of a stream.
+    pub(super) fn schedule_frame(
         &mut self,
         i: usize,
         boot: u64,
         id: RequestId,
         d: Dispatch,
-        at: u32,
-        max: u32,
+        offset: u32,
+        max_tokens: u32,
     ) {
-        let gap = self.rng.random_range(2_000..30_000);
-        self.after(gap, move |w| {
+        let gap_us = self.rng.random_range(2_000..30_000);
+        self.schedule_after(gap_us, move |w| {
             let engine = d.server.0 as usize;
-            if !w.engines[engine].works_on(id, d.attempt) {
-                return w.ended(i, boot, d.request, d.attempt, AttemptEnd::Broken);
+            if !w.engines[engine].is_running(id, d.attempt) {
+                return w.end_attempt(i, boot, d.request, d.attempt, AttemptEnd::Broken);
             }
             if w.is_closed(id, d.attempt) || w.nodes[i].boot != boot {
-                // The engine notices a closed connection most of the time.
+                // Engines do not always detect a closed connection.
                 if w.chance(70) {
                     w.engines[engine].cancel(id, d.attempt);
                 }
                 return;
             }
             if w.engines[engine].hung {
-                return w.stream(i, boot, id, d, at, max);
+                return w.schedule_frame(i, boot, id, d, offset, max_tokens);
             }
             if w.chance(1) {
-                // The connection breaks; the engine does not notice.
-                return w.ended(i, boot, d.request, d.attempt, AttemptEnd::Broken);
+                // The connection is lost without the engine detecting it.
+                return w.end_attempt(i, boot, d.request, d.attempt, AttemptEnd::Broken);
             }
-            let count = w.rng.random_range(1..=8).min(max - at);
-            w.frame(i, boot, id, d, at, count);
-            if at + count < max {
-                return w.stream(i, boot, id, d, at + count, max);
+            let count = w.rng.random_range(1..=8).min(max_tokens - offset);
+            w.send_frame(i, boot, id, d, offset, count);
+            if offset + count < max_tokens {
+                return w.schedule_frame(i, boot, id, d, offset + count, max_tokens);
             }
-            w.engines[engine].held.remove(&id);
+            w.engines[engine].reservations.remove(&id);
             let end = AttemptEnd::Complete {
                 prompt_tokens: 100,
                 cached_tokens: 0,
-                completion_tokens: max,
+                completion_tokens: max_tokens,
             };
-            w.ended(i, boot, d.request, d.attempt, end);
+            w.end_attempt(i, boot, d.request, d.attempt, end);
         });
     }
 
-    pub(super) fn frame(
+    pub(super) fn send_frame(
         &mut self,
         i: usize,
         boot: u64,
@@ -135,7 +139,7 @@
             offset,
             count,
         };
-        if self.engines[engine].crossed {
+        if self.engines[engine].sends_mismatched_frames {
             let other = RequestId {
                 seq: id.seq + 1,
                 ..id
@@ -145,13 +149,13 @@
         }
         self.feed(i, boot, frame(id, d.attempt, offset));
         if self.chance(2) {
-            // The same frame comes again.
+            // The frame is duplicated.
             self.feed(i, boot, frame(id, d.attempt, offset));
         }
     }
 
     #[allow(clippy::too_many_arguments)]
-    pub(super) fn segment(
+    pub(super) fn start_segment(
         &mut self,
         i: usize,
         boot: u64,
@@ -164,23 +168,23 @@
         if self.is_closed(id, attempt) {
             return;
         }
-        if self.engines[engine].dead {
-            return self.ended(i, boot, request, attempt, AttemptEnd::NotSent);
+        if self.engines[engine].crashed {
+            return self.end_attempt(i, boot, request, attempt, AttemptEnd::NotSent);
         }
-        self.note_ran(i, boot, request, id);
+        self.record_run(i, boot, request, id);
         let now = self.now_us;
         self.engines[engine].accept(id, attempt, tokens, now);
-        let took = self.rng.random_range(5_000..200_000);
-        self.after(took, move |w| {
-            let works = w.engines[engine].works_on(id, attempt) && !w.chance(5);
-            match works {
+        let duration_us = self.rng.random_range(5_000..200_000);
+        self.schedule_after(duration_us, move |w| {
+            let completes = w.engines[engine].is_running(id, attempt) && !w.chance(5);
+            match completes {
                 true => w.feed(i, boot, Event::SegmentReady { request, attempt }),
-                false => w.ended(i, boot, request, attempt, AttemptEnd::Broken),
+                false => w.end_attempt(i, boot, request, attempt, AttemptEnd::Broken),
             }
         });
     }
 
-    pub(super) fn cancel(
+    pub(super) fn cancel_on_engine(
         &mut self,
         i: usize,
         boot: u64,
@@ -190,7 +194,7 @@
     ) {
         let lost = self.chance(15);
         let engine = &mut self.engines[server.0 as usize];
-        let reached = !engine.hung && !engine.dead && !lost;
+        let reached = !engine.hung && !engine.crashed && !lost;
         if reached {
             engine.cancel(id, up_to);
         }
@@ -200,55 +204,55 @@
             id,
             confirmed,
         };
-        let delay = self.delay();
-        self.after(delay, move |w| w.feed(i, boot, event));
+        let delay_us = self.random_delay_us();
+        self.schedule_after(delay_us, move |w| w.feed(i, boot, event));
     }
 
-    pub(super) fn call(&mut self, i: usize, boot: u64, id: RequestId, d: Dispatch) {
+    pub(super) fn start_call(&mut self, i: usize, boot: u64, id: RequestId, d: Dispatch) {
         if self.is_closed(id, d.attempt) {
             return;
         }
         if self.chance(6) {
-            return self.ended(i, boot, d.request, d.attempt, AttemptEnd::NotSent);
+            return self.end_attempt(i, boot, d.request, d.attempt, AttemptEnd::NotSent);
         }
-        self.note_ran(i, boot, d.request, id);
+        self.record_run(i, boot, d.request, id);
         let open = self.nodes[i].requests.open.get(&d.request);
-        let idempotency = open.filter(|o| o.id == id).and_then(|o| match &o.wanted {
-            Wanted::Call(key) => key.clone(),
-            Wanted::Answer(_) => None,
+        let idempotency_key = open.filter(|o| o.id == id).and_then(|o| match &o.kind {
+            RequestKind::Call(key) => key.clone(),
+            RequestKind::Completion(_) => None,
         });
-        let workspace_key = idempotency.as_ref().map(|_| self.claim_of(id));
-        let named = match self.lacks(Mechanism::Claims) {
-            true => idempotency,
-            false => workspace_key.clone().flatten(),
+        let claim_key = idempotency_key.as_ref().map(|_| self.claim_key_of(id));
+        let deduplication_key = match self.is_disabled(Mechanism::Claims) {
+            true => idempotency_key,
+            false => claim_key.clone().flatten(),
         };
-        let name = named.unwrap_or_else(|| id.to_string());
-        let runs = self.runs.entry(name.clone()).or_default();
+        let run_key = deduplication_key.unwrap_or_else(|| id.to_string());
+        let runs = self.call_runs.entry(run_key.clone()).or_default();
         *runs += 1;
         if *runs > 1 {
-            self.violated(format!("call {name} ran twice"));
+            self.record_violation(format!("call {run_key} ran twice"));
         }
-        let took = self.rng.random_range(1_000..400_000);
-        self.after(took, move |w| {
+        let duration_us = self.rng.random_range(1_000..400_000);
+        self.schedule_after(duration_us, move |w| {
             if w.chance(8) {
-                return w.ended(i, boot, d.request, d.attempt, AttemptEnd::Broken);
+                return w.end_attempt(i, boot, d.request, d.attempt, AttemptEnd::Broken);
             }
-            if let (Some(Some(key)), false) = (workspace_key, w.table.down) {
-                w.table.finish(&key, &id.to_string());
+            if let (Some(Some(key)), false) = (claim_key, w.claims.unavailable) {
+                w.claims.finish(&key, &id.to_string());
             }
             let end = AttemptEnd::Complete {
                 prompt_tokens: 0,
                 cached_tokens: 0,
                 completion_tokens: 0,
             };
-            w.ended(i, boot, d.request, d.attempt, end);
+            w.end_attempt(i, boot, d.request, d.attempt, end);
         });
     }
 
-    /// Returns the key of the claim that a request holds.
-    pub(super) fn claim_of(&self, id: RequestId) -> Option<String> {
+    /// Returns the key of the claim that belongs to the request.
+    pub(super) fn claim_key_of(&self, id: RequestId) -> Option<String> {
         let token = id.to_string();
-        let mut rows = self.table.rows.iter();
+        let mut rows = self.claims.rows.iter();
         rows.find(|(_, row)| row.token == token)
             .map(|(key, _)| key.clone())
     }
@@ -262,43 +266,45 @@
         token: String,
         fingerprint: String,
     ) {
-        if self.lacks(Mechanism::Claims) {
-            let own = ClaimRow {
+        if self.is_disabled(Mechanism::Claims) {
+            let row = ClaimRow {
                 token,
                 done: false,
                 fingerprint,
             };
-            return self.answer_claim(i, boot, request, ClaimAnswer::Row(own));
+            return self.send_claim_answer(i, boot, request, ClaimAnswer::Row(row));
         }
-        let delay = self.delay();
-        self.after(delay, move |w| {
-            if w.table.down {
-                let late = w.chance(10);
-                if late {
-                    // The write takes effect long after it was given up.
-                    let wait = w.rng.random_range(500_000..4_000_000);
-                    w.after(wait, move |w| w.table.insert(&key, &token, &fingerprint));
+        let delay_us = self.random_delay_us();
+        self.schedule_after(delay_us, move |w| {
+            if w.claims.unavailable {
+                let applied_late = w.chance(10);
+                if applied_late {
+                    // The write takes effect after the node has timed out.
+                    let wait_us = w.rng.random_range(500_000..4_000_000);
+                    w.schedule_after(wait_us, move |w| {
+                        w.claims.insert(&key, &token, &fingerprint)
+                    });
                 }
-                return w.answer_claim(i, boot, request, ClaimAnswer::NoAnswer);
+                return w.send_claim_answer(i, boot, request, ClaimAnswer::NoAnswer);
             }
-            w.table.insert(&key, &token, &fingerprint);
+            w.claims.insert(&key, &token, &fingerprint);
             let answer = match w.chance(15) {
                 true => ClaimAnswer::NoAnswer,
-                false => w.table.read(&key),
+                false => w.claims.read(&key),
             };
-            w.answer_claim(i, boot, request, answer);
+            w.send_claim_answer(i, boot, request, answer);
         });
     }
 
-    pub(super) fn answer_claim(
+    pub(super) fn send_claim_answer(
         &mut self,
         i: usize,
         boot: u64,
         request: RequestKey,
         answer: ClaimAnswer,
     ) {
-        let delay = self.delay();
-        self.after(delay, move |w| {
+        let delay_us = self.random_delay_us();
+        self.schedule_after(delay_us, move |w| {
             w.feed(i, boot, Event::Claim { request, answer })
         });
     }
@@ -307,15 +313,15 @@
         if to >= self.nodes.len() || self.chance(5) {
             return;
         }
-        if let Some(alone) = self.partition_at {
-            if (from == alone) != (to == alone) {
+        if let Some(isolated) = self.isolated_node {
+            if (from == isolated) != (to == isolated) {
                 return;
             }
         }
         let copies = if self.chance(3) { 2 } else { 1 };
         for _ in 0..copies {
-            let (delay, message) = (self.delay(), message.clone());
-            self.after(delay, move |w| {
+            let (delay_us, message) = (self.random_delay_us(), message.clone());
+            self.schedule_after(delay_us, move |w| {
                 let (boot, from) = (w.nodes[to].boot, VmId(from as u32));
                 w.feed(to, boot, Event::Peer { from, message });
             });
--- a/crates/notchwalk_standin/src/soak/fakes.rs
+++ b/crates/notchwalk_standin/src/soak/fakes.rs
@@ -1,4 +1,4 @@
-//! Fakes at the reducer's interfaces. Each counts what really happened.
+//! Fake engines and claim table. Their state is the ground truth for the checks.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -6,90 +6,101 @@
 use notchwalk_decide::{ClaimAnswer, ClaimRow};
 use notchwalk_wire::{Holding, LoadReport, LoadedModel};
 
-/// Work on a fake engine.
+/// Memory reserved on a fake engine for one attempt.
 #[derive(Clone, Copy, Debug)]
-pub struct Held {
+pub struct Reservation {
     /// The attempt.
     pub attempt: Attempt,
-    /// Tokens held.
+    /// The reserved memory, in tokens.
     pub tokens: Tokens,
-    /// Since when, in microseconds.
+    /// When the memory was reserved, in microseconds of virtual time.
     pub since_us: u64,
 }
 
-/// A fake engine: holds memory until it is told to let go.
+/// A fake engine. It reserves memory for each attempt until the attempt ends or is cancelled.
 #[derive(Debug, Default)]
 pub struct FakeEngine {
-    /// Refuses connections.
-    pub dead: bool,
-    /// Takes work but makes nothing.
+    /// Whether the engine has crashed and refuses connections.
+    pub crashed: bool,
+    /// Whether the engine is unresponsive and generates nothing.
     pub hung: bool,
-    /// Mixes frames of other requests into streams.
-    pub crossed: bool,
-    /// About to leave, and since when.
-    pub leaving_since_us: Option<u64>,
-    /// Memory held by request.
-    pub held: BTreeMap<RequestId, Held>,
+    /// Whether the engine inserts frames of other requests and attempts into streams.
+    pub sends_mismatched_frames: bool,
+    /// When the engine started to drain, if it has.
+    pub draining_since_us: Option<u64>,
+    /// Reserved memory by request.
+    pub reservations: BTreeMap<RequestId, Reservation>,
 }
 
-/// Memory of a fake engine, in tokens.
-pub const CAPACITY: Tokens = 40_000;
+pub const CAPACITY_TOKENS: Tokens = 40_000;
 
 impl FakeEngine {
-    /// Takes in work; an older attempt of the request ends.
+    /// Reserves memory for an attempt and replaces an older attempt of the request.
+    /// Ignores the attempt if a newer one is running.
     pub fn accept(&mut self, id: RequestId, attempt: Attempt, tokens: Tokens, now_us: u64) {
-        let newer = self.held.get(&id).is_some_and(|h| h.attempt > attempt);
+        let newer = self
+            .reservations
+            .get(&id)
+            .is_some_and(|r| r.attempt > attempt);
         if newer {
             return;
         }
-        let held = Held {
+        let reservation = Reservation {
             attempt,
             tokens,
             since_us: now_us,
         };
-        self.held.insert(id, held);
+        self.reservations.insert(id, reservation);
     }
 
-    /// Tells whether an attempt is being worked on.
-    pub fn works_on(&self, id: RequestId, attempt: Attempt) -> bool {
-        !self.dead && self.held.get(&id).is_some_and(|h| h.attempt == attempt)
+    /// Returns whether the attempt is running.
+    pub fn is_running(&self, id: RequestId, attempt: Attempt) -> bool {
+        !self.crashed
+            && self
+                .reservations
+                .get(&id)
+                .is_some_and(|r| r.attempt == attempt)
     }
 
-    /// Ends a request's attempts.
+    /// Cancels the request's attempt unless it is newer than `up_to`.
     pub fn cancel(&mut self, id: RequestId, up_to: Attempt) {
-        if self.held.get(&id).is_some_and(|h| h.attempt <= up_to) {
-            self.held.remove(&id);
+        if self
+            .reservations
+            .get(&id)
+            .is_some_and(|r| r.attempt <= up_to)
+        {
+            self.reservations.remove(&id);
         }
     }
 
-    /// Loses everything.
+    /// Crashes the engine and releases all memory.
     pub fn crash(&mut self) {
-        self.dead = true;
-        self.held.clear();
+        self.crashed = true;
+        self.reservations.clear();
     }
 
-    /// Returns the tokens held.
-    pub fn used(&self) -> Tokens {
-        self.held.values().map(|h| h.tokens).sum()
+    /// Returns the reserved memory.
+    pub fn used_tokens(&self) -> Tokens {
+        self.reservations.values().map(|r| r.tokens).sum()
     }
 
-    /// Lists what is held.
+    /// Returns the reservations as reported to nodes.
     pub fn holdings(&self, now_us: u64) -> Vec<Holding> {
-        let list = self.held.iter().map(|(id, held)| Holding {
+        let holdings = self.reservations.iter().map(|(id, r)| Holding {
             request: *id,
-            attempt: held.attempt,
-            tokens: held.tokens,
-            age_ms: (now_us - held.since_us) / 1_000,
+            attempt: r.attempt,
+            tokens: r.tokens,
+            age_ms: (now_us - r.since_us) / 1_000,
         });
-        list.collect()
+        holdings.collect()
     }
 
-    /// Returns the load.
-    pub fn report(&self) -> LoadReport {
+    /// Returns the load as reported to nodes.
+    pub fn load_report(&self) -> LoadReport {
         LoadReport {
-            capacity_tokens: CAPACITY,
-            used_tokens: self.used(),
-            running: self.held.len() as u32,
+            capacity_tokens: CAPACITY_TOKENS,
+            used_tokens: self.used_tokens(),
+            running: self.reservations.len() as u32,
             waiting: 0,
             slots: 32,
             backlog_tokens: 0,
@@ -101,23 +112,23 @@
                 versions: vec!["v1".to_owned()],
                 adapters: vec!["tour".to_owned()],
             }],
-            leaving: self.leaving_since_us.is_some(),
+            leaving: self.draining_since_us.is_some(),
             evictions: 0,
         }
     }
 }
 
-/// The fake table of claims.
+/// A fake claim table.
 #[derive(Debug, Default)]
-pub struct FakeTable {
-    /// Answers nothing and takes nothing.
-    pub down: bool,
-    /// The rows.
+pub struct FakeClaimTable {
+    /// Whether the table is unavailable.
+    pub unavailable: bool,
+    /// The claims by key.
     pub rows: HashMap<String, ClaimRow>,
 }
 
-impl FakeTable {
-    /// Inserts a claim unless there is one.
+impl FakeClaimTable {
+    /// Inserts a claim unless the key has one.
     pub fn insert(&mut self, key: &str, token: &str, fingerprint: &str) {
         let row = ClaimRow {
             token: token.to_owned(),
@@ -127,7 +138,7 @@
         self.rows.entry(key.to_owned()).or_insert(row);
     }
 
-    /// Deletes a claim that is still that of a token.
+    /// Deletes the claim if it belongs to `token` and has no outcome.
     pub fn release(&mut self, key: &str, token: &str) {
         if self
             .rows
@@ -138,7 +149,7 @@
         }
     }
 
-    /// Stores an outcome.
+    /// Marks the claim as done if it belongs to `token`.
     pub fn finish(&mut self, key: &str, token: &str) {
         if let Some(row) = self.rows.get_mut(key).filter(|r| r.token == token) {
             row.done = true;
--- a/crates/notchwalk_standin/src/soak/faults.rs
+++ b/crates/notchwalk_standin/src/soak/faults.rs
@@ -1,91 +1,96 @@
-//! The faults of a randomised run, by chance.
+//! Random fault injection.
 
 use rand::Rng;
 
 use super::world::World;
 
-/// How long a fault lasts at the most, in microseconds.
-const MAX_FAULT_US: u64 = 6_000_000;
+const MAX_FAULT_DURATION_US: u64 = 6_000_000;
 
-/// What can go wrong.
+/// A kind of fault.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
-    /// A node crashes and starts anew later.
+    /// One node crashes and restarts later.
     NodeCrash,
-    /// A node is paused and wakes later.
+    /// One node is suspended and resumes later.
     NodePause,
-    /// All nodes crash at once.
-    AllCrash,
-    /// An engine crashes and comes back empty.
+    /// All nodes crash at once and restart later.
+    AllNodesCrash,
+    /// An engine crashes, loses its work and restarts later.
     EngineCrash,
-    /// An engine hangs for a while.
+    /// An engine stops responding temporarily.
     EngineHang,
-    /// An engine mixes up frames for a while.
-    EngineCrossed,
-    /// An engine leaves for good.
-    EngineLeaves,
-    /// The store is down for a while.
-    StoreDown,
-    /// Two groups of nodes don't hear each other for a while.
+    /// An engine temporarily inserts frames of other requests and attempts.
+    EngineMismatchedFrames,
+    /// An engine starts to drain and never returns.
+    EngineDrain,
+    /// The claim table is temporarily unavailable.
+    StoreOutage,
+    /// One node temporarily cannot exchange messages with its peers.
     Partition,
 }
 
-const USUAL: [Fault; 8] = [
+/// Faults other than the rare [`Fault::AllNodesCrash`] and [`Fault::EngineDrain`].
+const COMMON_FAULTS: [Fault; 8] = [
     Fault::NodeCrash,
     Fault::NodePause,
     Fault::EngineCrash,
     Fault::EngineHang,
-    Fault::EngineCrossed,
-    Fault::StoreDown,
+    Fault::EngineMismatchedFrames,
+    Fault::StoreOutage,
     Fault::Partition,
     Fault::NodePause,
 ];
 
 impl World {
-    /// Lets one fault begin.
-    pub(super) fn begin_fault(&mut self) {
+    /// Injects one random fault.
+    pub(super) fn inject_fault(&mut self) {
         let fault = match self.rng.random_range(0..40) {
-            0 => Fault::AllCrash,
-            1 => Fault::EngineLeaves,
-            n => USUAL[n % USUAL.len()],
+            0 => Fault::AllNodesCrash,
+            1 => Fault::EngineDrain,
+            n => COMMON_FAULTS[n % COMMON_FAULTS.len()],
         };
-        let lasts_us = self.rng.random_range(100_000..MAX_FAULT_US);
+        let duration_us = self.rng.random_range(100_000..MAX_FAULT_DURATION_US);
         let node = self.rng.random_range(0..self.nodes.len());
         let engine = self.rng.random_range(0..self.engines.len());
         self.report.faults += 1;
         match fault {
-            Fault::NodeCrash => self.crash_node(node, lasts_us),
-            Fault::NodePause => self.pause_node(node, lasts_us * 2),
-            Fault::AllCrash => {
+            Fault::NodeCrash => self.crash_node(node, duration_us),
+            Fault::NodePause => self.pause_node(node, duration_us * 2),
+            Fault::AllNodesCrash => {
                 for node in 0..self.nodes.len() {
-                    self.crash_node(node, lasts_us);
+                    self.crash_node(node, duration_us);
                 }
             }
             Fault::EngineCrash => {
                 self.engines[engine].crash();
-                self.heal_later(lasts_us, move |w| w.engines[engine].dead = false);
+                self.clear_fault_after(duration_us, move |w| w.engines[engine].crashed = false);
             }
             Fault::EngineHang => {
                 self.engines[engine].hung = true;
-                self.heal_later(lasts_us * 2, move |w| w.engines[engine].hung = false);
+                self.clear_fault_after(duration_us * 2, move |w| w.engines[engine].hung = false);
             }
-            Fault::EngineCrossed => {
-                self.engines[engine].crossed = true;
-                self.heal_later(lasts_us, move |w| w.engines[engine].crossed = false);
+            Fault::EngineMismatchedFrames => {
+                self.engines[engine].sends_mismatched_frames = true;
+                self.clear_fault_after(duration_us, move |w| {
+                    w.engines[engine].sends_mismatched_frames = false
+                });
             }
-            Fault::EngineLeaves => {
-                let left = self.engines.iter().filter(|e| e.leaving_since_us.is_none());
-                if left.count() > self.engines.len() / 2 {
-                    self.engines[engine].leaving_since_us = Some(self.now_us);
+            Fault::EngineDrain => {
+                let active = self
+                    .engines
+                    .iter()
+                    .filter(|e| e.draining_since_us.is_none());
+                if active.count() > self.engines.len() / 2 {
+                    self.engines[engine].draining_since_us = Some(self.now_us);
                 }
             }
-            Fault::StoreDown => {
-                self.table.down = true;
-                self.heal_later(lasts_us, |w| w.table.down = false);
+            Fault::StoreOutage => {
+                self.claims.unavailable = true;
+                self.clear_fault_after(duration_us, |w| w.claims.unavailable = false);
             }
             Fault::Partition => {
-                self.partition_at = Some(node);
-                self.heal_later(lasts_us, |w| w.partition_at = None);
+                self.isolated_node = Some(node);
+                self.clear_fault_after(duration_us, |w| w.isolated_node = None);
             }
         }
     }
--- a/crates/notchwalk_standin/src/soak/mod.rs
+++ b/crates/notchwalk_standin/src/soak/mod.rs
@@ -1,7 +1,9 @@
-//! Long randomised runs of several reducers against small fakes of engines,
-//! services, the store and the network, in virtual time: loss, delay,
-//! reordering, duplication, pauses, crashes, lost answers. What must always
-//! hold is checked at the fakes, besides the reducer's own invariants.
+//! Randomised fault simulation in virtual time: several nodes run against fake
+//! engines, services, a claim table and a network.
+//!
+//! Faults include message loss, delay, reordering and duplication, pauses,
+//! crashes and lost responses. Invariants are checked at the fakes, in addition
+//! to the reducer's own assertions.
 
 mod arrivals;
 mod callers;
--- a/crates/notchwalk_standin/src/soak/world.rs
+++ b/crates/notchwalk_standin/src/soak/world.rs
@@ -1,5 +1,4 @@
-//! The world of a randomised run: virtual time, nodes and what lies between
-//! them and the fakes.
+//! The simulation: virtual time, scheduled actions, nodes and their effects.
 
 use std::{
     collections::{BTreeMap, HashMap, HashSet},
@@ -16,55 +15,54 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::{
-    callers::{Open, OpenRequests, Wanted},
-    fakes::{FakeEngine, FakeTable},
+    callers::{OpenRequest, OpenRequests, RequestKind},
+    fakes::{FakeClaimTable, FakeEngine},
 };
 use crate::operators::{BundleSpec, Operators, WorkspaceSpec};
 
-const TICK_US: u64 = 20_000;
-const LOAD_US: u64 = 200_000;
-const LIST_US: u64 = 1_000_000;
-/// How late the VM list is.
-const LIST_LAG_US: u64 = 1_500_000;
-/// How long after its start a leaving server may still get new work.
-const LEAVING_WITHIN_US: u64 = 3_000_000;
-/// Ticks, and the time a woken node needs to learn what passed.
-const SLACK_US: u64 = 200_000;
-/// How long everything has to settle after the last request.
+const TICK_INTERVAL_US: u64 = 20_000;
+const LOAD_REPORT_INTERVAL_US: u64 = 200_000;
+const VM_LIST_INTERVAL_US: u64 = 1_000_000;
+/// The delay until the VM list reflects a change.
+const VM_LIST_LAG_US: u64 = 1_500_000;
+/// The time within which nodes must stop sending new requests to a draining engine.
+const DRAIN_NOTICE_LIMIT_US: u64 = 3_000_000;
+/// Allowed lateness of deadlines; covers ticks and the backlog of a resumed node.
+const DEADLINE_SLACK_US: u64 = 200_000;
+/// The time after the last request by which all work must have ended.
 const SETTLE_US: u64 = 90_000_000;
-/// The first number of services' servers.
-const FIRST_SERVICE: u32 = 500;
-const SERVICES: u32 = 2;
+/// The ID of the first service server.
+const FIRST_SERVICE_ID: u32 = 500;
+const SERVICE_COUNT: u32 = 2;
 
-/// How a run is made.
+/// Options of a simulation.
 #[derive(Clone, Copy, Debug)]
 pub struct SoakOptions {
-    /// The seed; the same seed gives the same run.
+    /// The random seed. Equal options give identical runs.
     pub seed: u64,
-    /// How long requests come, in virtual seconds.
+    /// How long requests are submitted, in seconds of virtual time.
     pub seconds: u64,
-    /// Nodes.
+    /// The number of nodes.
     pub nodes: usize,
-    /// Engines.
+    /// The number of engines.
     pub engines: usize,
-    /// Whether faults happen.
+    /// Whether faults are injected.
     pub faults: bool,
-    /// A mechanism that is cut off at its interface, to show what it is worth
-    /// and that its absence is noticed.
+    /// A mechanism to disable, to check that the simulation detects its absence.
     pub without: Option<Mechanism>,
 }
 
-/// A mechanism that can be cut off.
+/// A mechanism that can be disabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mechanism {
-    /// Cancels and the sweep reach no engine.
+    /// Cancels do not reach engines but are confirmed.
     Cancels,
-    /// Every claim is granted at once, whoever has the key.
+    /// Every claim is granted, also if another request holds the key.
     Claims,
 }
 
 impl SoakOptions {
-    /// Builds a run of three nodes before six engines, with faults.
+    /// Creates options for three nodes and six engines, with faults.
     pub fn new(seed: u64, seconds: u64) -> Self {
         Self {
             seed,
@@ -77,50 +75,55 @@
     }
 }
 
-/// What a run came to.
+/// The results of a simulation.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SoakReport {
-    /// Events fed to nodes.
+    /// Events processed by nodes.
     pub steps: u64,
     /// Requests admitted.
     pub admitted: u64,
-    /// Requests answered whole.
+    /// Requests that completed.
     pub completed: u64,
     /// Requests that failed.
     pub failed: u64,
-    /// Faults that happened.
+    /// Faults injected.
     pub faults: u64,
-    /// Broken promises, each in a sentence.
+    /// Descriptions of violated invariants.
     pub violations: Vec<String>,
 }
 
 type Action = Box<dyn FnOnce(&mut World)>;
 
-/// One place for a node.
-pub(super) struct Slot {
+/// A node across its incarnations.
+pub(super) struct NodeSlot {
     pub(super) node: Option<Node>,
     pub(super) boot: u64,
     pub(super) paused_until_us: u64,
     down_since_us: Option<u64>,
     pub(super) requests: OpenRequests,
-    pub(super) arriving: Option<(Wanted, u64)>,
+    /// The kind and deadline of the request that is being submitted.
+    pub(super) pending_arrival: Option<(RequestKind, u64)>,
 }
 
-/// Everything.
+/// A simulation of nodes, fake engines, services and a claim table.
 pub struct World {
     pub(super) now_us: u64,
     pub(super) rng: Pcg64Mcg,
-    pub(super) nodes: Vec<Slot>,
+    pub(super) nodes: Vec<NodeSlot>,
     pub(super) engines: Vec<FakeEngine>,
-    pub(super) table: FakeTable,
-    pub(super) partition_at: Option<usize>,
-    /// What happened so far.
+    pub(super) claims: FakeClaimTable,
+    pub(super) isolated_node: Option<usize>,
+    /// The results so far.
     pub report: SoakReport,
     options: SoakOptions,
-    pub(super) runs: HashMap<String, u32>,
-    pub(super) called_not_run: HashSet<RequestId>,
+    /// How often each call ran, by idempotency key or request ID.
+    pub(super) call_runs: HashMap<String, u32>,
+    pub(super) reported_not_run: HashSet<RequestId>,
+    /// Requests whose connections to backend servers are closed, as
+    /// `(id, Attempt(u16::MAX))`.
     pub(super) closed: HashSet<(RequestId, Attempt)>,
-    pub(super) latest: HashMap<RequestId, Attempt>,
+    pub(super) latest_attempts: HashMap<RequestId, Attempt>,
+    /// Scheduled actions by time and sequence number.
     actions: BTreeMap<(u64, u64), Action>,
     next_action: u64,
     pub(super) next_caller: u64,
@@ -128,21 +131,21 @@
 }
 
 fn soak_bundle() -> Bundle {
-    let named = (0..4).map(|i| WorkspaceSpec::new(&format!("w{i}"), 1.0 + f64::from(i)));
+    let workspaces = (0..4).map(|i| WorkspaceSpec::new(&format!("w{i}"), 1.0 + f64::from(i)));
     let spec = BundleSpec {
         model: "m".to_owned(),
         context_tokens: 200_000,
         versions: vec!["v1".to_owned()],
         checks_fence: true,
         service: "s".to_owned(),
-        workspaces: named.collect(),
+        workspaces: workspaces.collect(),
         policy: "retry_percent = 100\n".to_owned(),
     };
     Bundle::parse(1, &Operators::new(1).parts(&spec)).expect("a valid bundle")
 }
 
 impl World {
-    /// Builds a world in which nothing has happened.
+    /// Creates a simulation and starts its nodes.
     pub fn new(options: SoakOptions) -> Self {
         let mut world = Self {
             now_us: 10_000_000,
@@ -151,34 +154,34 @@
             engines: (0..options.engines)
                 .map(|_| FakeEngine::default())
                 .collect(),
-            table: FakeTable::default(),
-            partition_at: None,
+            claims: FakeClaimTable::default(),
+            isolated_node: None,
             report: SoakReport::default(),
             options,
             actions: BTreeMap::new(),
             next_action: 0,
             next_caller: 1,
             bundle: Arc::new(soak_bundle()),
-            runs: HashMap::new(),
-            called_not_run: HashSet::new(),
+            call_runs: HashMap::new(),
+            reported_not_run: HashSet::new(),
             closed: HashSet::new(),
-            latest: HashMap::new(),
+            latest_attempts: HashMap::new(),
         };
         for i in 0..options.nodes {
-            world.nodes.push(Slot {
+            world.nodes.push(NodeSlot {
                 node: None,
                 boot: 0,
                 paused_until_us: 0,
                 down_since_us: None,
                 requests: OpenRequests::default(),
-                arriving: None,
+                pending_arrival: None,
             });
             world.start_node(i);
         }
         world
     }
 
-    /// Runs to the end and returns what it came to.
+    /// Runs the simulation to its end and returns the results.
     pub fn run(mut self) -> SoakReport {
         let end_us = self.now_us + self.options.seconds * 1_000_000;
         self.schedule_arrivals(end_us);
@@ -203,22 +206,22 @@
         }
     }
 
-    pub(super) fn at(&mut self, at_us: u64, action: impl FnOnce(&mut World) + 'static) {
+    pub(super) fn schedule_at(&mut self, at_us: u64, action: impl FnOnce(&mut World) + 'static) {
         self.next_action += 1;
         let key = (at_us.max(self.now_us), self.next_action);
         self.actions.insert(key, Box::new(action));
     }
 
-    pub(super) fn after(&mut self, us: u64, action: impl FnOnce(&mut World) + 'static) {
-        self.at(self.now_us + us, action);
+    pub(super) fn schedule_after(&mut self, us: u64, action: impl FnOnce(&mut World) + 'static) {
+        self.schedule_at(self.now_us + us, action);
     }
 
-    /// Ends a fault later.
-    pub(super) fn heal_later(&mut self, us: u64, heal: impl FnOnce(&mut World) + 'static) {
-        self.after(us, heal);
+    /// Schedules the end of a fault.
+    pub(super) fn clear_fault_after(&mut self, us: u64, clear: impl FnOnce(&mut World) + 'static) {
+        self.schedule_after(us, clear);
     }
 
-    pub(super) fn lacks(&self, mechanism: Mechanism) -> bool {
+    pub(super) fn is_disabled(&self, mechanism: Mechanism) -> bool {
         self.options.without == Some(mechanism)
     }
 
@@ -226,18 +229,18 @@
         self.rng.random_range(0..100) < percent
     }
 
-    pub(super) fn delay(&mut self) -> u64 {
+    pub(super) fn random_delay_us(&mut self) -> u64 {
         match self.rng.random_range(0..50) {
             0 => self.rng.random_range(50_000..800_000),
             _ => self.rng.random_range(200..6_000),
         }
     }
 
-    pub(super) fn violated(&mut self, what: String) {
+    pub(super) fn record_violation(&mut self, violation: String) {
         let at_ms = self.now_us / 1_000;
         self.report
             .violations
-            .push(format!("at {at_ms} ms: {what}"));
+            .push(format!("at {at_ms} ms: {violation}"));
     }
 
     pub(super) fn start_node(&mut self, i: usize) {
@@ -251,65 +254,71 @@
         slot.node = Some(Node::new(cfg));
         let bundle = self.bundle.clone();
         self.feed(i, boot, Event::Bundle(bundle));
-        self.every(i, boot, TICK_US, |w, i, boot| w.feed(i, boot, Event::Tick));
-        self.every(i, boot, LIST_US, |w, i, boot| w.give_list(i, boot));
-        self.every(i, boot, LOAD_US, |w, i, boot| w.give_loads(i, boot));
+        self.run_every(i, boot, TICK_INTERVAL_US, |w, i, boot| {
+            w.feed(i, boot, Event::Tick)
+        });
+        self.run_every(i, boot, VM_LIST_INTERVAL_US, |w, i, boot| {
+            w.send_vm_list(i, boot)
+        });
+        self.run_every(i, boot, LOAD_REPORT_INTERVAL_US, |w, i, boot| {
+            w.send_load_reports(i, boot)
+        });
     }
 
-    fn every(&mut self, i: usize, boot: u64, us: u64, f: fn(&mut World, usize, u64)) {
+    fn run_every(&mut self, i: usize, boot: u64, us: u64, f: fn(&mut World, usize, u64)) {
         if self.nodes[i].boot != boot || self.nodes[i].node.is_none() {
             return;
         }
         f(self, i, boot);
-        self.after(us, move |w| w.every(i, boot, us, f));
+        self.schedule_after(us, move |w| w.run_every(i, boot, us, f));
     }
 
-    /// Ends a node; it starts anew later.
+    /// Crashes a node and schedules its restart.
     pub(super) fn crash_node(&mut self, i: usize, down_us: u64) {
         if self.nodes[i].node.take().is_none() {
             return;
         }
-        let cut = std::mem::take(&mut self.nodes[i].requests);
-        for open in cut.open.values() {
+        let interrupted = std::mem::take(&mut self.nodes[i].requests);
+        for open in interrupted.open.values() {
             self.closed.insert((open.id, Attempt(u16::MAX)));
         }
         self.nodes[i].down_since_us = Some(self.now_us);
-        self.after(down_us, move |w| w.start_node(i));
+        self.schedule_after(down_us, move |w| w.start_node(i));
     }
 
-    /// Pauses a node; what comes meanwhile waits for it.
+    /// Suspends a node. Events are queued until it resumes.
     pub(super) fn pause_node(&mut self, i: usize, us: u64) {
         let until = self.now_us + us;
         let slot = &mut self.nodes[i];
         slot.paused_until_us = slot.paused_until_us.max(until);
     }
 
-    fn give_list(&mut self, i: usize, boot: u64) {
+    fn send_vm_list(&mut self, i: usize, boot: u64) {
         let now = self.now_us;
-        let lagged = |since: Option<u64>| since.is_some_and(|at| now > at + LIST_LAG_US);
+        let lagged = |since: Option<u64>| since.is_some_and(|at| now > at + VM_LIST_LAG_US);
         let mut servers = Vec::new();
         for (id, engine) in self.engines.iter().enumerate() {
             servers.push(ServerRecord {
                 id: ServerId(id as u32),
                 kind: ServerKind::Engine,
                 failure_domain: format!("d{}", id % 3),
-                leaving: lagged(engine.leaving_since_us),
+                leaving: lagged(engine.draining_since_us),
             });
         }
-        for id in 0..SERVICES {
+        for id in 0..SERVICE_COUNT {
             servers.push(ServerRecord {
-                id: ServerId(FIRST_SERVICE + id),
+                id: ServerId(FIRST_SERVICE_ID + id),
                 kind: ServerKind::Service("s".to_owned()),
                 failure_domain: "d0".to_owned(),
                 leaving: false,
             });
         }
-        let listed = self
+        let live = self
             .nodes
             .iter()
             .enumerate()
             .filter(|(_, slot)| !lagged(slot.down_since_us));
-        let entries = listed.map(|(id, _)| PeerRecord {
+        let entries = live.map(|(id, _)| PeerRecord {
             vm: VmId(id as u32),
             caller_address: format!("entry-{id}"),
             failure_domain: format!("d{}", id % 3),
@@ -319,27 +328,27 @@
         self.feed(i, boot, Event::VmList { servers, entries });
     }
 
-    fn give_loads(&mut self, i: usize, boot: u64) {
+    fn send_load_reports(&mut self, i: usize, boot: u64) {
         for id in 0..self.engines.len() {
             let engine = &self.engines[id];
             let server = ServerId(id as u32);
-            let event = match engine.dead || engine.hung {
+            let event = match engine.crashed || engine.hung {
                 true => Event::LoadFailed(server),
                 false => Event::Load {
                     server,
-                    report: Box::new(engine.report()),
+                    report: Box::new(engine.load_report()),
                 },
             };
-            let delay = self.delay();
-            self.after(delay, move |w| w.feed(i, boot, event));
+            let delay_us = self.random_delay_us();
+            self.schedule_after(delay_us, move |w| w.feed(i, boot, event));
         }
     }
 
     fn schedule_faults(&mut self, end_us: u64) {
-        let gap = self.rng.random_range(200_000..2_500_000);
-        self.after(gap, move |w| {
+        let gap_us = self.rng.random_range(200_000..2_500_000);
+        self.schedule_after(gap_us, move |w| {
             if w.now_us < end_us {
-                w.begin_fault();
+                w.inject_fault();
                 w.schedule_faults(end_us);
             }
         });
@@ -351,8 +360,8 @@
             return;
         }
         if self.now_us < slot.paused_until_us {
-            let wakes = slot.paused_until_us;
-            self.at(wakes, move |w| w.feed(i, boot, event));
+            let resumes_at_us = slot.paused_until_us;
+            self.schedule_at(resumes_at_us, move |w| w.feed(i, boot, event));
             return;
         }
         let Some(node) = slot.node.as_mut() else {
@@ -368,11 +377,11 @@
         node.step(Instant::from_micros(self.now_us), event, &mut out);
         self.report.steps += 1;
         for effect in out {
-            self.perform(i, boot, effect, frame);
+            self.apply_effect(i, boot, effect, frame);
         }
     }
 
-    fn perform(
+    fn apply_effect(
         &mut self,
         i: usize,
         boot: u64,
@@ -380,58 +389,61 @@
         frame: Option<(RequestId, u32, u32)>,
     ) {
         match effect {
-            Effect::Admitted { request, id, .. } => self.admitted(i, request, id),
-            Effect::Refuse { .. } => self.nodes[i].arriving = None,
-            Effect::Dispatch(dispatch) => self.dispatched(i, boot, dispatch),
+            Effect::Admitted { request, id, .. } => self.on_admitted(i, request, id),
+            Effect::Refuse { .. } => self.nodes[i].pending_arrival = None,
+            Effect::Dispatch(dispatch) => self.on_dispatch(i, boot, dispatch),
             Effect::Segment(order) => {
                 let Some(open) = self.nodes[i].requests.open.get(&order.request) else {
                     return;
                 };
                 let (id, attempt) = (open.id, order.attempt);
-                self.latest.insert(id, attempt);
+                self.latest_attempts.insert(id, attempt);
                 let tokens = order.to - order.from;
                 let key = order.request;
-                let delay = self.delay();
+                let delay_us = self.random_delay_us();
                 let engine = order.server.0 as usize;
-                self.after(delay, move |w| {
-                    w.segment(i, boot, engine, key, id, attempt, tokens)
+                self.schedule_after(delay_us, move |w| {
+                    w.start_segment(i, boot, engine, key, id, attempt, tokens)
                 });
             }
             Effect::Deliver { request, skip } => {
                 let Some(frame) = frame else {
-                    return self.violated("tokens were passed on without a frame".to_owned());
+                    return self
+                        .record_violation("tokens were delivered without a frame".to_owned());
                 };
                 let delivered = self.nodes[i].requests.deliver(request, frame, skip);
-                if let Err(what) = delivered {
-                    self.violated(what);
+                if let Err(violation) = delivered {
+                    self.record_violation(violation);
                 }
             }
-            Effect::Finish { request, result } => self.finished(i, request, &result),
+            Effect::Finish { request, result } => self.on_finished(i, request, &result),
             Effect::FinishStored { request, .. } => {
                 self.nodes[i].requests.open.remove(&request);
                 self.report.completed += 1;
             }
-            Effect::Cancel { server, id, .. } if self.lacks(Mechanism::Cancels) => {
+            Effect::Cancel { server, id, .. } if self.is_disabled(Mechanism::Cancels) => {
                 let confirmed = true;
                 let event = Event::CancelEnded {
                     server,
                     id,
                     confirmed,
                 };
-                self.after(1_000, move |w| w.feed(i, boot, event));
+                self.schedule_after(1_000, move |w| w.feed(i, boot, event));
             }
             Effect::Cancel { server, id, up_to } => {
-                let delay = self.delay();
-                self.after(delay, move |w| w.cancel(i, boot, server, id, up_to));
+                let delay_us = self.random_delay_us();
+                self.schedule_after(delay_us, move |w| {
+                    w.cancel_on_engine(i, boot, server, id, up_to)
+                });
             }
             Effect::AskHoldings(server) => {
                 let engine = &self.engines[server.0 as usize];
-                if engine.dead || engine.hung {
+                if engine.crashed || engine.hung {
                     return;
                 }
                 let holdings = engine.holdings(self.now_us);
-                let delay = self.delay();
-                self.after(delay, move |w| {
+                let delay_us = self.random_delay_us();
+                self.schedule_after(delay_us, move |w| {
                     w.feed(i, boot, Event::Holdings { server, holdings })
                 });
             }
@@ -442,136 +454,149 @@
                 fingerprint,
             } => self.claim_insert(i, boot, request, key, token, fingerprint),
             Effect::ClaimRead { request, key } => {
-                let delay = self.delay();
-                self.after(delay, move |w| {
-                    let lost = w.table.down || w.chance(5);
+                let delay_us = self.random_delay_us();
+                self.schedule_after(delay_us, move |w| {
+                    let lost = w.claims.unavailable || w.chance(5);
                     let answer = match lost {
                         true => ClaimAnswer::NoAnswer,
-                        false => w.table.read(&key),
+                        false => w.claims.read(&key),
                     };
-                    w.answer_claim(i, boot, request, answer);
+                    w.send_claim_answer(i, boot, request, answer);
                 });
             }
             Effect::ClaimRelease { key, token, .. } => {
-                let delay = self.delay();
-                self.after(delay, move |w| {
-                    let confirmed = !w.table.down && !w.chance(10);
-                    if !w.table.down {
-                        w.table.release(&key, &token);
+                let delay_us = self.random_delay_us();
+                self.schedule_after(delay_us, move |w| {
+                    let confirmed = !w.claims.unavailable && !w.chance(10);
+                    if !w.claims.unavailable {
+                        w.claims.release(&key, &token);
                     }
                     w.feed(i, boot, Event::ClaimReleased { key, confirmed });
                 });
             }
             Effect::Peer { to, message } => self.send_peer(i, to.0 as usize, *message),
-            // The lease is shown by `bench orders`, with real daemons.
+            // Leases and orders to load versions and adapters are not simulated.
             Effect::LeaseRead | Effect::LeaseWrite { .. } | Effect::Order { .. } => {}
             Effect::Log(_) | Effect::Stop => {}
         }
     }
 
-    fn admitted(&mut self, i: usize, request: RequestKey, id: RequestId) {
-        let Some((wanted, deadline_us)) = self.nodes[i].arriving.take() else {
-            return self.violated(format!("{id} was admitted without having arrived"));
+    fn on_admitted(&mut self, i: usize, request: RequestKey, id: RequestId) {
+        let Some((kind, deadline_us)) = self.nodes[i].pending_arrival.take() else {
+            return self.record_violation(format!("{id}: admitted without a submitted request"));
         };
         self.report.admitted += 1;
-        let open = Open {
+        let open = OpenRequest {
             id,
-            wanted,
+            kind,
             deadline_us,
             received: 0,
             ran: false,
         };
         self.nodes[i].requests.open.insert(request, open);
         if self.chance(4) {
-            let (boot, wait) = (self.nodes[i].boot, self.rng.random_range(0..2_000_000));
-            self.after(wait, move |w| w.feed(i, boot, Event::CallerGone(request)));
+            let (boot, wait_us) = (self.nodes[i].boot, self.rng.random_range(0..2_000_000));
+            self.schedule_after(wait_us, move |w| {
+                w.feed(i, boot, Event::CallerGone(request))
+            });
         }
     }
 
-    fn finished(
+    fn on_finished(
         &mut self,
         i: usize,
         request: RequestKey,
         result: &Result<notchwalk_decide::Completion, notchwalk_decide::Failure>,
     ) {
         let slot = &mut self.nodes[i];
-        // A paused node can't answer in time; it answers when it wakes.
-        let slack_us = SLACK_US + slot.paused_until_us.saturating_sub(self.now_us - SLACK_US);
-        let late_ok = self.now_us < slot.paused_until_us + 2 * SLACK_US;
-        let slack_us = if late_ok { u64::MAX / 4 } else { slack_us };
+        // A suspended node cannot meet deadlines; it finishes requests after it resumes.
+        let slack_us = DEADLINE_SLACK_US
+            + slot
+                .paused_until_us
+                .saturating_sub(self.now_us - DEADLINE_SLACK_US);
+        let recently_paused = self.now_us < slot.paused_until_us + 2 * DEADLINE_SLACK_US;
+        let slack_us = if recently_paused {
+            u64::MAX / 4
+        } else {
+            slack_us
+        };
         match slot.requests.finish(request, result, self.now_us, slack_us) {
             Ok(open) => {
                 if let Err(failure) = result {
                     self.report.failed += 1;
                     if failure.outcome == notchwalk_wire::OutcomeWord::NotRun {
-                        self.called_not_run.insert(open.id);
+                        self.reported_not_run.insert(open.id);
                     }
                 } else {
                     self.report.completed += 1;
                 }
                 self.closed.insert((open.id, Attempt(u16::MAX)));
             }
-            Err(what) => self.violated(what),
+            Err(violation) => self.record_violation(violation),
         }
     }
 
-    fn dispatched(&mut self, i: usize, boot: u64, dispatch: Dispatch) {
+    fn on_dispatch(&mut self, i: usize, boot: u64, dispatch: Dispatch) {
         let Some(open) = self.nodes[i].requests.open.get(&dispatch.request) else {
-            return self.violated("work was sent for a request that is over".to_owned());
+            return self.record_violation("work was dispatched for a finished request".to_owned());
         };
-        let (id, wanted) = (open.id, open.wanted.clone());
-        self.latest.insert(id, dispatch.attempt);
-        let delay = self.delay();
-        let Wanted::Answer(max_tokens) = wanted else {
-            self.after(delay, move |w| w.call(i, boot, id, dispatch));
+        let (id, kind) = (open.id, open.kind.clone());
+        self.latest_attempts.insert(id, dispatch.attempt);
+        let delay_us = self.random_delay_us();
+        let RequestKind::Completion(max_tokens) = kind else {
+            self.schedule_after(delay_us, move |w| w.start_call(i, boot, id, dispatch));
             return;
         };
         let engine = dispatch.server.0 as usize;
-        let woke_us = self.nodes[i].paused_until_us;
-        if let Some(since) = self.engines[engine].leaving_since_us {
-            let told = self.now_us.saturating_sub(since.max(woke_us));
-            if told > LEAVING_WITHIN_US {
-                self.violated(format!("{id} was sent to leaving engine {engine}"));
+        let resumed_at_us = self.nodes[i].paused_until_us;
+        if let Some(since) = self.engines[engine].draining_since_us {
+            let since_notice_us = self.now_us.saturating_sub(since.max(resumed_at_us));
+            if since_notice_us > DRAIN_NOTICE_LIMIT_US {
+                self.record_violation(format!("{id}: dispatched to draining engine {engine}"));
             }
         }
-        self.after(delay, move |w| w.accept(i, boot, id, dispatch, max_tokens));
+        self.schedule_after(delay_us, move |w| {
+            w.start_generation(i, boot, id, dispatch, max_tokens)
+        });
     }
 
-    /// After everything has healed and ended, nothing may be left over.
+    /// Checks that no requests or reservations remain after all faults have ended.
     fn check_settled(&mut self) {
         let now = Instant::from_micros(self.now_us);
         for i in 0..self.nodes.len() {
-            let overdue = self.nodes[i].requests.overdue(self.now_us, SLACK_US);
+            let overdue = self.nodes[i]
+                .requests
+                .overdue(self.now_us, DEADLINE_SLACK_US);
             if let Some(id) = overdue {
-                self.violated(format!("{id} never ended"));
+                self.record_violation(format!("{id}: never finished"));
             }
             let Some(node) = self.nodes[i].node.as_mut() else {
                 continue;
             };
             let dump = node.dump(now);
-            let mut left = Vec::new();
+            let mut remaining = Vec::new();
             if dump.open_requests > 0 || dump.queued_requests > 0 {
-                left.push(format!("node {i} has {} open requests", dump.open_requests));
+                remaining.push(format!("node {i} has {} open requests", dump.open_requests));
             }
             for s in dump.servers {
                 let sum = s.held_tokens + s.long_held_tokens + s.backlog_tokens;
                 if s.running > 0 || sum > 0 {
-                    left.push(format!(
-                        "node {i} still counts work on server {}: {s:?}",
+                    remaining.push(format!(
+                        "node {i} still has work registered on server {}: {s:?}",
                         s.id
                     ));
                 }
             }
-            for what in left {
-                self.violated(what);
+            for violation in remaining {
+                self.record_violation(violation);
             }
         }
         for engine in 0..self.engines.len() {
-            let held = self.engines[engine].held.clone();
-            if let Some((id, _)) = held.first_key_value() {
-                let n = held.len();
-                self.violated(format!(
-                    "engine {engine} still holds {n} requests, such as {id}"
+            let reservations = self.engines[engine].reservations.clone();
+            if let Some((id, _)) = reservations.first_key_value() {
+                let n = reservations.len();
+                self.record_violation(format!(
+                    "engine {engine} still has {n} reservations, including {id}"
                 ));
             }
         }
