--- a/crates/notchwalk_bundle/src/bundle.rs
+++ b/crates/notchwalk_bundle/src/bundle.rs
@@ -478,7 +478,7 @@
             policy,
             operators: self.operators,
         };
-        self.findings.or_ok(bundle)
+        self.findings.into_result(bundle)
     }
 }
 
--- a/crates/notchwalk_bundle/src/reader.rs
+++ b/crates/notchwalk_bundle/src/reader.rs
@@ -89,7 +89,7 @@
                 Some(_) => {}
             }
         }
-        self.findings.into_inner().or_ok(())
+        self.findings.into_inner().into_result(())
     }
 }
 
--- a/crates/notchwalk_core/src/finding.rs
+++ b/crates/notchwalk_core/src/finding.rs
@@ -51,7 +51,7 @@
     /// # Errors
     ///
     /// Returns the findings if there are any.
-    pub fn or_ok<T>(self, value: T) -> Result<T, Self> {
+    pub fn into_result<T>(self, value: T) -> Result<T, Self> {
         if self.0.is_empty() {
             return Ok(value);
         }
--- a/crates/notchwalk_core/src/time.rs
+++ b/crates/notchwalk_core/src/time.rs
@@ -52,11 +52,11 @@
 /// The time source of a [`Clock`].
 pub trait TimeSource: Send + Sync {
     /// Returns the time since an arbitrary origin, including time in suspension.
-    fn elapsed(&self) -> Duration;
+    fn boot_time(&self) -> Duration;
 
     /// Returns the time since an arbitrary origin, excluding time in suspension. The
     /// runtime's timers use this clock.
-    fn running(&self) -> Duration;
+    fn monotonic_time(&self) -> Duration;
 }
 
 /// The clocks of the operating system.
@@ -71,11 +71,11 @@
 }
 
 impl TimeSource for OsClock {
-    fn elapsed(&self) -> Duration {
+    fn boot_time(&self) -> Duration {
         read_clock(ClockId::Boottime)
     }
 
-    fn running(&self) -> Duration {
+    fn monotonic_time(&self) -> Duration {
         read_clock(ClockId::Monotonic)
     }
 }
@@ -99,7 +99,7 @@
     /// Creates a clock that reads `source`.
     pub fn with_source(source: Arc<dyn TimeSource>) -> Self {
         Self {
-            origin: source.elapsed(),
+            origin: source.boot_time(),
             source,
         }
     }
@@ -107,14 +107,14 @@
     /// Returns the current time.
     pub fn now(&self) -> Instant {
         const START_US: u64 = 3_600_000_000;
-        let elapsed = self.source.elapsed().saturating_sub(self.origin);
+        let elapsed = self.source.boot_time().saturating_sub(self.origin);
         Instant(START_US + elapsed.as_micros() as u64)
     }
 
     /// Returns the total time that the machine has been suspended.
-    pub fn suspended(&self) -> Duration {
-        let running = self.source.running();
-        self.source.elapsed().saturating_sub(running)
+    pub fn suspended_time(&self) -> Duration {
+        let monotonic_time = self.source.monotonic_time();
+        self.source.boot_time().saturating_sub(monotonic_time)
     }
 }
 
--- a/crates/notchwalk_daemon/src/settings.rs
+++ b/crates/notchwalk_daemon/src/settings.rs
@@ -38,7 +38,7 @@
         Err(findings) => findings,
     };
     match settings {
-        Some(settings) => findings.or_ok(settings),
+        Some(settings) => findings.into_result(settings),
         None => Err(findings),
     }
 }
--- a/crates/notchwalk_daemon/src/suspension.rs
+++ b/crates/notchwalk_daemon/src/suspension.rs
@@ -20,7 +20,7 @@
     /// Starts watching the machine of `clock`.
     pub fn new(clock: &Clock) -> Self {
         Self {
-            suspended: Cell::new(clock.suspended()),
+            suspended: Cell::new(clock.suspended_time()),
             resumes: Cell::new(0),
         }
     }
@@ -34,7 +34,7 @@
     /// connections should then be closed: the other ends may have closed them
     /// unnoticed.
     pub fn notice(&self, clock: &Clock) -> bool {
-        let suspended = clock.suspended();
+        let suspended = clock.suspended_time();
         let elapsed = suspended.saturating_sub(self.suspended.replace(suspended));
         if elapsed < MIN_SUSPENSION {
             return false;
--- a/crates/notchwalk_daemon/tests/parts.rs
+++ b/crates/notchwalk_daemon/tests/parts.rs
@@ -28,11 +28,11 @@
 }
 
 impl TimeSource for Machine {
-    fn elapsed(&self) -> Duration {
-        self.running() + *self.suspended.lock().expect("no panic")
+    fn boot_time(&self) -> Duration {
+        self.monotonic_time() + *self.suspended.lock().expect("no panic")
     }
 
-    fn running(&self) -> Duration {
+    fn monotonic_time(&self) -> Duration {
         *self.running.lock().expect("no panic")
     }
 }
--- a/crates/notchwalk_decide/src/claim.rs
+++ b/crates/notchwalk_decide/src/claim.rs
@@ -224,7 +224,7 @@
 /// Fails a call whose claim was not confirmed in time; the call is never sent.
 fn fail_unavailable(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey) {
     let facts = format!("request={}", node.requests[key].id);
-    cx.log(LogEventKind::ClaimUnknown, facts);
+    cx.log(LogEventKind::ClaimOutcomeUnknown, facts);
     attempt::fail(node, cx, key, FailureCode::StoreUnavailable, Some(2_000));
 }
 
--- a/crates/notchwalk_decide/src/membership.rs
+++ b/crates/notchwalk_decide/src/membership.rs
@@ -299,7 +299,7 @@
     }
     if revived {
         let facts = format!("vm={} boot={}", from.0, heartbeat.boot.0);
-        cx.log(LogEventKind::PeerAlive, facts);
+        cx.log(LogEventKind::PeerReachable, facts);
     }
     apply_last_seen(node, cx.now, from, &heartbeat.heard);
     apply_served(node, from, &heartbeat.served);
--- a/crates/notchwalk_decide/src/node.rs
+++ b/crates/notchwalk_decide/src/node.rs
@@ -232,7 +232,7 @@
         let version = bundle.version;
         if !self.catalog.apply(bundle) {
             cx.log(
-                LogEventKind::BundleRefused,
+                LogEventKind::BundleRejected,
                 format!("version={version} reason=not-newer"),
             );
             return;
@@ -243,7 +243,7 @@
         credit::recount_demand(self);
         schedule::refresh_loaded(self);
         self.schedule.capacity_changed();
-        cx.log(LogEventKind::BundleInForce, format!("version={version}"));
+        cx.log(LogEventKind::BundleActivated, format!("version={version}"));
     }
 
     /// Returns the refusal that applies to any request of the workspace, so
--- a/crates/notchwalk_decide/src/schedule.rs
+++ b/crates/notchwalk_decide/src/schedule.rs
@@ -335,6 +335,6 @@
     if !server.draining {
         server.draining = true;
         let facts = format!("server={}", server.id.0);
-        cx.log(LogEventKind::ServerLeaving, facts);
+        cx.log(LogEventKind::ServerDraining, facts);
     }
 }
--- a/crates/notchwalk_decide/src/sweep.rs
+++ b/crates/notchwalk_decide/src/sweep.rs
@@ -147,7 +147,7 @@
             "server={} request={} tokens={}",
             server.0, holding.request, holding.tokens
         );
-        cx.log(LogEventKind::MemorySwept, facts);
+        cx.log(LogEventKind::MemoryReclaimed, facts);
         cancel(node, cx, key, holding.request, holding.attempt);
     }
 }
--- a/crates/notchwalk_relay/src/config_watch.rs
+++ b/crates/notchwalk_relay/src/config_watch.rs
@@ -45,13 +45,13 @@
         self.shell.limits.set(site.limits);
         self.shell.metrics.config_version.set(site.version as i64);
         self.shell.step(Event::Configured(site));
-        LogEvent::new(LogEventKind::ConfigInForce, facts).emit();
+        LogEvent::new(LogEventKind::ConfigActivated, facts).emit();
     }
 }
 
 fn log_refused(version: u64, reason: &str) {
     let facts = format!("version={version} reason={reason:?}");
-    LogEvent::new(LogEventKind::ConfigRefused, facts).emit();
+    LogEvent::new(LogEventKind::ConfigRejected, facts).emit();
 }
 
 impl TableReader for ConfigReader {
--- a/crates/notchwalk_relay/src/peer_link.rs
+++ b/crates/notchwalk_relay/src/peer_link.rs
@@ -301,7 +301,7 @@
             Ok(message) => handle_message(&shell, from, message),
             Err(e) => {
                 let facts = format!("from={from} reason={e:?}");
-                LogEvent::new(LogEventKind::PeerGarbage, facts).emit();
+                LogEvent::new(LogEventKind::PeerFrameInvalid, facts).emit();
             }
         }
     }
@@ -332,7 +332,7 @@
     }
     if let Some(name) = update.appeared {
         let facts = format!("entry={name} boot={boot}");
-        LogEvent::new(LogEventKind::PeerAlive, facts).emit();
+        LogEvent::new(LogEventKind::PeerReachable, facts).emit();
     }
     if update.restarted {
         shell.step(Event::PeerUnreachable { peer: number });
--- a/crates/notchwalk_relay/src/presence.rs
+++ b/crates/notchwalk_relay/src/presence.rs
@@ -49,7 +49,7 @@
         backoff.wait().await;
     }
     let facts = format!("name={} boot={}", record.name, record.boot);
-    LogEvent::new(LogEventKind::PresenceWritten, facts).emit();
+    LogEvent::new(LogEventKind::NodeRegistered, facts).emit();
 }
 
 /// Removes this node's record before exit. Makes one attempt; peers detect an
--- a/crates/notchwalk_relay/src/server_notices.rs
+++ b/crates/notchwalk_relay/src/server_notices.rs
@@ -141,7 +141,7 @@
         "server={} reason={reason:?} {applied}",
         instance_name(shell, server)
     );
-    LogEvent::new(LogEventKind::ServerWordFaulty, facts).emit();
+    LogEvent::new(LogEventKind::ServerNoticeInvalid, facts).emit();
 }
 
 /// Logs a notice that is new to this node.
@@ -157,11 +157,11 @@
             let stage = router.fleet().get(server).map(|known| known.record.stage);
             let running = router.load_view().load(server, shell.now()).occupied();
             let facts = format!("by_peer={reported_by_peer} record={stage:?} running={running}");
-            (LogEventKind::ServerSaysLeaving, facts)
+            (LogEventKind::ServerAnnouncedDraining, facts)
         }
         ServerNotice::BackOff(time) => {
             let facts = format!("for_ms={}", time.as_millis());
-            (LogEventKind::ServerWantsNothing, facts)
+            (LogEventKind::ServerRequestedBackOff, facts)
         }
         ServerNotice::Limit {
             limit,
@@ -172,11 +172,11 @@
                 Some(limit) => {
                     let facts =
                         format!("by_peer={reported_by_peer} per_second={limit} asked_ms={age}");
-                    (LogEventKind::ServerLimited, facts)
+                    (LogEventKind::ServerLimitAnnounced, facts)
                 }
                 None => {
                     let facts = format!("by_peer={reported_by_peer} asked_ms={age}");
-                    (LogEventKind::ServerLimitEnded, facts)
+                    (LogEventKind::ServerLimitLifted, facts)
                 }
             }
         }
@@ -200,7 +200,7 @@
         known.limit_users(now),
         known.sent()
     );
-    LogEvent::new(LogEventKind::ServerLimitUsedUp, facts).emit();
+    LogEvent::new(LogEventKind::ServerLimitExhausted, facts).emit();
 }
 
 fn instance_name(shell: &Shell, server: ServerKey) -> String {
--- a/crates/notchwalk_relay/src/server_watch.rs
+++ b/crates/notchwalk_relay/src/server_watch.rs
@@ -68,7 +68,7 @@
             Ok(record) => Some(record),
             Err(reason) => {
                 let facts = format!("server={} reason={reason:?}", row.key);
-                LogEvent::new(LogEventKind::ServerRecordFaulty, facts).emit();
+                LogEvent::new(LogEventKind::ServerRecordInvalid, facts).emit();
                 None
             }
         }
@@ -145,7 +145,7 @@
         self.missing.remove(instance);
         self.known.remove(instance);
         let facts = format!("server={instance}");
-        LogEvent::new(LogEventKind::ServerGone, facts).emit();
+        LogEvent::new(LogEventKind::ServerDeregistered, facts).emit();
         let change = ServerChange::Removed(instance.to_owned());
         self.shell.step(Event::Servers(change));
     }
--- a/crates/notchwalk_relay/src/store_repair.rs
+++ b/crates/notchwalk_relay/src/store_repair.rs
@@ -42,7 +42,7 @@
     presence::write_record(shell).await;
     let quarantines = write_quarantines(shell).await;
     let facts = format!("record=true quarantines={quarantines}");
-    LogEvent::new(LogEventKind::WrittenAgain, facts).emit();
+    LogEvent::new(LogEventKind::RecordsRewritten, facts).emit();
 }
 
 /// Writes the quarantines missing from the store; returns their number.
--- a/crates/notchwalk_relay/src/table_watch.rs
+++ b/crates/notchwalk_relay/src/table_watch.rs
@@ -296,7 +296,7 @@
             self.reader.table(),
             outage.as_millis()
         );
-        LogEvent::new(LogEventKind::StoreRegained, facts).emit();
+        LogEvent::new(LogEventKind::StoreRecovered, facts).emit();
         self.set_up(1);
     }
 
@@ -311,7 +311,7 @@
             self.shell.now().since(poll.at).as_millis(),
             self.shell.store.received_bytes() - poll.received_before
         );
-        LogEvent::new(LogEventKind::QuestionGivenUp, facts).emit();
+        LogEvent::new(LogEventKind::ChangePollAbandoned, facts).emit();
     }
 
     fn count_poll(&self, end: &str) {
@@ -332,7 +332,7 @@
             self.reader.table(),
             error.to_string()
         );
-        LogEvent::new(LogEventKind::StoreLost, facts).emit();
+        LogEvent::new(LogEventKind::StoreUnavailable, facts).emit();
         self.set_up(0);
     }
 
@@ -402,7 +402,7 @@
             Err(FeedError::HistoryGone) => {
                 let table = watch.reader.table();
                 let facts = format!("table={table}");
-                LogEvent::new(LogEventKind::HistoryGone, facts).emit();
+                LogEvent::new(LogEventKind::ChangeHistoryExpired, facts).emit();
             }
             Err(e) => {
                 watch.record_failure(&e);
--- a/crates/notchwalkd/src/bundle_watch.rs
+++ b/crates/notchwalkd/src/bundle_watch.rs
@@ -23,13 +23,13 @@
         match refresh(&shell, &mut rejected_manifest).await {
             Ok(()) if is_unavailable => {
                 is_unavailable = false;
-                LogEvent::new(LogEventKind::PlatformUp, "service=table").emit();
+                LogEvent::new(LogEventKind::PlatformRecovered, "service=table").emit();
             }
             Ok(()) => {}
             Err(e) => {
                 if !std::mem::replace(&mut is_unavailable, true) {
                     let facts = format!("service=table error={e}");
-                    LogEvent::new(LogEventKind::PlatformDown, facts).emit();
+                    LogEvent::new(LogEventKind::PlatformCallFailed, facts).emit();
                 }
                 request_from_peer(&shell);
             }
@@ -77,7 +77,7 @@
 
 fn log_rejection(version: u64, error: &BundleError) {
     let facts = format!("version={version} reason={error:?}");
-    LogEvent::new(LogEventKind::BundleRefused, facts).emit();
+    LogEvent::new(LogEventKind::BundleRejected, facts).emit();
 }
 
 fn activate(shell: &Rc<Shell>, bundle: Bundle, source: BundleSource) {
@@ -114,7 +114,7 @@
 /// bundle is the direct predecessor; otherwise the authenticated peer is trusted.
 pub fn apply_offer(shell: &Rc<Shell>, from: VmId, text: &str) {
     let Ok(source) = serde_json::from_str::<BundleSource>(text) else {
-        LogEvent::new(LogEventKind::PeerGarbage, format!("vm={}", from.0)).emit();
+        LogEvent::new(LogEventKind::PeerFrameInvalid, format!("vm={}", from.0)).emit();
         return;
     };
     let version = source.manifest.version;
--- a/crates/notchwalkd/src/peer_link.rs
+++ b/crates/notchwalkd/src/peer_link.rs
@@ -176,7 +176,7 @@
         let payload = peer_auth::open(&session, sequence, &data);
         let message = payload.and_then(|p| from_cbor::<PeerMessage>(p).ok());
         let Some(message) = message else {
-            LogEvent::new(LogEventKind::PeerGarbage, format!("vm={}", vm.0)).emit();
+            LogEvent::new(LogEventKind::PeerFrameInvalid, format!("vm={}", vm.0)).emit();
             return;
         };
         sequence += 1;
--- a/crates/notchwalkd/src/vm_watch.rs
+++ b/crates/notchwalkd/src/vm_watch.rs
@@ -27,14 +27,14 @@
         match shell.platform.vms().await {
             Ok(records) => {
                 if std::mem::take(&mut is_unavailable) {
-                    LogEvent::new(LogEventKind::PlatformUp, "service=vm-list").emit();
+                    LogEvent::new(LogEventKind::PlatformRecovered, "service=vm-list").emit();
                 }
                 seen_servers |= apply_vm_list(&shell, &polled, records);
             }
             Err(e) if !is_unavailable => {
                 is_unavailable = true;
                 let facts = format!("service=vm-list error={e:?}");
-                LogEvent::new(LogEventKind::PlatformDown, facts).emit();
+                LogEvent::new(LogEventKind::PlatformCallFailed, facts).emit();
             }
             Err(_) => {}
         }
