--- a/crates/notchwalk_daemon/src/metrics.rs
+++ b/crates/notchwalk_daemon/src/metrics.rs
@@ -45,7 +45,7 @@
     }
 
     /// Adds a floating-point gauge.
-    pub fn fraction(&self, name: &str, help: &str) -> Gauge {
+    pub fn float_gauge(&self, name: &str, help: &str) -> Gauge {
         self.register(Gauge::new(name, help))
     }
 
@@ -67,7 +67,7 @@
     }
 
     /// Returns all metrics in the Prometheus text format.
-    pub fn text(&self) -> String {
+    pub fn encode(&self) -> String {
         let mut buf = Vec::new();
         if let Err(e) = TextEncoder::new().encode(&self.registry.gather(), &mut buf) {
             return format!("# {e}\n");
--- a/crates/notchwalk_daemon/src/process.rs
+++ b/crates/notchwalk_daemon/src/process.rs
@@ -63,12 +63,12 @@
     }
 
     /// Returns whether a graceful shutdown was requested.
-    pub fn stops(&self) -> bool {
+    pub fn stop_requested(&self) -> bool {
         self.stop.load(Ordering::Relaxed)
     }
 
     /// Returns whether the daemon is to stop immediately.
-    pub fn kills(&self) -> bool {
+    pub fn kill_requested(&self) -> bool {
         self.kill.load(Ordering::Relaxed)
     }
 
--- a/crates/notchwalk_daemon/src/suspension.rs
+++ b/crates/notchwalk_daemon/src/suspension.rs
@@ -13,7 +13,7 @@
 pub struct SuspensionWatch {
     /// The total suspended time at the last check.
     suspended: Cell<Duration>,
-    resumes: Cell<u64>,
+    resume_count: Cell<u64>,
 }
 
 impl SuspensionWatch {
@@ -21,25 +21,25 @@
     pub fn new(clock: &Clock) -> Self {
         Self {
             suspended: Cell::new(clock.suspended_time()),
-            resumes: Cell::new(0),
+            resume_count: Cell::new(0),
         }
     }
 
     /// Returns how often the machine resumed from a suspension so far.
-    pub fn resumes(&self) -> u64 {
-        self.resumes.get()
+    pub fn resume_count(&self) -> u64 {
+        self.resume_count.get()
     }
 
     /// Returns whether the machine was suspended since the last call, and logs it. Idle
     /// connections should then be closed: the other ends may have closed them
     /// unnoticed.
-    pub fn notice(&self, clock: &Clock) -> bool {
+    pub fn check(&self, clock: &Clock) -> bool {
         let suspended = clock.suspended_time();
         let elapsed = suspended.saturating_sub(self.suspended.replace(suspended));
         if elapsed < MIN_SUSPENSION {
             return false;
         }
-        self.resumes.set(self.resumes.get() + 1);
+        self.resume_count.set(self.resume_count.get() + 1);
         let facts = format!("suspended_ms={}", elapsed.as_millis());
         LogEvent::new(LogEventKind::MachineResumed, facts).emit();
         true
--- a/crates/notchwalk_daemon/tests/parts.rs
+++ b/crates/notchwalk_daemon/tests/parts.rs
@@ -43,13 +43,13 @@
     let clock = Clock::with_source(Arc::new(machine.clone()));
     let watch = SuspensionWatch::new(&clock);
     machine.run(Duration::from_secs(60));
-    assert!(!watch.notice(&clock), "no suspension");
+    assert!(!watch.check(&clock), "no suspension");
     machine.suspend(Duration::from_millis(100));
-    assert!(!watch.notice(&clock), "below the detection threshold");
+    assert!(!watch.check(&clock), "below the detection threshold");
     machine.suspend(Duration::from_secs(5));
-    assert!(watch.notice(&clock));
-    assert!(!watch.notice(&clock));
-    assert_eq!(watch.resumes(), 1);
+    assert!(watch.check(&clock));
+    assert!(!watch.check(&clock));
+    assert_eq!(watch.resume_count(), 1);
 }
 
 #[test]
@@ -88,8 +88,8 @@
     set.counter_vec("b_total", "by kind", &["kind"])
         .with_label_values(&["x"])
         .inc_by(2);
-    set.fraction("c", "a fraction").set(0.5);
-    let text = set.text();
+    set.float_gauge("c", "a fraction").set(0.5);
+    let text = set.encode();
     for line in ["a_total 1", "b_total{kind=\"x\"} 2", "c 0.5"] {
         assert!(text.contains(line), "{line}: {text}");
     }
--- a/crates/notchwalk_relay/src/daemon.rs
+++ b/crates/notchwalk_relay/src/daemon.rs
@@ -194,7 +194,7 @@
             if signals.take_reload() {
                 self.reload();
             }
-            if signals.stops() && self.advance_shutdown().await {
+            if signals.stop_requested() && self.advance_shutdown().await {
                 break;
             }
         }
--- a/crates/notchwalk_relay/src/metrics.rs
+++ b/crates/notchwalk_relay/src/metrics.rs
@@ -129,8 +129,8 @@
     }
 
     /// Returns all metrics in the Prometheus text format.
-    pub fn text(&self) -> String {
-        self.set.text()
+    pub fn encode(&self) -> String {
+        self.set.encode()
     }
 }
 
--- a/crates/notchwalk_relay/src/operator.rs
+++ b/crates/notchwalk_relay/src/operator.rs
@@ -117,7 +117,7 @@
                     self.shell.metrics.quarantined.set(quarantined as i64);
                     self.shell.metrics.open_requests.set(open as i64);
                     self.update_limit_metrics();
-                    let text = self.shell.metrics.text();
+                    let text = self.shell.metrics.encode();
                     exchange.respond_text(StatusCode::OK, &text).await;
                 }
                 "/state" => exchange.respond_json(StatusCode::OK, &self.state()).await,
--- a/crates/notchwalk_relay/src/shell.rs
+++ b/crates/notchwalk_relay/src/shell.rs
@@ -126,15 +126,15 @@
     }
 
     /// Returns how often the machine resumed from a suspension so far.
-    pub fn resumes(&self) -> u64 {
-        self.suspension.resumes()
+    pub fn resume_count(&self) -> u64 {
+        self.suspension.resume_count()
     }
 
     /// Checks whether the machine was suspended. If so, idle connections are closed:
     /// the other ends may have closed them unnoticed, and a request that must run at
     /// most once would be lost on one.
     pub fn check_suspension(&self) {
-        if self.suspension.notice(&self.clock) {
+        if self.suspension.check(&self.clock) {
             self.client.forget_idle();
             self.store.renew_connections();
         }
--- a/crates/notchwalk_relay/src/table_watch.rs
+++ b/crates/notchwalk_relay/src/table_watch.rs
@@ -120,7 +120,7 @@
     /// An incomplete read of the whole table.
     partial: Option<PartialRead>,
     /// The number of resumes when the table was last known.
-    resumes: u64,
+    resume_count: u64,
 }
 
 impl<R: TableReader> Watch<R> {
@@ -256,7 +256,7 @@
 
     /// Returns whether the machine was suspended since the table was last known.
     fn was_suspended(&self) -> bool {
-        self.shell.resumes() != self.resumes
+        self.shell.resume_count() != self.resume_count
     }
 
     async fn poll_once(&mut self) -> Result<(), FeedError> {
@@ -264,7 +264,7 @@
         // The known version is stale, and no message of a peer may have arrived yet.
         if self.was_suspended() {
             self.cursor.forget();
-            self.resumes = self.shell.resumes();
+            self.resume_count = self.shell.resume_count();
         }
         // Several changes may be pending, each replacing the row.
         if self.reader.is_behind() && self.reader.has_one_row() {
@@ -355,14 +355,14 @@
     /// transit still arrives.
     const COMPARISONS: u32 = 2;
     let mut response = std::pin::pin!(response);
-    let resumes = shell.resumes();
+    let resume_count = shell.resume_count();
     let mut behind = 0;
     loop {
         monoio::select! {
             page = &mut response => return page.map(Some),
             () = monoio::time::sleep(COMPARE_INTERVAL) => {}
         }
-        if shell.resumes() != resumes {
+        if shell.resume_count() != resume_count {
             return Ok(None);
         }
         behind = if reader.is_behind() { behind + 1 } else { 0 };
@@ -393,7 +393,7 @@
         unavailable_since: None,
         polled_at: Instant::ZERO,
         partial: None,
-        resumes: 0,
+        resume_count: 0,
     };
     watch.set_up(1);
     loop {
--- a/crates/notchwalkd/src/daemon.rs
+++ b/crates/notchwalkd/src/daemon.rs
@@ -131,8 +131,8 @@
 
 async fn tick_until_stopped(shell: &Rc<Shell>, signals: &Signals) {
     let mut draining = false;
-    while !shell.is_stopped() && !signals.kills() {
-        if !draining && signals.stops() {
+    while !shell.is_stopped() && !signals.kill_requested() {
+        if !draining && signals.stop_requested() {
             draining = true;
             shell.step(Event::Drain);
         }
--- a/crates/notchwalkd/src/metrics.rs
+++ b/crates/notchwalkd/src/metrics.rs
@@ -75,13 +75,13 @@
                 "notchwalk_ready",
                 "1 if a bundle is in force and nothing drains",
             ),
-            retry_budget: set.fraction("notchwalk_retry_budget", "Retries saved up"),
+            retry_budget: set.float_gauge("notchwalk_retry_budget", "Retries saved up"),
             set,
         }
     }
 
     /// Updates all metrics and renders them in Prometheus' text format.
-    pub fn text(&self, node: &Node, traffic: Traffic) -> String {
+    pub fn encode(&self, node: &Node, traffic: Traffic) -> String {
         let c = node.counters();
         let counts = [
             c.arrived,
@@ -108,7 +108,7 @@
         self.retry_budget.set(node.retry_budget());
         self.bundle_bytes.set(traffic.bundle_bytes as i64);
         self.peer_bytes.set(traffic.peer_bytes as i64);
-        self.set.text()
+        self.set.encode()
     }
 }
 
--- a/crates/notchwalkd/src/shell.rs
+++ b/crates/notchwalkd/src/shell.rs
@@ -155,7 +155,7 @@
             peer_bytes: self.links.sent_bytes(),
             bundle_bytes: self.bundle_bytes.get(),
         };
-        self.metrics.text(&self.node.borrow(), sent)
+        self.metrics.encode(&self.node.borrow(), sent)
     }
 
     /// Calls `f` with the reducer.
@@ -178,7 +178,7 @@
     /// The remote ends may have closed them, and a call that must not be repeated
     /// would be lost on such a connection.
     pub fn check_suspension(&self) {
-        if self.suspension.notice(&self.clock) {
+        if self.suspension.check(&self.clock) {
             self.client.forget_idle();
         }
     }
