--- a/crates/notchwalk_cli/src/arguments.rs
+++ b/crates/notchwalk_cli/src/arguments.rs
@@ -1,10 +1,10 @@
-//! The arguments of all commands.
+//! The command-line arguments.
 
 use std::{net::SocketAddr, path::PathBuf};
 
 use bpaf::Bpaf;
 
-/// What stands at the end of the help.
+/// Footer of the help output.
 const EXAMPLES: &str = "Examples:
     
     notchwalk check --settings entry.ini --bundle bundle/
@@ -13,97 +13,98 @@
     notchwalk bundle propose bundle/ --platform 10.0.0.9:7000 --as amna
         --key amna.key --reason 'more for rig checks' --out change.json
     Exit codes:
-    0 done, 1 a file can't be used, 2 faulty input, 3 another operator
-    was faster, 4 the platform or a daemon did not answer";
+    0 success, 1 a file can't be read or written, 2 invalid input,
+    3 another version of the bundle was accepted first, 4 the platform
+    or a daemon failed or did not respond";
 
 /// Operates notchwalk.
 ///
 ///
-/// Settings are checked, daemons looked at, and bundles changed, reviewed and
-/// rolled out. Shell completion: `notchwalk --bpaf-complete-style-bash`, and
+/// Checks settings, shows the state of daemons, and changes, reviews and rolls
+/// out bundles. Shell completion: `notchwalk --bpaf-complete-style-bash`, and
 /// likewise for zsh, fish and elvish.
 ///
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version, footer(EXAMPLES))]
 pub enum Command {
-    /// Check a daemon's settings or a bundle's folder; all findings at once
+    /// Check a daemon's settings or a bundle's directory and report all findings
     #[bpaf(command)]
     Check {
         /// A daemon's settings file
         #[bpaf(argument("FILE"))]
         settings: Option<PathBuf>,
-        /// A folder with a bundle's parts
+        /// A directory with a bundle's parts
         #[bpaf(argument("DIR"))]
         bundle: Option<PathBuf>,
     },
-    /// Show each daemon: ready, bundle version, load, peers
+    /// Show the readiness, bundle version, load and peers of each daemon
     #[bpaf(command)]
     Status {
-        /// A daemon's operator address; may be repeated
-        #[bpaf(argument("ADDR"), some("at least one --operator is needed"))]
+        /// A daemon's operator address; can be repeated
+        #[bpaf(argument("ADDR"), some("at least one --operator is required"))]
         operator: Vec<SocketAddr>,
     },
-    /// Print a daemon's whole state as JSON
+    /// Print the complete state of a daemon as JSON
     #[bpaf(command)]
     Dump {
         /// The daemon's operator address
         #[bpaf(argument("ADDR"))]
         operator: SocketAddr,
     },
-    /// Tell a daemon to finish its work and end
+    /// Drain a daemon: it completes open requests and exits
     #[bpaf(command)]
     Drain {
         /// The daemon's operator address
         #[bpaf(argument("ADDR"))]
         operator: SocketAddr,
     },
-    /// Show the requests that servers end under, or send one to servers again
+    /// List requests suspected of crashing backend servers, or release one from quarantine
     #[bpaf(command)]
     Quarantine {
-        /// The operator address of an entry for routed requests
+        /// The operator address of a node that routes requests
         #[bpaf(argument("ADDR"))]
         operator: SocketAddr,
-        /// End the quarantine of this content, on all entries
+        /// Release this content from quarantine on all nodes
         #[bpaf(argument("CONTENT"))]
         release: Option<String>,
     },
-    /// Tell why a routed request ended as it did, out of entries' logs
+    /// Explain the outcome of a routed request from the logs of nodes
     #[bpaf(command)]
     Explain {
-        /// An entry's log; may be repeated
-        #[bpaf(argument("FILE"), some("at least one --log is needed"))]
+        /// A node's log; can be repeated
+        #[bpaf(argument("FILE"), some("at least one --log is required"))]
         log: Vec<PathBuf>,
-        /// The request's id as its caller sent it
+        /// The request id that the caller sent
         #[bpaf(positional("ID"))]
         request: String,
     },
-    /// Keys of operators and workspaces
+    /// Manage the keys of operators, workspaces and peers
     #[bpaf(command)]
     Key(#[bpaf(external(key_command))] KeyCommand),
-    /// Bundles: change, review, sign, roll out
+    /// Change, review, sign and roll out bundles
     #[bpaf(command)]
     Bundle(#[bpaf(external(bundle_command))] BundleCommand),
 }
 
-/// Commands about keys.
+/// Subcommands of `key`.
 #[derive(Clone, Debug, Bpaf)]
 pub enum KeyCommand {
-    /// Make an operator's key; prints the public key for operators.ini
+    /// Generate an operator's key pair; prints the public key for operators.ini
     #[bpaf(command)]
     New {
-        /// Where the private key is written
+        /// File to write the private key to
         #[bpaf(argument("FILE"))]
         out: PathBuf,
     },
     /// Print the hash of a workspace's key for workspaces.ini; the key is read from standard input
     #[bpaf(command)]
     Hash,
-    /// Make a key for daemons to know each other by, for their settings
+    /// Generate a key with which daemons authenticate each other, for their settings
     #[bpaf(command)]
     Peer,
 }
 
-/// Who signs.
+/// The operator who signs and the key used.
 #[derive(Clone, Debug, Bpaf)]
 pub struct Signer {
     /// The operator's name in operators.ini
@@ -114,53 +115,53 @@
     pub key: PathBuf,
 }
 
-/// Commands about bundles.
+/// Subcommands of `bundle`.
 #[derive(Clone, Debug, Bpaf)]
 pub enum BundleCommand {
-    /// Write a folder with an example of each part
+    /// Write a directory with an example of each part
     #[bpaf(command)]
     New {
-        /// The folder
+        /// The directory
         #[bpaf(positional("DIR"))]
         dir: PathBuf,
     },
-    /// Check a folder; all findings at once
+    /// Check a directory and report all findings
     #[bpaf(command)]
     Check {
-        /// The folder
+        /// The directory
         #[bpaf(positional("DIR"))]
         dir: PathBuf,
     },
-    /// Show how a folder differs from what is in force
+    /// Show the differences between the bundle in force and a directory
     #[bpaf(command)]
     Diff {
         /// The platform's address
         #[bpaf(argument("ADDR"))]
         platform: SocketAddr,
-        /// The folder
+        /// The directory
         #[bpaf(positional("DIR"))]
         dir: PathBuf,
     },
-    /// Make a proposal of a folder and sign it as its author
+    /// Create a proposal from a directory and sign it as its author
     #[bpaf(command)]
     Propose {
         /// The platform's address
         #[bpaf(argument("ADDR"))]
         platform: SocketAddr,
-        /// Who signs
+        /// The operator who signs
         #[bpaf(external)]
         signer: Signer,
-        /// Why the change is made
+        /// Reason for the change
         #[bpaf(argument("TEXT"))]
         reason: String,
-        /// Where the proposal is written
+        /// File to write the proposal to
         #[bpaf(argument("FILE"))]
         out: PathBuf,
-        /// The folder
+        /// The directory
         #[bpaf(positional("DIR"))]
         dir: PathBuf,
     },
-    /// Show a proposal: who signed, why, and what changes
+    /// Show the signatures, reason and changes of a proposal
     #[bpaf(command)]
     Review {
         /// The platform's address
@@ -173,14 +174,14 @@
     /// Sign a proposal as its reviewer
     #[bpaf(command)]
     Sign {
-        /// Who signs
+        /// The operator who signs
         #[bpaf(external)]
         signer: Signer,
         /// The proposal
         #[bpaf(positional("FILE"))]
         proposal: PathBuf,
     },
-    /// Bring a signed proposal into force; safe to repeat
+    /// Submit a signed proposal; safe to repeat
     #[bpaf(command)]
     Submit {
         /// The platform's address
@@ -190,39 +191,39 @@
         #[bpaf(positional("FILE"))]
         proposal: PathBuf,
     },
-    /// List the versions, the newest first
+    /// List versions, newest first
     #[bpaf(command)]
     History {
         /// The platform's address
         #[bpaf(argument("ADDR"))]
         platform: SocketAddr,
-        /// How many at the most
+        /// Maximum number of versions
         #[bpaf(argument("N"), fallback(20))]
         most: usize,
     },
-    /// Make a proposal with the content of an earlier version; the version still rises
+    /// Create a proposal with the content of an earlier version, as a new version
     #[bpaf(command)]
     Rollback {
         /// The platform's address
         #[bpaf(argument("ADDR"))]
         platform: SocketAddr,
-        /// Who signs
+        /// The operator who signs
         #[bpaf(external)]
         signer: Signer,
-        /// Where the proposal is written
+        /// File to write the proposal to
         #[bpaf(argument("FILE"))]
         out: PathBuf,
-        /// The version whose content comes back
+        /// The version whose content is restored
         #[bpaf(positional("VERSION"))]
         version: u64,
     },
-    /// Show which version is in force where
+    /// Show the version in force on the platform and on each daemon
     #[bpaf(command)]
     Status {
         /// The platform's address
         #[bpaf(argument("ADDR"))]
         platform: SocketAddr,
-        /// A daemon's operator address; may be repeated
+        /// A daemon's operator address; can be repeated
         #[bpaf(argument("ADDR"), many)]
         operator: Vec<SocketAddr>,
     },
--- a/crates/notchwalk_cli/src/bundles.rs
+++ b/crates/notchwalk_cli/src/bundles.rs
@@ -1,4 +1,4 @@
-//! Commands about bundles.
+//! `notchwalk bundle`.
 
 use std::{net::SocketAddr, path::Path};
 
@@ -18,25 +18,25 @@
     state::{read_dump, table},
 };
 
-/// Lines around a change that are shown with it.
+/// Context lines shown around each change in a diff.
 const CONTEXT_LINES: usize = 2;
 
-fn platform_at(addr: SocketAddr) -> HttpPlatform {
+fn platform_client(addr: SocketAddr) -> HttpPlatform {
     HttpPlatform::new(Client::new(), addr)
 }
 
-/// Runs a command.
+/// Runs a subcommand.
 ///
 /// # Errors
 ///
-/// Says what is wrong with the input, or who did not answer.
+/// Fails if the input is invalid or the platform or a daemon does not respond.
 pub async fn run(command: BundleCommand) -> Result<(), CliError> {
     match command {
         BundleCommand::New { dir } => write_example(&dir),
         BundleCommand::Check { dir } => settings::check(None, Some(&dir)),
         BundleCommand::Diff { platform, dir } => {
             let parts = read_parts(&dir)?;
-            let in_force = in_force(&platform_at(platform)).await?;
+            let in_force = in_force(&platform_client(platform)).await?;
             print_diff(in_force.as_ref().map(|(_, b)| &b.parts[..]), &parts);
             Ok(())
         }
@@ -48,11 +48,11 @@
             dir,
         } => {
             let parts = read_parts(&dir)?;
-            let head = fetch_head(&platform_at(platform)).await?;
+            let head = fetch_head(&platform_client(platform)).await?;
             propose(head, &reason, parts, &signer, &out)
         }
         BundleCommand::Review { platform, proposal } => {
-            review(&platform_at(platform), &proposal).await
+            review(&platform_client(platform), &proposal).await
         }
         BundleCommand::Sign { signer, proposal } => {
             let mut change = Proposal::load(&proposal)?;
@@ -68,26 +68,28 @@
         }
         BundleCommand::Submit { platform, proposal } => {
             let change = Proposal::load(&proposal)?;
-            let platform = platform_at(platform);
+            let platform = platform_client(platform);
             let head = submit(&platform, &change.manifest, &change.parts).await?;
-            println!("version {} is accepted", head.version);
+            println!("version {} accepted", head.version);
             Ok(())
         }
-        BundleCommand::History { platform, most } => history(&platform_at(platform), most).await,
+        BundleCommand::History { platform, most } => {
+            history(&platform_client(platform), most).await
+        }
         BundleCommand::Rollback {
             platform,
             signer,
             out,
             version,
         } => {
-            let platform = platform_at(platform);
+            let platform = platform_client(platform);
             let head = fetch_head(&platform).await?;
             let old = find_version(&platform, head.as_ref(), version).await?;
             let reason = format!("back to the content of version {version}");
             propose(head, &reason, old.parts, &signer, &out)
         }
         BundleCommand::Status { platform, operator } => {
-            status(&platform_at(platform), &operator).await
+            status(&platform_client(platform), &operator).await
         }
     }
 }
@@ -106,7 +108,7 @@
     for (name, text) in PART_NAMES.into_iter().zip(EXAMPLES) {
         let path = dir.join(name.file_name());
         if path.exists() {
-            println!("{} stands already; left alone", path.display());
+            println!("{}: exists; not overwritten", path.display());
             continue;
         }
         std::fs::write(&path, text).map_err(CliError::file(&path))?;
@@ -139,7 +141,7 @@
     proposal.save(out)?;
     let version = proposal.manifest.version;
     println!(
-        "{}: version {version}, to be signed by a reviewer",
+        "{}: proposal of version {version}; a reviewer must sign it before it is submitted",
         out.display()
     );
     Ok(())
@@ -151,7 +153,7 @@
     print_manifest(&proposal.manifest);
     let version = in_force.as_ref().map_or(0, |(head, _)| head.version);
     if proposal.manifest.version != version + 1 {
-        println!("version {version} is in force now: this proposal would be refused");
+        println!("version {version} is now in force: this proposal would be rejected");
     }
     print_diff(
         in_force.as_ref().map(|(_, b)| &b.parts[..]),
@@ -186,7 +188,7 @@
         print!("{unified}");
     }
     if !changed {
-        println!("nothing differs from what is in force");
+        println!("no differences from the bundle in force");
     }
 }
 
@@ -211,13 +213,13 @@
     Ok(())
 }
 
-/// Follows the chain of manifests back to a version.
+/// Fetches a version by following the chain of manifests back from the head.
 async fn find_version(
     platform: &HttpPlatform,
     head: Option<&BundleHead>,
     version: u64,
 ) -> Result<FetchedBundle, CliError> {
-    let missing = || CliError::Input(format!("there is no version {version}"));
+    let missing = || CliError::Input(format!("no bundle version {version}"));
     let mut digest = head.ok_or_else(missing)?.manifest.clone();
     while !digest.is_empty() {
         let manifest = fetch_manifest(platform, &digest).await?;
@@ -232,9 +234,9 @@
 async fn status(platform: &HttpPlatform, operators: &[SocketAddr]) -> Result<(), CliError> {
     match fetch_head(platform).await? {
         Some(head) => println!("accepted: version {}", head.version),
-        None => println!("accepted: none yet"),
+        None => println!("accepted: no version"),
     }
-    let mut table = table(&["operator address", "vm", "in force", "for"]);
+    let mut table = table(&["operator address", "vm", "in force", "age"]);
     for operator in operators {
         let row = match read_dump(*operator).await {
             Ok(dump) => [
--- a/crates/notchwalk_cli/src/error.rs
+++ b/crates/notchwalk_cli/src/error.rs
@@ -1,4 +1,4 @@
-//! What a command can fail with, and the exit code of each.
+//! Errors of commands and their exit codes.
 
 use std::{io, path::Path};
 
@@ -12,28 +12,28 @@
 /// A failed command.
 #[derive(Debug, Display, Error, From)]
 pub enum CliError {
-    /// The input has faults.
+    /// The input is invalid.
     #[display("{_0}")]
     Findings(Findings),
-    /// A bundle has faults or lacks signatures.
+    /// A bundle is invalid or lacks signatures.
     #[display("{_0}")]
     Bundle(BundleError),
-    /// A settings file can't be used.
+    /// A settings file is invalid.
     #[display("{_0}")]
     Settings(DaemonError),
     /// A bundle was not accepted.
     #[display("{_0}")]
     Submit(SubmitError),
-    /// The platform failed.
+    /// A call to the platform failed.
     #[display("{_0}")]
     Platform(PlatformError),
-    /// A daemon did not answer.
-    #[display("{address}: {source}")]
+    /// A call to a daemon failed.
+    #[display("daemon {address}: {source}")]
     #[from(ignore)]
     Daemon {
         /// The daemon's operator address.
         address: String,
-        /// Why.
+        /// The cause.
         source: HttpError,
     },
     /// A file can't be read or written.
@@ -42,23 +42,23 @@
     File {
         /// The file.
         path: String,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
-    /// Something given doesn't make sense.
+    /// An argument, or data that was read, is invalid.
     #[display("{_0}")]
     #[from(ignore)]
     Input(#[error(not(source))] String),
 }
 
 impl CliError {
-    /// Wraps a file's error.
+    /// Returns a function that wraps the I/O error of `path`.
     pub fn file(path: &Path) -> impl FnOnce(io::Error) -> Self {
         let path = path.display().to_string();
         move |source| Self::File { path, source }
     }
 
-    /// Returns the process's exit code.
+    /// Returns the exit code of the process.
     pub fn exit_code(&self) -> u8 {
         match self {
             Self::Findings(_) | Self::Bundle(_) | Self::Settings(_) | Self::Input(_) => 2,
--- a/crates/notchwalk_cli/src/explain/log_line.rs
+++ b/crates/notchwalk_cli/src/explain/log_line.rs
@@ -1,20 +1,20 @@
-//! One line of an entry's log.
+//! One line of a node's log.
 
 use std::collections::HashMap;
 
-/// A numbered event as it stands in a log. What a collector puts before it, a time or
-/// a name, is kept as it is.
+/// A log line with a numbered event. A prefix added by a log collector, such as a
+/// timestamp or a host name, is kept in `text`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogLine {
-    /// The event's number in the catalogue.
+    /// The event number.
     pub event: u16,
-    /// The line as it stands.
+    /// The line without surrounding whitespace.
     pub text: String,
     facts: HashMap<String, String>,
 }
 
 impl LogLine {
-    /// Reads a line; `None` if it holds no numbered event.
+    /// Parses a line; returns `None` if it contains no numbered event.
     pub fn parse(text: &str) -> Option<Self> {
         let is_number = |word: &str| word.len() == 6 && word.starts_with("NW");
         let number = text.split_whitespace().find(|word| is_number(word))?;
@@ -23,18 +23,18 @@
         Some(Self {
             event,
             text: text.trim().to_owned(),
-            facts: facts(&text[after..]),
+            facts: parse_facts(&text[after..]),
         })
     }
 
-    /// Returns a fact.
+    /// Returns the value of a `key=value` pair after the event number.
     pub fn fact(&self, name: &str) -> Option<&str> {
         self.facts.get(name).map(String::as_str)
     }
 }
 
-/// Reads `key=value` pairs; a value in quotes may hold blanks.
-fn facts(text: &str) -> HashMap<String, String> {
+/// Parses `key=value` pairs; quoted values can contain spaces.
+fn parse_facts(text: &str) -> HashMap<String, String> {
     let mut facts = HashMap::new();
     let mut rest = text;
     while let Some(equals) = rest.find('=') {
--- a/crates/notchwalk_cli/src/explain/mod.rs
+++ b/crates/notchwalk_cli/src/explain/mod.rs
@@ -1,49 +1,49 @@
-//! Why a request ended as it did, out of the logs of entries.
+//! `notchwalk explain`: explains the outcome of a request from the logs of nodes.
 //!
-//! | file | what it holds |
+//! | file | contents |
 //! |---|---|
-//! | `log_line` | one numbered event |
-//! | `story` | the lines that concern a request, and the cause they tell |
+//! | `log_line` | a log line with a numbered event |
+//! | `request_log` | the log lines relevant to a request, and the cause of its outcome |
 
 mod log_line;
-mod story;
+mod request_log;
 
 use std::path::{Path, PathBuf};
 
 use crate::error::CliError;
 
 pub use log_line::LogLine;
-pub use story::Story;
+pub use request_log::RequestLog;
 
-/// Prints what the logs say of a request. A caller's retry has an id of its own, and may
-/// go to another entry: each try is explained by its id.
+/// Prints the log lines relevant to a request and the cause of its outcome. A retry by the
+/// caller has its own id and can go to another node: each attempt is explained by its id.
 ///
 /// # Errors
 ///
-/// Fails if a log can't be read, and if none names the request.
+/// Fails if a log can't be read or none contains the request.
 pub fn run(request: &str, logs: &[PathBuf]) -> Result<(), CliError> {
-    let mut is_named = false;
+    let mut found = false;
     for path in logs {
         let log = read(path)?;
-        let Some(story) = Story::of(request, &log) else {
+        let Some(request_log) = RequestLog::for_request(request, &log) else {
             continue;
         };
-        is_named = true;
+        found = true;
         println!("{}:", path.display());
-        for (at, line) in &story.lines {
-            println!("  {at:>7}  {}", line.text);
+        for (number, line) in &request_log.lines {
+            println!("  {number:>7}  {}", line.text);
         }
-        println!("  {}", story.cause());
+        println!("  {}", request_log.cause());
     }
-    match is_named {
+    match found {
         true => Ok(()),
         false => Err(CliError::Input(format!(
-            "no line of these logs names the request {request:?}"
+            "request {request:?} not found in these logs; other nodes may have logged it"
         ))),
     }
 }
 
-/// Reads a log; bytes that are no text are passed over.
+/// Reads a log; replaces bytes that are not UTF-8.
 fn read(path: &Path) -> Result<String, CliError> {
     let bytes = std::fs::read(path).map_err(CliError::file(path))?;
     Ok(String::from_utf8_lossy(&bytes).into_owned())
--- /dev/null
+++ b/crates/notchwalk_cli/src/explain/request_log.rs
@@ -0,0 +1,154 @@
+//! The log lines of one request and of the servers it was sent to.
+
+use std::collections::{HashSet, VecDeque};
+
+use super::log_line::LogLine;
+
+/// Maximum number of lines shown for one server, content or limit; the latest are shown.
+const MAX_CONTEXT_LINES: usize = 3;
+
+/// Events of servers that can affect a request.
+const SERVER_EVENTS: [u16; 9] = [4002, 4101, 4102, 4103, 4104, 4105, 4106, 4107, 4108];
+/// Events of limits, which affect requests that were sent to no server.
+const LIMIT_EVENTS: [u16; 3] = [4106, 4107, 4108];
+/// Events of request contents that are suspected of crashing servers.
+const CONTENT_EVENTS: [u16; 3] = [5201, 5202, 5203];
+
+/// The lines of one log that are relevant to a request, in log order.
+#[derive(Clone, Debug, Default)]
+pub struct RequestLog {
+    /// The lines with their line numbers in the log, from 1.
+    pub lines: Vec<(usize, LogLine)>,
+    /// The line with the outcome of the request, if the log contains it.
+    pub end: Option<LogLine>,
+}
+
+impl RequestLog {
+    /// Collects the lines relevant to a request; returns `None` if the log does not contain
+    /// the request.
+    pub fn for_request(request: &str, log: &str) -> Option<Self> {
+        let lines = log.lines().enumerate();
+        let lines = lines.filter_map(|(number, text)| Some((number + 1, LogLine::parse(text)?)));
+        let lines: Vec<(usize, LogLine)> = lines.collect();
+        let is_own = |line: &LogLine| line.fact("request") == Some(request);
+        let last = lines.iter().rposition(|(_, line)| is_own(line))?;
+        let lines_to_end = &lines[..=last];
+        let own = || lines_to_end.iter().filter(|(_, line)| is_own(line));
+        let named = |name| -> HashSet<&str> { own().filter_map(|(_, l)| l.fact(name)).collect() };
+        let (servers, contents) = (named("server"), named("content"));
+        let mut shown: HashSet<usize> = own().map(|(number, _)| *number).collect();
+        for server in servers {
+            let is_match = |line: &LogLine| line.fact("server") == Some(server);
+            shown.extend(latest(lines_to_end, &SERVER_EVENTS, is_match));
+        }
+        for content in contents {
+            let is_match = |line: &LogLine| line.fact("content") == Some(content);
+            shown.extend(latest(lines_to_end, &CONTENT_EVENTS, is_match));
+        }
+        let is_end = |line: &LogLine| matches!(line.event, 5103 | 5104);
+        let end = own().map(|(_, line)| line).rfind(|line| is_end(line));
+        let end = end.cloned();
+        if end.as_ref().and_then(|end| end.fact("outcome")) == Some("limited") {
+            shown.extend(latest(lines_to_end, &LIMIT_EVENTS, |_| true));
+        }
+        let lines = lines_to_end
+            .iter()
+            .filter(|(number, _)| shown.contains(number));
+        Some(Self {
+            lines: lines.cloned().collect(),
+            end,
+        })
+    }
+
+    /// Returns one sentence that explains the outcome of the request.
+    pub fn cause(&self) -> String {
+        let Some(end) = &self.end else {
+            return "The log contains no outcome: it ends before the request, or lines were dropped \
+                    (NW1007)."
+                .to_owned();
+        };
+        if end.event == 5104 {
+            let reason = end.fact("reason").unwrap_or("no reason logged");
+            return format!("The request was not accepted: {reason}.");
+        }
+        let outcome = end.fact("outcome").unwrap_or("");
+        let sends = end.fact("sends").unwrap_or("?");
+        match outcome {
+            "delivered" => self.delivered_cause(end),
+            "caller_left" => "The caller disconnected before the response was complete.".to_owned(),
+            "broken_off" => format!("The response stream broke and was truncated; sends: {sends}."),
+            "not_ready" => "The node had no configuration yet.".to_owned(),
+            "draining" => "The node had been draining for more than three seconds.".to_owned(),
+            "no_server" => {
+                "No server of the service was available: removed, draining (NW4103), with an \
+                 open circuit (NW4002), or backing off (NW4104)."
+                    .to_owned()
+            }
+            "limited" => {
+                "Its servers report rate limits (NW4106), and these were used up; Retry-After \
+                 gave the time until a request would be allowed."
+                    .to_owned()
+            }
+            "overloaded" => {
+                "No engine could complete the prefill within the caller timeout.".to_owned()
+            }
+            "not_run" => format!("Servers rejected the request before running it; sends: {sends}."),
+            "unknown" => format!(
+                "The request may have run: its last send ended without a complete response; \
+                 sends: {sends}."
+            ),
+            "timed_out" => format!("The request timed out; sends: {sends}."),
+            "suspected" => {
+                "Its content is suspected of crashing servers, but this was not confirmed yet."
+                    .to_owned()
+            }
+            "quarantined" => {
+                "Its content is quarantined: servers that ran it crashed (NW5202).".to_owned()
+            }
+            other => format!("The outcome {other:?} is not known to this version of notchwalk."),
+        }
+    }
+
+    /// Explains where the time of a delivered response was spent.
+    fn delivered_cause(&self, end: &LogLine) -> String {
+        let number = |line: &LogLine, name: &str| -> u64 {
+            let text = line.fact(name).unwrap_or("");
+            text.parse().unwrap_or(0)
+        };
+        if end.fact("first_ms") == Some("-1") {
+            return "An error response of the server itself was delivered (NW5102 end=failed)."
+                .to_owned();
+        }
+        let (sends, first_ms) = (number(end, "sends"), number(end, "first_ms"));
+        let sent = self.lines.iter().map(|(_, line)| line);
+        let waited_ms = sent
+            .map(|line| number(line, "waited_ms"))
+            .max()
+            .unwrap_or(0);
+        let inter_token_ms = number(end, "longest_pause_ms");
+        format!(
+            "The response was delivered; sends: {sends}, first event after {first_ms} ms, of which \
+             {waited_ms} ms in this node's queue; longest inter-token latency {inter_token_ms} ms."
+        )
+    }
+}
+
+/// Returns the numbers of the latest lines with one of these events for which `matches`
+/// returns `true`.
+fn latest(
+    lines: &[(usize, LogLine)],
+    events: &[u16],
+    matches: impl Fn(&LogLine) -> bool,
+) -> VecDeque<usize> {
+    let mut latest = VecDeque::new();
+    for (number, line) in lines {
+        if !events.contains(&line.event) || !matches(line) {
+            continue;
+        }
+        latest.push_back(*number);
+        if latest.len() > MAX_CONTEXT_LINES {
+            latest.pop_front();
+        }
+    }
+    latest
+}
--- a/crates/notchwalk_cli/src/keys.rs
+++ b/crates/notchwalk_cli/src/keys.rs
@@ -1,4 +1,4 @@
-//! Commands about keys.
+//! `notchwalk key`.
 
 use std::{
     io::{Read, Write},
@@ -10,11 +10,11 @@
 
 use crate::{arguments::KeyCommand, error::CliError};
 
-/// Runs a command.
+/// Runs a subcommand.
 ///
 /// # Errors
 ///
-/// Fails if a file can't be written or standard input can't be read.
+/// Fails if a file can't be written, or standard input can't be read or is empty.
 pub fn run(command: &KeyCommand) -> Result<(), CliError> {
     match command {
         KeyCommand::New { out } => {
@@ -28,7 +28,7 @@
             read.map_err(CliError::file(Path::new("standard input")))?;
             let key = text.trim();
             if key.is_empty() {
-                return Err(CliError::Input("standard input holds no key".to_owned()));
+                return Err(CliError::Input("standard input contains no key".to_owned()));
             }
             println!("{}", key_hash(key));
         }
@@ -37,8 +37,8 @@
     Ok(())
 }
 
-/// Writes a new file that only its owner can read. An existing one is left
-/// alone, so that no key is lost.
+/// Writes a new file that only its owner can read. Fails if the file exists, so that no
+/// key is overwritten.
 fn write_private(path: &Path, text: &str) -> Result<(), CliError> {
     use std::os::unix::fs::OpenOptionsExt;
     const OWNER_ONLY: u32 = 0o600;
@@ -53,16 +53,16 @@
 ///
 /// # Errors
 ///
-/// Fails if the file can't be read or holds no key.
+/// Fails if the file can't be read or contains no key.
 pub fn read_private(path: &Path) -> Result<SigningKey, CliError> {
     let text = std::fs::read_to_string(path).map_err(CliError::file(path))?;
     let raw = hex::decode(text.trim()).ok();
     let raw = raw.and_then(|raw| <[u8; 32]>::try_from(raw).ok());
-    let fault = || {
+    let invalid = || {
         CliError::Input(format!(
-            "{}: no private key of 64 hex digits",
+            "{}: not a private key of 64 hex digits",
             path.display()
         ))
     };
-    Ok(SigningKey::from_bytes(&raw.ok_or_else(fault)?))
+    Ok(SigningKey::from_bytes(&raw.ok_or_else(invalid)?))
 }
--- a/crates/notchwalk_cli/src/lib.rs
+++ b/crates/notchwalk_cli/src/lib.rs
@@ -1,5 +1,5 @@
-//! The operators' command line: settings, keys, bundles and the state of the
-//! daemons.
+//! The operators' command-line tool: checks settings, manages keys and bundles, and
+//! shows the state of daemons.
 
 pub mod arguments;
 mod bundles;
--- a/crates/notchwalk_cli/src/prelude.rs
+++ b/crates/notchwalk_cli/src/prelude.rs
@@ -1,3 +1,3 @@
-//! The names that a program around the commands needs.
+//! Re-exports for programs that run the commands.
 
 pub use crate::{arguments, run, CliError, Proposal};
--- a/crates/notchwalk_cli/src/proposal.rs
+++ b/crates/notchwalk_cli/src/proposal.rs
@@ -1,5 +1,5 @@
-//! A proposal: a manifest with its parts, as a file that is handed from the
-//! author to the reviewer.
+//! A proposal: a manifest with its parts, in a file that the author passes to the
+//! reviewer.
 
 use std::path::Path;
 
@@ -8,12 +8,12 @@
 
 use crate::error::CliError;
 
-/// A change on its way.
+/// A proposed bundle version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Proposal {
-    /// What is signed.
+    /// The signed manifest.
     pub manifest: Manifest,
-    /// The content.
+    /// The parts that the manifest names by digest.
     pub parts: Vec<Part>,
 }
 
@@ -31,15 +31,16 @@
         Self { manifest, parts }
     }
 
-    /// Reads a proposal and checks that its parts are those of its manifest.
+    /// Reads a proposal and checks that its parts match its manifest.
     ///
     /// # Errors
     ///
-    /// Fails if the file can't be read, or was changed after it was signed.
+    /// Fails if the file can't be read, its parts don't match the signed digests, or the
+    /// bundle is invalid.
     pub fn load(path: &Path) -> Result<Self, CliError> {
         let text = std::fs::read_to_string(path).map_err(CliError::file(path))?;
-        let fault = |e| CliError::Input(format!("{}: no proposal: {e}", path.display()));
-        let proposal: Self = serde_json::from_str(&text).map_err(fault)?;
+        let invalid = |e| CliError::Input(format!("{}: not a proposal: {e}", path.display()));
+        let proposal: Self = serde_json::from_str(&text).map_err(invalid)?;
         let digests: Vec<_> = proposal
             .parts
             .iter()
@@ -47,7 +48,7 @@
             .collect();
         if digests != proposal.manifest.parts {
             let message = format!(
-                "{}: the parts aren't those that were signed",
+                "{}: the parts don't match the signed digests",
                 path.display()
             );
             return Err(CliError::Input(message));
@@ -67,11 +68,11 @@
     }
 }
 
-/// Reads the parts in a folder.
+/// Reads and checks the parts in a directory.
 ///
 /// # Errors
 ///
-/// Fails if a part can't be read, or with all findings in them.
+/// Fails if a part can't be read, or returns all findings.
 pub fn read_parts(dir: &Path) -> Result<Vec<Part>, CliError> {
     let mut parts = Vec::new();
     for name in PART_NAMES {
--- a/crates/notchwalk_cli/src/quarantine.rs
+++ b/crates/notchwalk_cli/src/quarantine.rs
@@ -1,4 +1,5 @@
-//! Requests that entries keep from all servers, because servers ended under them.
+//! `notchwalk quarantine`: requests that nodes send to no server because they are
+//! suspected of crashing servers.
 
 use std::net::SocketAddr;
 
@@ -7,29 +8,29 @@
 
 use crate::{error::CliError, state};
 
-/// Shows the suspects of an entry, or ends a quarantine.
+/// Lists the suspects of a node, or releases content from quarantine.
 ///
 /// # Errors
 ///
-/// Fails if the entry does not answer, and if it knows no such suspect.
+/// Fails if the node does not respond or has no such suspect.
 pub async fn run(operator: SocketAddr, release: Option<&str>) -> Result<(), CliError> {
     match release {
-        Some(content) => end(operator, content).await,
+        Some(content) => release_content(operator, content).await,
         None => list(operator).await,
     }
 }
 
 async fn list(operator: SocketAddr) -> Result<(), CliError> {
-    let answer = state::ask(operator, Method::GET, "/state").await?;
-    let fault = |e| CliError::Input(format!("{operator}: no state: {e}"));
-    let state: Value = answer.json().map_err(fault)?;
+    let response = state::send(operator, Method::GET, "/state").await?;
+    let invalid = |e| CliError::Input(format!("{operator}: invalid state: {e}"));
+    let state: Value = response.json().map_err(invalid)?;
     let suspects = state["suspects"].as_array().cloned().unwrap_or_default();
     let mut table = state::table(&[
         "content",
         "verdict",
-        "left s",
+        "remaining (s)",
         "times",
-        "servers that ended",
+        "crashed servers",
     ]);
     for suspect in &suspects {
         table.add_row(row(suspect));
@@ -40,7 +41,7 @@
 
 fn row(suspect: &Value) -> Vec<String> {
     let text = |field: &str| suspect[field].as_str().unwrap_or("").to_owned();
-    let left = suspect["left_ms"].as_u64().map(|ms| ms / 1_000);
+    let remaining_s = suspect["left_ms"].as_u64().map(|ms| ms / 1_000);
     let crashes = suspect["crashes"].as_array().into_iter().flatten();
     let confirmed = crashes.filter(|crash| crash["confirmed"] == true);
     let servers: Vec<String> = confirmed
@@ -53,17 +54,17 @@
     vec![
         text("content"),
         text("verdict"),
-        left.map_or_else(String::new, |left| left.to_string()),
+        remaining_s.map_or_else(String::new, |s| s.to_string()),
         suspect["times"].to_string(),
         servers.join(", "),
     ]
 }
 
-async fn end(operator: SocketAddr, content: &str) -> Result<(), CliError> {
+async fn release_content(operator: SocketAddr, content: &str) -> Result<(), CliError> {
     let path = format!("/quarantine/release/{content}");
-    let answer = state::ask(operator, Method::POST, &path).await?;
-    let text = String::from_utf8_lossy(&answer.body).trim().to_owned();
-    if answer.status != StatusCode::OK {
+    let response = state::send(operator, Method::POST, &path).await?;
+    let text = String::from_utf8_lossy(&response.body).trim().to_owned();
+    if response.status != StatusCode::OK {
         return Err(CliError::Input(format!("{operator}: {text}")));
     }
     println!("{text}");
--- a/crates/notchwalk_cli/src/run.rs
+++ b/crates/notchwalk_cli/src/run.rs
@@ -1,4 +1,4 @@
-//! From arguments to commands.
+//! Dispatches the parsed arguments to commands.
 
 use monoio::{LegacyDriver, RuntimeBuilder};
 
@@ -6,12 +6,12 @@
     arguments::Command, bundles, error::CliError, explain, keys, quarantine, settings, state,
 };
 
-/// Runs one command to its end.
+/// Runs a command.
 ///
 /// # Errors
 ///
-/// Says what went wrong; [`CliError::exit_code`] gives the process's exit
-/// code.
+/// Returns the error of the command; [`CliError::exit_code`] gives the exit code of
+/// the process.
 ///
 /// # Panics
 ///
--- a/crates/notchwalk_cli/src/settings.rs
+++ b/crates/notchwalk_cli/src/settings.rs
@@ -7,14 +7,14 @@
 
 use crate::{error::CliError, proposal::read_parts};
 
-/// Checks what is given.
+/// Checks a settings file, a bundle's directory, or both.
 ///
 /// # Errors
 ///
-/// Returns all findings.
+/// Returns all findings. Fails if nothing is named or a file can't be read.
 pub fn check(settings: Option<&Path>, bundle: Option<&Path>) -> Result<(), CliError> {
     if settings.is_none() && bundle.is_none() {
-        let message = "name something to check: --settings FILE or --bundle DIR";
+        let message = "nothing to check: give --settings FILE, --bundle DIR or both";
         return Err(CliError::Input(message.to_owned()));
     }
     if let Some(path) = settings {
--- a/crates/notchwalk_cli/src/state.rs
+++ b/crates/notchwalk_cli/src/state.rs
@@ -1,4 +1,4 @@
-//! The state of daemons.
+//! `notchwalk status`, `dump` and `drain`, and requests to daemons.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -9,52 +9,52 @@
 
 use crate::error::CliError;
 
-/// How long a daemon may take to answer.
-const TIMEOUT: Duration = Duration::from_secs(5);
-/// The largest answer, in bytes.
-const MAX_ANSWER: usize = 256 << 20;
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+const MAX_RESPONSE_BYTES: usize = 256 << 20;
 
-/// Returns a table with headings.
+/// Returns an empty table with these headings.
 pub fn table(headings: &[&str]) -> Table {
     let mut table = Table::new();
     table.load_preset(UTF8_FULL_CONDENSED).set_header(headings);
     table
 }
 
-/// Asks a daemon's operator address.
+/// Sends a request without a body to a daemon's operator address.
 ///
 /// # Errors
 ///
-/// Fails if it does not answer.
-pub async fn ask(
+/// Fails if the daemon does not respond.
+pub async fn send(
     operator: SocketAddr,
     method: Method,
     path: &str,
 ) -> Result<WholeResponse, CliError> {
     let req = OutgoingRequest::new(method, path);
-    let sent = Client::new().send(operator, req, TIMEOUT, MAX_ANSWER).await;
+    let sent = Client::new()
+        .send(operator, req, REQUEST_TIMEOUT, MAX_RESPONSE_BYTES)
+        .await;
     sent.map_err(|source| CliError::Daemon {
         address: operator.to_string(),
         source,
     })
 }
 
-/// Reads a daemon's whole state.
+/// Fetches the complete state of a daemon.
 ///
 /// # Errors
 ///
-/// Fails if it does not answer.
+/// Fails if the daemon does not respond.
 pub async fn read_dump(operator: SocketAddr) -> Result<Value, CliError> {
-    let answer = ask(operator, Method::GET, "/dump").await?;
-    let fault = |e| CliError::Input(format!("{operator}: no dump: {e}"));
-    answer.json().map_err(fault)
+    let response = send(operator, Method::GET, "/dump").await?;
+    let invalid = |e| CliError::Input(format!("{operator}: invalid dump: {e}"));
+    response.json().map_err(invalid)
 }
 
-/// Prints a daemon's whole state.
+/// Prints the complete state of a daemon.
 ///
 /// # Errors
 ///
-/// Fails if it does not answer.
+/// Fails if the daemon does not respond.
 pub async fn dump(operator: SocketAddr) -> Result<(), CliError> {
     let dump = read_dump(operator).await?;
     println!(
@@ -64,12 +64,11 @@
     Ok(())
 }
 
-/// Prints a line for each daemon. A daemon that does not answer has its line,
-/// too.
+/// Prints a row for each daemon, also for those that do not respond.
 ///
 /// # Errors
 ///
-/// Fails if a daemon did not answer, after all were asked.
+/// Fails if a daemon did not respond, after all were queried.
 pub async fn status(operators: &[SocketAddr]) -> Result<(), CliError> {
     let mut table = table(&[
         "operator address",
@@ -91,7 +90,7 @@
                 table.add_row(status_row(*operator, &dump));
             }
             Err(e) => {
-                table.add_row([operator.to_string(), "does not answer".to_owned()]);
+                table.add_row([operator.to_string(), "no response".to_owned()]);
                 failed = Some(e);
             }
         }
@@ -130,13 +129,13 @@
     ]
 }
 
-/// Tells a daemon to drain.
+/// Starts draining a daemon.
 ///
 /// # Errors
 ///
-/// Fails if it does not answer.
+/// Fails if the daemon does not respond.
 pub async fn drain(operator: SocketAddr) -> Result<(), CliError> {
-    ask(operator, Method::POST, "/drain").await?;
-    println!("{operator} drains");
+    send(operator, Method::POST, "/drain").await?;
+    println!("{operator}: draining");
     Ok(())
 }
--- a/crates/notchwalk_cli/tests/bundle_life.rs
+++ b/crates/notchwalk_cli/tests/bundle_life.rs
@@ -1,4 +1,4 @@
-//! A bundle's life by the command line, against a stand-in fleet.
+//! The bundle subcommands against a stand-in fleet.
 
 use std::path::{Path, PathBuf};
 
@@ -12,35 +12,35 @@
     operators::WorkspaceSpec,
 };
 
-/// The seeds of the stand-in fleet's operators' keys.
+/// Seeds of the operator keys of the stand-in fleet.
 const AUTHOR_SEED: u8 = 7;
 const REVIEWER_SEED: u8 = 8;
 
-struct Desk {
+struct Fixture {
     fleet: Fleet,
     dir: tempfile::TempDir,
 }
 
-impl Desk {
+impl Fixture {
     fn new() -> Self {
         let config = FleetConfig::new(vec![WorkspaceSpec::new("desk", 1.0)]).with_sizes(1, 1, 0);
-        let desk = Self {
+        let fixture = Self {
             fleet: Fleet::start(config),
             dir: tempfile::tempdir().expect("a folder"),
         };
         for (name, seed) in [("author", AUTHOR_SEED), ("reviewer", REVIEWER_SEED)] {
             let key = format!("{seed:02x}").repeat(32);
-            std::fs::write(desk.path(name), key).expect("a key");
+            std::fs::write(fixture.path(name), key).expect("a key");
         }
-        desk.write_parts(2.0);
-        desk
+        fixture.write_parts(2.0);
+        fixture
     }
 
     fn path(&self, name: &str) -> PathBuf {
         self.dir.path().join(name)
     }
 
-    /// Writes the parts with a weight of the only workspace.
+    /// Writes the parts with this weight of the only workspace.
     fn write_parts(&self, weight: f64) {
         let mut spec = self.fleet.config.bundle.clone();
         spec.workspaces[0].weight = weight;
@@ -92,53 +92,56 @@
 }
 
 #[test]
-fn a_change_needs_both_signatures_and_can_be_submitted_again() {
-    let desk = Desk::new();
-    desk.propose("change").expect("proposed");
-    assert_exit_code(desk.submit("change"), 2);
-    desk.sign("change").expect("signed");
-    desk.submit("change").expect("accepted");
-    desk.submit("change").expect("safe to repeat");
-    let (platform, most) = (desk.fleet.platform, 5);
-    desk.bundle(BundleCommand::History { platform, most })
+fn bundle_needs_both_signatures_and_submit_is_idempotent() {
+    let fixture = Fixture::new();
+    fixture.propose("change").expect("proposed");
+    assert_exit_code(fixture.submit("change"), 2);
+    fixture.sign("change").expect("signed");
+    fixture.submit("change").expect("accepted");
+    fixture.submit("change").expect("submitted again");
+    let (platform, most) = (fixture.fleet.platform, 5);
+    fixture
+        .bundle(BundleCommand::History { platform, most })
         .expect("listed");
 }
 
 #[test]
-fn the_slower_operator_is_told_and_a_rollback_is_a_new_version() {
-    let desk = Desk::new();
-    desk.propose("first").expect("proposed");
-    desk.write_parts(3.0);
-    desk.propose("second")
+fn concurrent_submit_fails_with_its_exit_code_and_rollback_creates_a_version() {
+    let fixture = Fixture::new();
+    fixture.propose("first").expect("proposed");
+    fixture.write_parts(3.0);
+    fixture
+        .propose("second")
         .expect("proposed on the same version");
     for file in ["first", "second"] {
-        desk.sign(file).expect("signed");
+        fixture.sign(file).expect("signed");
     }
-    desk.submit("first").expect("accepted");
-    assert_exit_code(desk.submit("second"), 3);
-    desk.bundle(BundleCommand::Rollback {
-        platform: desk.fleet.platform,
-        signer: desk.signer("author"),
-        out: desk.path("back"),
-        version: 1,
-    })
-    .expect("proposed");
-    desk.sign("back").expect("signed");
-    desk.submit("back").expect("accepted");
+    fixture.submit("first").expect("accepted");
+    assert_exit_code(fixture.submit("second"), 3);
+    fixture
+        .bundle(BundleCommand::Rollback {
+            platform: fixture.fleet.platform,
+            signer: fixture.signer("author"),
+            out: fixture.path("back"),
+            version: 1,
+        })
+        .expect("proposed");
+    fixture.sign("back").expect("signed");
+    fixture.submit("back").expect("accepted");
 }
 
 #[test]
-fn a_proposal_that_was_changed_after_signing_is_refused() {
-    let desk = Desk::new();
-    desk.propose("change").expect("proposed");
-    let path = desk.path("change");
+fn proposal_changed_after_signing_is_rejected() {
+    let fixture = Fixture::new();
+    fixture.propose("change").expect("proposed");
+    let path = fixture.path("change");
     let text = std::fs::read_to_string(&path).expect("a proposal");
     std::fs::write(&path, text.replace("weight = 2", "weight = 9")).expect("changed");
-    assert_exit_code(desk.sign("change"), 2);
+    assert_exit_code(fixture.sign("change"), 2);
 }
 
 #[test]
-fn faulty_input_and_silent_daemons_have_their_exit_codes() {
+fn invalid_input_and_unreachable_daemons_have_distinct_exit_codes() {
     let missing = Path::new("no-such-file.ini").to_owned();
     let check = Command::Check {
         settings: Some(missing),
@@ -150,7 +153,7 @@
         bundle: None,
     };
     assert_exit_code(run(nothing), 2);
-    // A port that was free a moment ago.
+    // A port without a listener.
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let operator = listener.local_addr().expect("an address");
     drop(listener);
--- a/crates/notchwalk_cli/tests/explain.rs
+++ b/crates/notchwalk_cli/tests/explain.rs
@@ -1,6 +1,6 @@
-//! Requests explained out of logs.
+//! Log lines are parsed, and the outcome of a request is explained from them.
 
-use notchwalk_cli::explain::{LogLine, Story};
+use notchwalk_cli::explain::{LogLine, RequestLog};
 
 const LOG: &str = "\
 level=INFO NW4101 a backend server is on record server=i-1 service=desk addr=10.0.0.1:80 stage=Ready born=0
@@ -16,7 +16,7 @@
 ";
 
 #[test]
-fn a_line_is_read_with_what_stands_before_it() {
+fn line_with_collector_prefix_is_parsed() {
     let line = LogLine::parse("12.5 entry-1 level=INFO NW5104 text request=cc reason=\"no such\"");
     let line = line.expect("an event");
     assert_eq!((line.event, line.fact("reason")), (5104, Some("no such")));
@@ -26,27 +26,42 @@
 }
 
 #[test]
-fn the_story_holds_own_lines_and_what_was_known_of_its_servers() {
-    let story = Story::of("bb", LOG).expect("it is named");
-    let numbers: Vec<usize> = story.lines.iter().map(|(at, _)| *at).collect();
+fn request_log_contains_own_lines_and_lines_of_its_servers() {
+    let request_log = RequestLog::for_request("bb", LOG).expect("the request");
+    let numbers: Vec<usize> = request_log
+        .lines
+        .iter()
+        .map(|(number, _)| *number)
+        .collect();
     assert_eq!(numbers, [1, 3, 4, 6]);
-    assert!(story.cause().contains("leaving (NW4103)"));
+    assert!(request_log.cause().contains("draining (NW4103)"));
 }
 
 #[test]
-fn each_end_has_its_cause() {
-    let cause = |id| Story::of(id, LOG).expect("it is named").cause();
+fn each_outcome_is_explained() {
+    let cause = |id| {
+        RequestLog::for_request(id, LOG)
+            .expect("the request")
+            .cause()
+    };
     assert!(
         cause("aa").contains("first event after 31 ms"),
         "{}",
         cause("aa")
     );
-    assert!(cause("dd").contains("own error"), "{}", cause("dd"));
-    assert_eq!(cause("cc"), "It was not accepted: no such route.");
-    assert!(Story::of("a", LOG).is_none(), "ids are compared whole");
+    assert!(
+        cause("dd").contains("error response of the server itself"),
+        "{}",
+        cause("dd")
+    );
+    assert_eq!(cause("cc"), "The request was not accepted: no such route.");
+    assert!(
+        RequestLog::for_request("a", LOG).is_none(),
+        "ids are compared whole"
+    );
     let cut = &LOG[..LOG.find("NW5103").expect("an end")];
-    assert!(Story::of("aa", cut)
-        .expect("named")
+    assert!(RequestLog::for_request("aa", cut)
+        .expect("the request")
         .cause()
         .contains("NW1007"));
 }
@@ -58,8 +73,8 @@
 ";
 
 #[test]
-fn a_request_that_was_limited_is_shown_with_the_limits() {
-    let story = Story::of("ee", LIMITED).expect("it is named");
-    assert_eq!(story.lines.len(), 3, "the servers are not its own");
-    assert!(story.cause().contains("name limits (NW4106)"));
+fn limited_request_is_shown_with_the_limits_of_servers() {
+    let request_log = RequestLog::for_request("ee", LIMITED).expect("the request");
+    assert_eq!(request_log.lines.len(), 3, "with the lines of the limits");
+    assert!(request_log.cause().contains("report rate limits (NW4106)"));
 }
