--- a/crates/notchwalk_http/examples/hello.rs
+++ b/crates/notchwalk_http/examples/hello.rs
@@ -1,4 +1,4 @@
-//! A server that answers one request, and a client that asks.
+//! A server that responds to a request of a client in the same process.
 //!
 //! Run with `cargo run -p notchwalk_http --example hello`.
 
@@ -26,14 +26,14 @@
         let addr = listener.local_addr().expect("an address");
         monoio::spawn(serve(listener, ServerLimits::default(), Rc::new(Hello)));
         let req = OutgoingRequest::new(Method::GET, "/ruwi");
-        let answer = Client::new()
+        let response = Client::new()
             .send(addr, req, Duration::from_secs(5), 1_000)
             .await;
-        let answer = answer.expect("an answer");
+        let response = response.expect("a response");
         print!(
             "{} {}",
-            answer.status,
-            String::from_utf8_lossy(&answer.body)
+            response.status,
+            String::from_utf8_lossy(&response.body)
         );
     });
 }
--- a/crates/notchwalk_http/src/body.rs
+++ b/crates/notchwalk_http/src/body.rs
@@ -1,4 +1,4 @@
-//! How the body of a message is framed, and its decoding.
+//! Framing and decoding of message bodies.
 
 use bytes::{Bytes, BytesMut};
 use http::{header, HeaderMap};
@@ -7,36 +7,35 @@
 
 use crate::HttpError;
 
-/// The state of reading one message's body.
+/// Decoder state of one message body.
 #[derive(Default)]
 pub enum BodyReader {
-    /// The body is at its end, or there is none.
+    /// The body was read completely, or the message has none.
     #[default]
     Done,
-    /// So many bytes are still to come.
+    /// The number of bytes that remain, from `Content-Length`.
     Fixed(u64),
-    /// Chunks follow until an empty one.
+    /// Chunked transfer coding.
     Chunked(ChunkedBodyDecoder),
-    /// The body ends with the connection.
+    /// The body ends when the connection is closed.
     UntilClose,
 }
 
 impl BodyReader {
-    /// Reads the framing of a request from its headers.
+    /// Determines the framing of a request body from the headers.
     ///
     /// # Errors
     ///
-    /// Refuses contradictory or unreadable framing, which could hide a second
-    /// request.
+    /// Rejects contradictory or malformed framing, which would allow request smuggling.
     pub fn for_request(headers: &HeaderMap) -> Result<Self, HttpError> {
         Ok(Self::from_headers(headers)?.unwrap_or_default())
     }
 
-    /// Reads the framing of a response from its headers and status.
+    /// Determines the framing of a response body from the status and headers.
     ///
     /// # Errors
     ///
-    /// Refuses contradictory or unreadable framing.
+    /// Rejects contradictory or malformed framing.
     pub fn for_response(status: http::StatusCode, headers: &HeaderMap) -> Result<Self, HttpError> {
         let bodiless = status.is_informational()
             || status == http::StatusCode::NO_CONTENT
@@ -66,39 +65,39 @@
         }
         match text.parse().map_err(|_| HttpError::Framing)? {
             0 => Ok(Some(Self::Done)),
-            left => Ok(Some(Self::Fixed(left))),
+            remaining => Ok(Some(Self::Fixed(remaining))),
         }
     }
 
-    /// Returns the declared length still to come, if one was declared.
+    /// Returns the number of bytes that remain, if `Content-Length` declares the length.
     pub fn declared(&self) -> Option<u64> {
         match self {
-            Self::Fixed(left) => Some(*left),
+            Self::Fixed(remaining) => Some(*remaining),
             _ => None,
         }
     }
 
-    /// Tells whether the whole body was read.
+    /// Returns whether the body was read completely.
     pub fn is_done(&self) -> bool {
         matches!(self, Self::Done)
     }
 
-    /// Takes the next piece out of `buf`; `None` asks for more bytes. An empty
-    /// piece marks the end.
+    /// Splits the next piece off `buf`. Returns `None` if more bytes are needed, and an
+    /// empty piece at the end of the body.
     ///
     /// # Errors
     ///
-    /// Fails on malformed chunk framing.
+    /// Fails on malformed chunked coding.
     pub fn decode(&mut self, buf: &mut BytesMut) -> Result<Option<Bytes>, HttpError> {
         match self {
             Self::Done => Ok(Some(Bytes::new())),
             Self::UntilClose if buf.is_empty() => Ok(None),
             Self::UntilClose => Ok(Some(buf.split().freeze())),
             Self::Fixed(_) if buf.is_empty() => Ok(None),
-            Self::Fixed(left) => {
-                let n = (*left).min(buf.len() as u64);
-                *left -= n;
-                if *left == 0 {
+            Self::Fixed(remaining) => {
+                let n = (*remaining).min(buf.len() as u64);
+                *remaining -= n;
+                if *remaining == 0 {
                     *self = Self::Done;
                 }
                 Ok(Some(buf.split_to(n as usize).freeze()))
--- a/crates/notchwalk_http/src/client.rs
+++ b/crates/notchwalk_http/src/client.rs
@@ -1,4 +1,4 @@
-//! An HTTP client with a pool of idle connections for each address.
+//! An HTTP client with a pool of idle connections per address.
 
 use std::{
     cell::{Cell, RefCell},
@@ -16,43 +16,42 @@
 
 use crate::{request_head, BodyReader, Connection, HttpError};
 
-/// Idle connections kept for each address.
-const MAX_IDLE: usize = 256;
-/// How long a connection may lie idle. Servers here close after a longer time.
+/// Maximum number of idle connections per address.
+const MAX_IDLE_CONNECTIONS: usize = 256;
+/// How long a connection stays in the pool; shorter than the idle timeout of our servers.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// How long connecting may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Largest chunk of a response.
+/// Maximum size of a chunk of a response.
 const MAX_CHUNK_BYTES: usize = 16 << 20;
-/// Bodies up to this size are written together with the head.
-const JOIN_BYTES: usize = 64 * 1024;
+/// Bodies up to this size are written in one call with the head.
+const MAX_COALESCED_BODY_BYTES: usize = 64 * 1024;
 
-/// Whether a pooled connection may carry the request.
+/// Whether a request may use a pooled connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reuse {
-    /// A pooled connection may be used; it can turn out to be closed.
+    /// A pooled connection may be used; the server may already have closed it.
     Pooled,
-    /// Only a fresh connection, so that a refused one proves that nothing was
+    /// A new connection is made, so that a connection error proves that nothing was
     /// sent. It is closed afterwards.
     Fresh,
 }
 
-/// A request about to be sent.
+/// A request to send.
 pub struct OutgoingRequest {
     /// The method.
     pub method: Method,
     /// The path with its query.
     pub path: String,
-    /// Headers besides host and framing.
+    /// Headers except `Host` and those of the framing.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// The body.
     pub body: Bytes,
-    /// Whether a pooled connection may carry it.
+    /// Whether a pooled connection may be used.
     pub reuse: Reuse,
 }
 
 impl OutgoingRequest {
-    /// Builds a request without a body.
+    /// Creates a request without a body.
     pub fn new(method: Method, path: impl Into<String>) -> Self {
         Self {
             method,
@@ -79,8 +78,7 @@
     ///
     /// # Panics
     ///
-    /// Panics if the value can't be written as JSON, which no message type of
-    /// ours does.
+    /// Panics if the value can't be serialized; all message types of this project can.
     pub fn with_json<T: Serialize>(self, value: &T) -> Self {
         let json = HeaderValue::from_static("application/json");
         let body = serde_json::to_vec(value).expect("message types serialize");
@@ -94,7 +92,7 @@
     }
 }
 
-/// A response whose body was read whole.
+/// A response with its complete body.
 pub struct WholeResponse {
     /// The status.
     pub status: StatusCode,
@@ -105,11 +103,11 @@
 }
 
 impl WholeResponse {
-    /// Reads the body as JSON.
+    /// Deserializes the body from JSON.
     ///
     /// # Errors
     ///
-    /// Fails if the body is something else.
+    /// Fails if the body is not JSON of this type.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, serde_json::Error> {
         serde_json::from_slice(&self.body)
     }
@@ -122,7 +120,7 @@
 
 type Pool = Rc<RefCell<HashMap<SocketAddr, Vec<Idle>>>>;
 
-/// A client; clones share the pool.
+/// An HTTP client; clones share the connection pool.
 #[derive(Clone)]
 pub struct Client {
     pool: Pool,
@@ -141,19 +139,19 @@
 }
 
 impl Client {
-    /// Builds a client with an empty pool.
+    /// Creates a client with an empty pool.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Sets how long connecting may take.
+    /// Sets the timeout for making a connection.
     pub fn with_connect_timeout(mut self, timeout: Duration) -> Self {
         self.connect_timeout = timeout;
         self
     }
 
-    /// Returns how many bytes the connections of this client and its clones
-    /// received so far.
+    /// Returns the number of bytes that all connections of this client and its clones
+    /// have received.
     pub fn received_bytes(&self) -> u64 {
         self.received.get()
     }
@@ -166,10 +164,10 @@
             Err(_) => return Err(HttpError::Connect(std::io::ErrorKind::TimedOut.into())),
         };
         let conn = Connection::new(stream).map_err(HttpError::Connect)?;
-        Ok(conn.with_received(self.received.clone()))
+        Ok(conn.with_received_counter(self.received.clone()))
     }
 
-    /// Takes a pooled connection that can still be used.
+    /// Takes a usable connection from the pool.
     async fn idle_connection(&self, addr: SocketAddr) -> Option<Connection> {
         loop {
             let idle = self.pool.borrow_mut().get_mut(&addr)?.pop();
@@ -180,7 +178,7 @@
         }
     }
 
-    /// Returns a connection to `addr`.
+    /// Returns a pooled or new connection to `addr`.
     ///
     /// # Errors
     ///
@@ -198,12 +196,12 @@
         self.connect(addr).await
     }
 
-    /// Sends a request and reads the response's head.
+    /// Sends a request and reads the response head.
     ///
     /// # Errors
     ///
-    /// Fails as the connection does; [`HttpError::nothing_sent`] tells whether
-    /// the server can have seen the request.
+    /// Fails on connection errors; [`HttpError::nothing_sent`] returns whether the server
+    /// can't have received any part of the request.
     pub async fn stream(
         &self,
         addr: SocketAddr,
@@ -213,12 +211,11 @@
         self.send_on(addr, conn, req).await
     }
 
-    /// Sends a request on a connection that is already there, and reads the
-    /// response's head.
+    /// Sends a request on an open connection and reads the response head.
     ///
     /// # Errors
     ///
-    /// Fails as the connection does.
+    /// Fails on connection errors.
     pub async fn send_on(
         &self,
         addr: SocketAddr,
@@ -228,7 +225,7 @@
         let host = addr.to_string();
         let length = Some(req.body.len());
         let mut head = request_head(&req.method, &req.path, &host, &req.headers, length);
-        if req.body.len() <= JOIN_BYTES {
+        if req.body.len() <= MAX_COALESCED_BODY_BYTES {
             head.extend_from_slice(&req.body);
             conn.write_all(&head).await?;
         } else {
@@ -238,8 +235,8 @@
         self.receive(addr, conn, &req.method, req.reuse).await
     }
 
-    /// Reads the head of the response on a connection whose request was
-    /// written by the caller.
+    /// Reads the response head on a connection on which the caller of this function has
+    /// already written the request.
     ///
     /// # Errors
     ///
@@ -261,7 +258,7 @@
         Ok(StreamedResponse {
             status: head.status,
             reusable: reuse == Reuse::Pooled && !close && !matches!(body, BodyReader::UntilClose),
-            idle: idle_time(&head.headers),
+            idle: idle_timeout(&head.headers),
             headers: head.headers,
             conn,
             body,
@@ -270,25 +267,24 @@
         })
     }
 
-    /// Closes all idle connections. To be called when a request got no answer:
-    /// connections can go silent for good without a reset, many at once, and
-    /// only new ones tell whether a server lives.
+    /// Closes all idle connections. Call this when a request got no response: a network
+    /// failure can break many connections at once without a reset, and only a new connection
+    /// shows whether a server is reachable.
     pub fn forget_idle(&self) {
         self.pool.borrow_mut().clear();
     }
 
-    /// Closes the idle connections to one address: whoever listened there ended.
+    /// Closes the idle connections to one address, whose server has stopped.
     pub fn forget_idle_at(&self, addr: SocketAddr) {
         self.pool.borrow_mut().remove(&addr);
     }
 
-    /// Sends a request and reads the whole response, at most `limit` bytes,
-    /// within `timeout`. After a timeout, the idle connections to that address
-    /// are closed as well.
+    /// Sends a request and reads the complete response, with a body of at most `limit`
+    /// bytes, within `timeout`. A timeout also closes the idle connections to the address.
     ///
     /// # Errors
     ///
-    /// Fails as [`Self::stream`] does and when time runs out.
+    /// Fails like [`Self::stream`], if the body is too large, and on timeout.
     pub async fn send(
         &self,
         addr: SocketAddr,
@@ -297,15 +293,15 @@
         limit: usize,
     ) -> Result<WholeResponse, HttpError> {
         let exchange = async { self.stream(addr, req).await?.whole(limit).await };
-        self.within(addr, timeout, exchange).await
+        self.with_timeout(addr, timeout, exchange).await
     }
 
-    /// As [`Self::send`], with one timeout until the response's head is there and
-    /// another for its body: a large response takes long, a lost one never starts.
+    /// Like [`Self::send`], with separate timeouts for the response head and the body, so
+    /// that a missing response is detected before a large one times out.
     ///
     /// # Errors
     ///
-    /// Fails as [`Self::send`] does.
+    /// Fails like [`Self::send`].
     pub async fn send_in_steps(
         &self,
         addr: SocketAddr,
@@ -315,11 +311,13 @@
         limit: usize,
     ) -> Result<WholeResponse, HttpError> {
         let head = self.stream(addr, req);
-        let response = self.within(addr, head_timeout, head).await?;
-        self.within(addr, body_timeout, response.whole(limit)).await
+        let response = self.with_timeout(addr, head_timeout, head).await?;
+        self.with_timeout(addr, body_timeout, response.whole(limit))
+            .await
     }
 
-    async fn within<T>(
+    /// Runs `step` with a timeout, which closes the idle connections to `addr`.
+    async fn with_timeout<T>(
         &self,
         addr: SocketAddr,
         timeout: Duration,
@@ -335,7 +333,7 @@
     }
 }
 
-/// A response whose body is still to be read.
+/// A response whose body has not been read completely.
 pub struct StreamedResponse {
     /// The status.
     pub status: StatusCode,
@@ -366,7 +364,7 @@
         Ok((!piece.is_empty()).then_some(piece))
     }
 
-    /// Returns a further piece if one has already arrived.
+    /// Returns the next piece of the body if it is already buffered.
     ///
     /// # Errors
     ///
@@ -380,7 +378,7 @@
     ///
     /// # Errors
     ///
-    /// Fails as the connection does.
+    /// Fails on connection errors.
     pub async fn whole(mut self, limit: usize) -> Result<WholeResponse, HttpError> {
         let body = self.conn.read_body(&mut self.body, limit).await?;
         let (status, headers) = (self.status, std::mem::take(&mut self.headers));
@@ -392,12 +390,13 @@
         })
     }
 
-    /// Drops this response, after reading it whole, and reads the head of the
-    /// next one on the same connection.
+    /// Reads and discards the rest of this response, then reads the head of the next one on
+    /// the same connection.
     ///
     /// # Errors
     ///
-    /// Fails as the connection does, and if nothing can follow this response.
+    /// Fails on connection errors, and if the body of this response ends with the
+    /// connection.
     pub async fn next_response(mut self, method: &Method) -> Result<Self, HttpError> {
         if matches!(self.body, BodyReader::UntilClose) {
             return Err(HttpError::Closed);
@@ -416,13 +415,13 @@
         client.receive(self.addr, self.conn, method, reuse).await
     }
 
-    /// Keeps the connection out of the pool.
+    /// Prevents the connection from returning to the pool.
     pub fn forbid_reuse(&mut self) {
         self.reusable = false;
     }
 
-    /// Gives the connection back to the pool if its body was read whole, and
-    /// closes it otherwise.
+    /// Returns the connection to the pool if the body was read completely and reuse is
+    /// allowed; closes it otherwise.
     pub fn release(self) {
         if !self.reusable || !self.body.is_done() {
             return;
@@ -431,7 +430,7 @@
         let idle = pool.entry(self.addr).or_default();
         let now = Instant::now();
         idle.retain(|idle| now < idle.until);
-        if idle.len() < MAX_IDLE {
+        if idle.len() < MAX_IDLE_CONNECTIONS {
             idle.push(Idle {
                 conn: self.conn,
                 until: now + self.idle,
@@ -440,9 +439,9 @@
     }
 }
 
-/// Returns how long a connection may lie idle after an answer with these
-/// headers: less than the server said, so that it doesn't close first.
-fn idle_time(headers: &HeaderMap) -> Duration {
+/// Returns how long a connection may stay in the pool after a response with these headers:
+/// less than the `Keep-Alive` timeout, so that the server does not close it first.
+fn idle_timeout(headers: &HeaderMap) -> Duration {
     const MARGIN: Duration = Duration::from_millis(500);
     let keep_alive = headers.get("keep-alive").and_then(|v| v.to_str().ok());
     let timeout = keep_alive.and_then(|text| {
--- a/crates/notchwalk_http/src/connection.rs
+++ b/crates/notchwalk_http/src/connection.rs
@@ -1,4 +1,4 @@
-//! One TCP connection that carries HTTP messages, with a bounded read buffer.
+//! A TCP connection that carries HTTP messages, with a bounded read buffer.
 
 use std::{cell::Cell, future::Future, io, pin::Pin, rc::Rc, task::Poll};
 
@@ -16,14 +16,14 @@
 
 use crate::{BodyReader, HttpError};
 
-/// The largest head accepted, in bytes.
+/// Maximum size of a message head.
 pub const MAX_HEAD_BYTES: usize = 32 * 1024;
-/// Bytes read at a time.
+/// Spare capacity of the read buffer before each read.
 const READ_BYTES: usize = 4 * 1024;
-/// Bytes a peer may send ahead while its last request is still being served.
+/// Maximum number of bytes buffered from a peer while its request is being served.
 const MAX_READ_AHEAD_BYTES: usize = 64 * 1024;
 
-/// A connection and what was read from it but not yet decoded.
+/// A connection and its read buffer.
 pub struct Connection {
     io: TcpStreamPoll,
     rbuf: BytesMut,
@@ -35,7 +35,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the socket can't be set up.
+    /// Fails if the socket options can't be set.
     pub fn new(stream: TcpStream) -> io::Result<Self> {
         stream.set_nodelay(true)?;
         Ok(Self {
@@ -45,18 +45,18 @@
         })
     }
 
-    /// Adds the bytes that are received to a count shared by connections.
-    pub fn with_received(mut self, received: Rc<Cell<u64>>) -> Self {
+    /// Adds the number of received bytes to a counter that connections share.
+    pub fn with_received_counter(mut self, received: Rc<Cell<u64>>) -> Self {
         self.received = received;
         self
     }
 
-    /// Reads more bytes; returns how many, 0 at the end of the stream. Safe to
-    /// cancel.
+    /// Reads more bytes into the buffer and returns their number, 0 at the end of the
+    /// stream. Cancel safe.
     ///
     /// # Errors
     ///
-    /// Fails with the socket.
+    /// Fails on socket errors.
     pub async fn read_more(&mut self) -> io::Result<usize> {
         self.rbuf.reserve(READ_BYTES);
         let n = self.io.read_buf(&mut self.rbuf).await?;
@@ -64,12 +64,12 @@
         Ok(n)
     }
 
-    /// Waits until at least one byte of the next message is there; `false`
-    /// means that the peer closed.
+    /// Waits until at least one byte of the next message is buffered; returns `false` if
+    /// the peer closed the connection.
     ///
     /// # Errors
     ///
-    /// Fails with the socket.
+    /// Fails on socket errors.
     pub async fn wait_readable(&mut self) -> io::Result<bool> {
         Ok(!self.rbuf.is_empty() || self.read_more().await? > 0)
     }
@@ -83,7 +83,7 @@
         self.read_head(RequestHeadDecoder).await
     }
 
-    /// Reads a response head, passing over interim responses.
+    /// Reads a response head, skipping interim responses.
     ///
     /// # Errors
     ///
@@ -116,8 +116,8 @@
         }
     }
 
-    /// Reads the next piece of a body, an empty one at its end. A chunk larger
-    /// than `max_piece` bytes is refused.
+    /// Reads the next piece of a body; returns an empty piece at its end. A chunk larger
+    /// than `max_piece` bytes is rejected.
     ///
     /// # Errors
     ///
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Takes a further piece if one is already buffered.
+    /// Returns the next piece of a body if it is already buffered.
     ///
     /// # Errors
     ///
@@ -157,12 +157,11 @@
         body.decode(&mut self.rbuf)
     }
 
-    /// Reads a whole body of at most `limit` bytes.
+    /// Reads a complete body of at most `limit` bytes.
     ///
     /// # Errors
     ///
-    /// Fails as soon as the body is known to be too large, and as
-    /// [`Self::read_piece`] does.
+    /// Fails as soon as the body exceeds `limit`, and like [`Self::read_piece`].
     pub async fn read_body(
         &mut self,
         body: &mut BodyReader,
@@ -192,13 +191,13 @@
     ///
     /// # Errors
     ///
-    /// Fails with the socket.
+    /// Fails on socket errors.
     pub async fn write_all(&mut self, data: &[u8]) -> io::Result<()> {
         self.io.write_all(data).await
     }
 
-    /// Resolves when the peer closes or breaks the connection; bytes that come
-    /// meanwhile are kept, up to a bound. Safe to cancel.
+    /// Resolves when the peer closes or resets the connection. Buffers the bytes that arrive
+    /// until then; never resolves once [`MAX_READ_AHEAD_BYTES`] are buffered. Cancel safe.
     pub async fn closed(&mut self) {
         loop {
             if self.rbuf.len() > MAX_READ_AHEAD_BYTES {
@@ -211,8 +210,8 @@
         }
     }
 
-    /// Tells whether the idle connection was closed or sent something unasked,
-    /// so that it must not be used again.
+    /// Returns whether the peer closed the idle connection or sent unsolicited bytes, so
+    /// that it must not be reused.
     pub async fn is_stale(&mut self) -> bool {
         if !self.rbuf.is_empty() {
             return true;
@@ -227,7 +226,7 @@
         .await
     }
 
-    /// Closes the sending side, so that what was written still arrives.
+    /// Shuts down the write half; data already written is still delivered.
     pub async fn shutdown(&mut self) {
         let _ = std::future::poll_fn(|cx| Pin::new(&mut self.io).poll_shutdown(cx)).await;
     }
--- a/crates/notchwalk_http/src/error.rs
+++ b/crates/notchwalk_http/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong on an HTTP connection.
+//! Errors of HTTP connections.
 
 use std::io;
 
@@ -7,10 +7,10 @@
 /// A failed exchange.
 #[derive(Debug, Display, Error, From)]
 pub enum HttpError {
-    /// The socket failed.
+    /// A socket operation failed.
     #[display("socket: {_0}")]
     Io(io::Error),
-    /// The peer closed before the message was whole.
+    /// The peer closed the connection before the message was complete.
     #[display("the connection closed before the message was whole")]
     Closed,
     /// The head is malformed.
@@ -28,7 +28,7 @@
     #[display("the body is larger than {_0} bytes")]
     #[from(ignore)]
     BodyTooLarge(#[error(not(source))] usize),
-    /// The peer took too long.
+    /// A timeout expired.
     #[display("timed out")]
     TimedOut,
     /// No connection could be made, so no byte was sent.
@@ -38,7 +38,7 @@
 }
 
 impl HttpError {
-    /// Tells whether the failure proves that no byte of a request was sent.
+    /// Returns whether the error proves that no byte of the request was sent.
     pub fn nothing_sent(&self) -> bool {
         matches!(self, Self::Connect(_))
     }
--- a/crates/notchwalk_http/src/head.rs
+++ b/crates/notchwalk_http/src/head.rs
@@ -1,13 +1,13 @@
-//! Framing of heads and chunks.
+//! Encoding of message heads and chunks.
 
 use std::io::Write;
 
 use http::{header, HeaderMap, Method, StatusCode};
 
-/// The chunk that ends a streamed body.
+/// The last chunk of a chunked body.
 pub const CHUNK_END: &[u8] = b"0\r\n\r\n";
 
-/// Frames a response head. `length` is the body's size, `None` for a streamed
+/// Encodes a response head. `length` is the size of the body in bytes, `None` for a chunked
 /// body.
 pub fn response_head(status: StatusCode, headers: &HeaderMap, length: Option<usize>) -> Vec<u8> {
     let mut buf = Vec::with_capacity(256);
@@ -17,7 +17,7 @@
     buf
 }
 
-/// Frames a request head.
+/// Encodes a request head; `length` as in [`response_head`].
 pub fn request_head(
     method: &Method,
     path: &str,
@@ -49,8 +49,8 @@
     }
 }
 
-/// Appends `data` to `buf` as one chunk; empty data adds nothing, since an
-/// empty chunk would end the body.
+/// Appends `data` to `buf` as one chunk. Empty data adds nothing, since an empty chunk
+/// ends the body.
 pub fn chunk_into(buf: &mut Vec<u8>, data: &[u8]) {
     if data.is_empty() {
         return;
--- a/crates/notchwalk_http/src/lib.rs
+++ b/crates/notchwalk_http/src/lib.rs
@@ -1,9 +1,9 @@
-//! HTTP/1.1 over monoio for all notchwalk programs: a connection with bounds
-//! and timeouts, a client with a pool, and a server loop.
+//! HTTP/1.1 over monoio for all notchwalk programs: a connection with bounds and timeouts,
+//! a client with a connection pool, and a server.
 //!
-//! Heads and bodies are decoded by `monoio-http`. Its encoder flushes a
-//! streamed body only past 8 KiB, which would hold tokens back, so heads and
-//! chunks are framed here, in a few lines.
+//! Heads and bodies are decoded by `monoio-http`. Its encoder buffers 8 KiB of a streamed
+//! body before it flushes, which would delay tokens, so this crate encodes heads and chunks
+//! itself.
 
 mod body;
 mod client;
@@ -23,5 +23,5 @@
 pub use server::{serve, Exchange, ServerLimits, Service};
 pub use tasks::{end_all, spawn};
 
-/// A future that stays on its thread, as monoio tasks do.
+/// A boxed future that is not `Send`, for monoio tasks.
 pub type LocalBoxFuture<'a, T> = std::pin::Pin<Box<dyn std::future::Future<Output = T> + 'a>>;
--- a/crates/notchwalk_http/src/prelude.rs
+++ b/crates/notchwalk_http/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The names that programs speaking HTTP need.
+//! Re-exports for HTTP clients and servers.
 
 pub use crate::{
     serve, Client, Exchange, HttpError, LocalBoxFuture, OutgoingRequest, Reuse, ServerLimits,
--- a/crates/notchwalk_http/src/server.rs
+++ b/crates/notchwalk_http/src/server.rs
@@ -1,5 +1,5 @@
-//! A server loop: accepts connections, reads requests within bounds and hands
-//! each to a service as an exchange.
+//! A server: accepts connections, reads requests within bounds and passes each to a
+//! service as an [`Exchange`].
 
 use std::{cell::Cell, net::SocketAddr, panic::AssertUnwindSafe, rc::Rc, time::Duration};
 
@@ -14,24 +14,24 @@
     chunk_into, response_head, BodyReader, Connection, HttpError, LocalBoxFuture, CHUNK_END,
 };
 
-/// Bytes of an unread request body that are read and dropped, so that the
-/// connection can carry the next request.
+/// Maximum size of an unread request body that is read and discarded to keep the connection
+/// open.
 const MAX_DISCARD_BYTES: usize = 256 * 1024;
-/// How long a closing connection waits for the peer to read its last answer.
-const LINGER: Duration = Duration::from_millis(500);
+/// How long a closing connection waits for the peer to read the last response.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Bounds on connections.
+/// Limits and timeouts of connections.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerLimits {
-    /// Connections open at once; further ones are closed at once.
+    /// Maximum number of open connections; further ones are closed immediately.
     pub connections: usize,
-    /// How long a connection may lie idle.
+    /// How long a connection may be idle.
     pub idle: Duration,
-    /// How long a head may take from its first byte.
+    /// Maximum time to receive a head, from its first byte.
     pub head: Duration,
-    /// How long the next piece of a body may take.
+    /// Maximum time to receive the next piece of a body.
     pub body_piece: Duration,
-    /// How long the peer may take to read what was written.
+    /// Maximum time for a write to the peer.
     pub write: Duration,
 }
 
@@ -49,17 +49,17 @@
 
 /// Answers requests.
 pub trait Service: 'static {
-    /// Answers one request through its exchange.
+    /// Handles one request and writes the response to its exchange.
     fn call<'a>(&'a self, exchange: &'a mut Exchange) -> LocalBoxFuture<'a, ()>;
 
-    /// Returns the bounds in force now, given those that the server started with.
-    /// Asked before each request, and again when a connection lay idle for its time.
+    /// Returns the current limits, given those that the server was started with. Called
+    /// before each request and when the idle timeout of a connection expires.
     fn limits(&self, started_with: ServerLimits) -> ServerLimits {
         started_with
     }
 
-    /// Answers a request that could not be read; the connection closes after.
-    /// Without a better answer it closes at once.
+    /// Handles a malformed request, after which the connection is closed. The default closes
+    /// it without a response.
     fn refuse<'a>(
         &'a self,
         exchange: &'a mut Exchange,
@@ -68,7 +68,7 @@
         Box::pin(async move { exchange.abort() })
     }
 
-    /// Hears that a call panicked; its connection closes.
+    /// Called after [`Self::call`] or [`Self::refuse`] panicked; the connection is closed.
     fn panicked(&self) {}
 }
 
@@ -79,9 +79,9 @@
     All,
 }
 
-/// One request and the means to answer it.
+/// A request and its connection, on which the response is written.
 pub struct Exchange {
-    /// The request's head.
+    /// The request head.
     pub head: RequestHead,
     conn: Connection,
     body: BodyReader,
@@ -105,27 +105,28 @@
         }
     }
 
-    /// Returns the request's path, without its query.
+    /// Returns the path of the request, without the query.
     pub fn path(&self) -> &str {
         self.head.uri.path()
     }
 
-    /// Returns a header's text, if it is there and readable.
+    /// Returns the value of a header if it is present and visible ASCII.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head.headers.get(name).and_then(|v| v.to_str().ok())
     }
 
-    /// Returns the body's declared length, if one was declared.
+    /// Returns the remaining length of the body, if `Content-Length` declares it.
     pub fn declared_length(&self) -> Option<u64> {
         self.body.declared()
     }
 
-    /// Tells whether the request has no body left to read.
+    /// Returns whether the request body was read completely, or there is none.
     pub fn body_is_done(&self) -> bool {
         self.body.is_done()
     }
 
-    async fn invite_body(&mut self) -> Result<(), HttpError> {
+    /// Sends `100 Continue` if the client expects it.
+    async fn send_continue(&mut self) -> Result<(), HttpError> {
         let expect = self.head.headers.remove(header::EXPECT);
         if expect.is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"100-continue")) {
             self.conn
@@ -135,17 +136,17 @@
         Ok(())
     }
 
-    /// Reads the whole body.
+    /// Reads the complete body.
     ///
     /// # Errors
     ///
-    /// Fails as soon as the body is known to exceed `limit` bytes, when it is
-    /// trickled too slowly, or with the connection.
+    /// Fails as soon as the body exceeds `limit` bytes, if the next piece takes too long,
+    /// and on connection errors.
     pub async fn body_bytes(&mut self, limit: usize) -> Result<Bytes, HttpError> {
         self.body_bytes_seen(limit, |_| {}).await
     }
 
-    /// Reads the whole body and shows each piece to `see` as it arrives.
+    /// Reads the complete body and calls `inspect` with each piece as it arrives.
     ///
     /// # Errors
     ///
@@ -153,7 +154,7 @@
     pub async fn body_bytes_seen(
         &mut self,
         limit: usize,
-        mut see: impl FnMut(&[u8]),
+        mut inspect: impl FnMut(&[u8]),
     ) -> Result<Bytes, HttpError> {
         if self.body.declared().is_some_and(|n| n > limit as u64) {
             return Err(HttpError::BodyTooLarge(limit));
@@ -163,22 +164,22 @@
             if whole.len() + piece.len() > limit {
                 return Err(HttpError::BodyTooLarge(limit));
             }
-            see(&piece);
+            inspect(&piece);
             whole.extend_from_slice(&piece);
         }
         Ok(whole.freeze())
     }
 
-    /// Reads the body's next piece, `None` at its end.
+    /// Reads the next piece of the body; returns `None` at its end.
     ///
     /// # Errors
     ///
-    /// Fails when the piece takes too long or the connection fails.
+    /// Fails if the piece takes too long, and on connection errors.
     pub async fn next_piece(&mut self, limit: usize) -> Result<Option<Bytes>, HttpError> {
         if self.body.is_done() {
             return Ok(None);
         }
-        self.invite_body().await?;
+        self.send_continue().await?;
         let read = self.conn.read_piece(&mut self.body, limit);
         match monoio::time::timeout(self.limits.body_piece, read).await {
             Ok(piece) => piece.map(|p| (!p.is_empty()).then_some(p)),
@@ -201,7 +202,7 @@
         }
     }
 
-    /// Answers with a whole body. Failures to write end the connection.
+    /// Sends a response with a complete body. A write error closes the connection.
     pub async fn respond(&mut self, status: StatusCode, mut headers: HeaderMap, body: &[u8]) {
         if self.sent != Sent::Nothing {
             self.keep_alive = false;
@@ -216,7 +217,7 @@
         let _ = self.write(&buf).await;
     }
 
-    /// Answers with JSON.
+    /// Sends a JSON response.
     pub async fn respond_json<T: Serialize>(&mut self, status: StatusCode, value: &T) {
         let body = serde_json::to_vec(value).unwrap_or_default();
         let mut headers = HeaderMap::new();
@@ -225,7 +226,7 @@
         self.respond(status, headers, &body).await;
     }
 
-    /// Answers with plain text.
+    /// Sends a plain-text response.
     pub async fn respond_text(&mut self, status: StatusCode, text: &str) {
         let mut headers = HeaderMap::new();
         let plain = HeaderValue::from_static("text/plain; charset=utf-8");
@@ -246,11 +247,11 @@
         }
     }
 
-    /// Starts a streamed answer; `first` goes out with the head.
+    /// Starts a streamed response; `first` is sent with the head.
     ///
     /// # Errors
     ///
-    /// Fails if the peer is gone.
+    /// Fails on socket errors and if the write times out.
     pub async fn start_stream(
         &mut self,
         status: StatusCode,
@@ -264,37 +265,38 @@
         self.write(&buf).await
     }
 
-    /// Writes chunks that are already framed (see [`chunk_into`]).
+    /// Writes chunks that are already encoded (see [`chunk_into`]).
     ///
     /// # Errors
     ///
-    /// Fails if the peer is gone or reads too slowly.
+    /// Fails on socket errors, and if the peer reads too slowly.
     pub async fn write_framed(&mut self, framed: &[u8]) -> Result<(), HttpError> {
         self.write(framed).await
     }
 
-    /// Ends a streamed answer.
+    /// Ends a streamed response.
     ///
     /// # Errors
     ///
-    /// Fails if the peer is gone.
+    /// Fails on socket errors and if the write times out.
     pub async fn finish_stream(&mut self) -> Result<(), HttpError> {
         self.sent = Sent::All;
         self.write(CHUNK_END).await
     }
 
-    /// Breaks a streamed answer off, so that the peer sees it is not whole.
+    /// Closes the connection after this exchange. A streamed response that was not finished
+    /// is thereby truncated, which the peer detects.
     pub fn abort(&mut self) {
         self.keep_alive = false;
     }
 
-    /// Asks that the connection close after this exchange.
+    /// Closes the connection after this exchange.
     pub fn close_after(&mut self) {
         self.keep_alive = false;
     }
 
-    /// Resolves when the peer closes or breaks the connection. Safe to cancel.
-    /// Never resolves while a body is still to be read.
+    /// Resolves when the peer closes or resets the connection. Never resolves while the
+    /// request body has not been read completely. Cancel safe.
     pub async fn peer_closed(&mut self) {
         if !self.body.is_done() {
             return std::future::pending().await;
@@ -303,18 +305,19 @@
         self.keep_alive = false;
     }
 
+    /// Returns the connection for the next request; closes it if it can't be reused.
     async fn into_next(mut self) -> Option<Connection> {
         if self.sent != Sent::All {
             self.keep_alive = false;
         }
-        let mut dropped = 0;
+        let mut discarded = 0;
         while self.keep_alive && !self.body.is_done() {
             match self.next_piece(MAX_DISCARD_BYTES).await {
-                Ok(Some(piece)) => dropped += piece.len(),
+                Ok(Some(piece)) => discarded += piece.len(),
                 Ok(None) => break,
                 Err(_) => self.keep_alive = false,
             }
-            if dropped > MAX_DISCARD_BYTES {
+            if discarded > MAX_DISCARD_BYTES {
                 self.keep_alive = false;
             }
         }
@@ -323,9 +326,9 @@
         }
         if self.sent == Sent::All {
             self.conn.shutdown().await;
-            // Unread bytes would turn the close into a reset that destroys
-            // the answer on its way.
-            let _ = monoio::time::timeout(LINGER, self.conn.closed()).await;
+            // Closing with unread bytes resets the connection, which can discard the
+            // response before the peer reads it.
+            let _ = monoio::time::timeout(LINGER_TIMEOUT, self.conn.closed()).await;
         }
         None
     }
@@ -346,14 +349,14 @@
     }
 }
 
-/// Accepts connections for ever and serves each in a task of its own.
+/// Accepts connections without end and serves each in its own task.
 pub async fn serve(listener: TcpListener, limits: ServerLimits, service: Rc<dyn Service>) {
-    const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+    const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
     let open = Rc::new(Cell::new(0));
     loop {
         let Ok((stream, peer)) = listener.accept().await else {
-            // Out of file descriptors, most likely; some will come free.
-            monoio::time::sleep(ACCEPT_PAUSE).await;
+            // Most likely out of file descriptors; waits for some to be closed.
+            monoio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         if open.get() >= limits.connections {
@@ -378,13 +381,13 @@
         return;
     };
     loop {
-        if !is_taken_up(&mut conn, limits, &*service).await {
+        if !wait_for_request(&mut conn, limits, &*service).await {
             return;
         }
         let limits = service.limits(limits);
         let read = monoio::time::timeout(limits.head, conn.read_request_head()).await;
         let head = read.unwrap_or(Err(HttpError::TimedOut));
-        let (mut exchange, fault) = match head {
+        let (mut exchange, error) = match head {
             Ok(head) => {
                 let framing = BodyReader::for_request(&head.headers);
                 let mut exchange = Exchange::new(conn, head, limits);
@@ -399,7 +402,7 @@
             Err(HttpError::Closed | HttpError::Io(_)) => return,
             Err(e) => (Exchange::new(conn, empty_head(), limits), Some(e)),
         };
-        let call = match fault {
+        let call = match error {
             None => service.call(&mut exchange),
             Some(e) => {
                 exchange.keep_alive = false;
@@ -417,22 +420,31 @@
     }
 }
 
-/// Waits for the next request; tells whether it came while the connection may lie
-/// idle. The bound may have grown meanwhile, so that its peer counts on more.
-async fn is_taken_up(conn: &mut Connection, limits: ServerLimits, service: &dyn Service) -> bool {
+/// Waits for the next request; returns whether it arrived within the idle timeout. The
+/// timeout is read again when it expires, since a longer one may have been announced to the
+/// peer in the meantime.
+async fn wait_for_request(
+    conn: &mut Connection,
+    limits: ServerLimits,
+    service: &dyn Service,
+) -> bool {
     let mut waited = Duration::ZERO;
     loop {
         let idle = service.limits(limits).idle;
-        let Some(left) = idle.checked_sub(waited).filter(|left| !left.is_zero()) else {
+        let Some(remaining) = idle
+            .checked_sub(waited)
+            .filter(|remaining| !remaining.is_zero())
+        else {
             return false;
         };
-        match monoio::time::timeout(left, conn.wait_readable()).await {
+        match monoio::time::timeout(remaining, conn.wait_readable()).await {
             Ok(readable) => return matches!(readable, Ok(true)),
-            Err(_) => waited += left,
+            Err(_) => waited += remaining,
         }
     }
 }
 
+/// Returns a placeholder for a request head that could not be parsed.
 fn empty_head() -> RequestHead {
     let (head, ()) = http::Request::new(()).into_parts();
     head
--- a/crates/notchwalk_http/src/tasks.rs
+++ b/crates/notchwalk_http/src/tasks.rs
@@ -1,8 +1,8 @@
-//! Tasks of a thread that can be ended together.
+//! Tasks of a thread that can be aborted together.
 //!
-//! A runtime that ends does not drop the tasks that wait: a timer of a task
-//! keeps the task alive, and with it its sockets. Threads that end before their
-//! process does therefore start tasks with [`spawn`] and end with [`end_all`].
+//! A monoio runtime does not drop pending tasks when it ends: a timer keeps its task alive
+//! and the sockets of the task open. Threads that end before their process therefore start
+//! tasks with [`spawn`] and call [`end_all`] at the end.
 
 use std::{cell::RefCell, future::Future, time::Duration};
 
@@ -13,25 +13,25 @@
     static TASKS: RefCell<SlotMap<DefaultKey, AbortHandle>> = RefCell::default();
 }
 
-/// Starts a task on this thread's runtime.
+/// Spawns a task on the runtime of this thread.
 pub fn spawn(task: impl Future<Output = ()> + 'static) {
     let (handle, registration) = AbortHandle::new_pair();
     let key = TASKS.with_borrow_mut(|tasks| tasks.insert(handle));
     monoio::spawn(async move {
-        // The only error says that the task was ended, which is wanted.
+        // The only possible error is that the task was aborted.
         let _ = Abortable::new(task, registration).await;
         TASKS.with_borrow_mut(|tasks| tasks.remove(key));
     });
 }
 
-/// Ends all tasks of this thread that were started with [`spawn`], and waits
-/// until they are dropped. Tasks that they start meanwhile are ended as well.
+/// Aborts all tasks of this thread that were started with [`spawn`], including those that
+/// they start in the meantime, and waits until they are dropped.
 pub async fn end_all() {
-    /// Long enough for the other tasks to run; the runtime's own future can't
-    /// yield to them without a timer.
-    const LOOK_EVERY: Duration = Duration::from_millis(1);
+    /// Lets the other tasks run; the future passed to `block_on` can't yield to them
+    /// without a timer.
+    const POLL_INTERVAL: Duration = Duration::from_millis(1);
     while !TASKS.with_borrow(SlotMap::is_empty) {
         TASKS.with_borrow(|tasks| tasks.values().for_each(AbortHandle::abort));
-        monoio::time::sleep(LOOK_EVERY).await;
+        monoio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/notchwalk_http/tests/bodies.rs
+++ b/crates/notchwalk_http/tests/bodies.rs
@@ -1,4 +1,4 @@
-//! Body framing: pieces add up, and no bytes make it panic.
+//! Body decoding is independent of how bytes are split, and no input makes it panic.
 
 use bytes::BytesMut;
 use http::{header, HeaderMap, HeaderValue};
@@ -18,7 +18,7 @@
     #![proptest_config(ProptestConfig { rng_seed: prop::test_runner::RngSeed::Fixed(13), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn chunks_add_up_however_they_arrive(
+    fn chunked_body_is_decoded_for_any_split_of_the_bytes(
         pieces in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..40), 0..8),
         step in 1usize..30,
     ) {
@@ -43,7 +43,7 @@
     }
 
     #[test]
-    fn no_bytes_make_the_chunk_decoder_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_do_not_panic_the_chunk_decoder(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let mut body = BodyReader::for_request(&chunked()).expect("chunked framing");
         let mut buf = BytesMut::from(&bytes[..]);
         for _ in 0..bytes.len() + 1 {
@@ -54,11 +54,11 @@
     }
 
     #[test]
-    fn no_header_makes_the_framing_panic(length in "[ -~]{0,24}", coding in "[ -~]{0,12}") {
+    fn arbitrary_framing_headers_do_not_panic(length in "[ -~]{0,24}", coding in "[ -~]{0,12}") {
         let mut headers = HeaderMap::new();
         headers.insert(header::CONTENT_LENGTH, HeaderValue::from_str(&length).expect("visible"));
         let _ = BodyReader::for_request(&headers);
         headers.insert(header::TRANSFER_ENCODING, HeaderValue::from_str(&coding).expect("visible"));
-        prop_assert!(BodyReader::for_request(&headers).is_err(), "both framings at once");
+        prop_assert!(BodyReader::for_request(&headers).is_err(), "both Content-Length and Transfer-Encoding");
     }
 }
--- a/crates/notchwalk_http/tests/panics.rs
+++ b/crates/notchwalk_http/tests/panics.rs
@@ -1,4 +1,4 @@
-//! A panic in one request ends its connection and nothing else.
+//! A panic while handling a request closes only the connection of that request.
 
 use std::{
     cell::Cell,
@@ -12,14 +12,14 @@
 use notchwalk_http::prelude::*;
 
 #[derive(Default)]
-struct Fragile {
+struct PanickingService {
     panics: Cell<u32>,
 }
 
-impl Service for Fragile {
+impl Service for PanickingService {
     fn call<'a>(&'a self, exchange: &'a mut Exchange) -> LocalBoxFuture<'a, ()> {
         Box::pin(async move {
-            assert!(exchange.path() != "/panic", "as asked for");
+            assert!(exchange.path() != "/panic", "the request asks for a panic");
             exchange.respond_text(StatusCode::OK, "fine").await;
         })
     }
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn others_are_served_after_a_panic() {
+fn other_requests_are_served_after_a_panic() {
     let builder = RuntimeBuilder::<LegacyDriver>::new().enable_timer();
     let mut runtime = builder.build().expect("a runtime");
     runtime.block_on(async {
@@ -45,12 +45,12 @@
         listener.set_nonblocking(true).expect("non-blocking");
         let addr = listener.local_addr().expect("an address");
         let listener = TcpListener::from_std(listener).expect("a listener");
-        let service = Rc::new(Fragile::default());
+        let service = Rc::new(PanickingService::default());
         monoio::spawn(serve(listener, ServerLimits::default(), service.clone()));
         assert!(get(addr, "/panic").await.is_err());
         assert_eq!(service.panics.get(), 1);
         assert_eq!(
-            get(addr, "/").await.expect("an answer").status,
+            get(addr, "/").await.expect("a response").status,
             StatusCode::OK
         );
     });
--- a/crates/notchwalk_http/tests/slow_peers.rs
+++ b/crates/notchwalk_http/tests/slow_peers.rs
@@ -1,4 +1,4 @@
-//! Heads and bodies that trickle in too slowly are refused.
+//! Requests whose head or body arrives too slowly are rejected.
 
 use std::{
     io::{Read, Write},
@@ -11,9 +11,9 @@
 use monoio::{net::TcpListener, LegacyDriver, RuntimeBuilder};
 use notchwalk_http::prelude::*;
 
-struct Echo;
+struct StatusService;
 
-impl Service for Echo {
+impl Service for StatusService {
     fn call<'a>(&'a self, exchange: &'a mut Exchange) -> LocalBoxFuture<'a, ()> {
         Box::pin(async move {
             let status = match exchange.body_bytes(1_000).await {
@@ -34,8 +34,8 @@
     }
 }
 
-/// Serves in a thread that ends with the test's process.
-fn server() -> SocketAddr {
+/// Starts a server in a thread that runs until the test process exits.
+fn start_server() -> SocketAddr {
     let listener = StdListener::bind("127.0.0.1:0").expect("a port");
     listener.set_nonblocking(true).expect("non-blocking");
     let addr = listener.local_addr().expect("an address");
@@ -48,23 +48,23 @@
         };
         builder.build().expect("a runtime").block_on(async move {
             let listener = TcpListener::from_std(listener).expect("a listener");
-            serve(listener, limits, Rc::new(Echo)).await;
+            serve(listener, limits, Rc::new(StatusService)).await;
         });
     });
     addr
 }
 
 #[test]
-fn a_head_or_a_body_that_never_ends_is_refused() {
-    let addr = server();
+fn incomplete_head_or_body_is_rejected_after_timeout() {
+    let addr = start_server();
     for part in [
         "GET / HTTP/1.1\r\nx-slow: ",
         "POST / HTTP/1.1\r\ncontent-length: 10\r\n\r\nabc",
     ] {
-        let mut stream = TcpStream::connect(addr).expect("it listens");
+        let mut stream = TcpStream::connect(addr).expect("a connection");
         stream.write_all(part.as_bytes()).expect("sent");
-        let mut answer = String::new();
-        stream.read_to_string(&mut answer).expect("an answer");
-        assert!(answer.starts_with("HTTP/1.1 408"), "{answer}");
+        let mut response = String::new();
+        stream.read_to_string(&mut response).expect("a response");
+        assert!(response.starts_with("HTTP/1.1 408"), "{response}");
     }
 }
