--- a/crates/notchwalk_platform/src/bundles.rs
+++ b/crates/notchwalk_platform/src/bundles.rs
@@ -1,6 +1,6 @@
-//! Bundles in the platform: content-addressed parts and manifests in the
-//! object store, and one head row in the table that moves by compare-and-set
-//! from version n to n+1. A bundle is accepted when that move is committed.
+//! Bundles on the platform: content-addressed parts and manifests in the object store, and a
+//! head row in the table that is updated by compare-and-set from version n to n+1. A bundle is
+//! accepted when that update is committed.
 
 use bytes::Bytes;
 use derive_more::{Display, Error, From};
@@ -12,8 +12,8 @@
 
 /// The key of the head row.
 pub const HEAD_KEY: &str = "bundle/head";
-/// Tries of a move whose answer was lost, before it is given up as unknown.
-const READ_BACK_TRIES: usize = 20;
+/// Attempts to update the head without a response before the outcome is reported as unknown.
+const MAX_HEAD_ATTEMPTS: usize = 20;
 
 /// The value of the head row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -24,47 +24,47 @@
     pub manifest: String,
 }
 
-/// A bundle as fetched: checked, and signed by those who may.
+/// A fetched bundle whose content and signatures are valid.
 #[derive(Clone, Debug)]
 pub struct FetchedBundle {
     /// The manifest.
     pub manifest: Manifest,
     /// The parts.
     pub parts: Vec<Part>,
-    /// The content.
+    /// The parsed content.
     pub bundle: Bundle,
-    /// Bytes that were fetched for it.
+    /// The number of bytes fetched.
     pub fetched_bytes: u64,
 }
 
 /// Why a bundle was not accepted, or could not be fetched.
 #[derive(Debug, Display, Error, From)]
 pub enum SubmitError {
-    /// The platform failed; nothing changed.
+    /// A call to the platform failed.
     #[display("{_0}")]
     Platform(PlatformError),
-    /// The bundle has faults or lacks signatures.
+    /// The bundle is invalid or lacks signatures.
     #[display("{_0}")]
     Bundle(BundleError),
-    /// Another version was accepted in between.
-    #[display("version {} is in force, not {}: {}", in_force.version, expected, by)]
+    /// Another version was accepted concurrently.
+    #[display("version {} is in force, expected {}: {}", in_force.version, expected, by)]
     #[from(ignore)]
     Raced {
-        /// What is in force.
+        /// The version in force.
         #[error(not(source))]
         in_force: BundleHead,
-        /// What the change was made against.
+        /// The version that the change is based on.
         expected: u64,
-        /// Who changed what.
+        /// The operators who signed the version in force, and its reason.
         by: String,
     },
-    /// Something stored is missing or isn't what its name says.
+    /// Stored data is missing, or its content does not match its digest.
     #[display("stored data is missing or damaged: {_0}")]
     #[from(ignore)]
     Damaged(#[error(not(source))] String),
-    /// The answer to the move was lost and could not be found out.
+    /// The platform did not respond to the update of the head, so its outcome is unknown.
     #[display(
-        "the platform did not say whether version {_0} was accepted; run the same command again"
+        "the platform did not respond, so version {_0} may have been accepted; run the same command again"
     )]
     #[from(ignore)]
     Unknown(#[error(not(source))] u64),
@@ -82,15 +82,15 @@
     format!("part/{digest}")
 }
 
-/// Reads which bundle is in force; `None` before the first.
+/// Reads the head row; returns `None` if no bundle was accepted yet.
 ///
 /// # Errors
 ///
-/// Fails while the table is down or if the row is damaged.
+/// Fails if the table is unavailable or the row is malformed.
 pub async fn fetch_head(table: &dyn TableStore) -> Result<Option<BundleHead>, SubmitError> {
     let keys = vec![HEAD_KEY.to_owned()];
-    let answer = table.read(TableRead { keys }).await?;
-    let row = answer.rows.into_iter().next().flatten();
+    let response = table.read(TableRead { keys }).await?;
+    let row = response.rows.into_iter().next().flatten();
     row.map(|row| parse_head(&row)).transpose()
 }
 
@@ -98,58 +98,59 @@
     serde_json::from_str(&row.value).map_err(|e| SubmitError::Damaged(format!("head row: {e}")))
 }
 
-/// Fetches a manifest by digest.
+/// Fetches a manifest by its digest.
 ///
 /// # Errors
 ///
-/// Fails while the store is down or if the object isn't that manifest.
+/// Fails if the object store is unavailable, or the manifest is missing or damaged.
 pub async fn fetch_manifest(
     objects: &dyn ObjectStore,
     digest: &str,
 ) -> Result<Manifest, SubmitError> {
     let data = objects.get(manifest_key(digest)).await?;
-    let data = data.ok_or_else(|| SubmitError::Damaged(format!("no manifest {digest}")))?;
+    let data = data.ok_or_else(|| SubmitError::Damaged(format!("manifest {digest} not found")))?;
     let manifest: Manifest = serde_json::from_slice(&data)
         .map_err(|e| SubmitError::Damaged(format!("manifest {digest}: {e}")))?;
     if manifest.digest() != digest {
         return Err(SubmitError::Damaged(format!(
-            "manifest {digest} is another one"
+            "manifest {digest}: the content does not match the digest"
         )));
     }
     Ok(manifest)
 }
 
-/// Fetches a part by digest.
+/// Fetches a part by its digest.
 ///
 /// # Errors
 ///
-/// Fails while the store is down or if the object isn't that part.
+/// Fails if the object store is unavailable, or the part is missing or damaged.
 pub async fn fetch_part(
     objects: &dyn ObjectStore,
     name: PartName,
     digest: &str,
 ) -> Result<Part, SubmitError> {
     let data = objects.get(part_key(digest)).await?;
-    let data = data.ok_or_else(|| SubmitError::Damaged(format!("no part {name} {digest}")))?;
+    let data =
+        data.ok_or_else(|| SubmitError::Damaged(format!("part {name} {digest} not found")))?;
     let text = String::from_utf8(data.to_vec())
-        .map_err(|_| SubmitError::Damaged(format!("part {name} is no text")))?;
+        .map_err(|_| SubmitError::Damaged(format!("part {name} is not UTF-8")))?;
     let part = Part { name, text };
     if part.digest() != digest {
         return Err(SubmitError::Damaged(format!(
-            "part {name} {digest} is another one"
+            "part {name} {digest}: the content does not match the digest"
         )));
     }
     Ok(part)
 }
 
-/// Fetches a bundle by its manifest's digest and checks content and
-/// signatures. Parts found in `known` are not fetched again, and of a changed
-/// part only what differs, if the difference is stored.
+/// Fetches a bundle by the digest of its manifest and checks its content and signatures.
+/// Parts in `known` are not fetched again; of a changed part only the delta is fetched, if it
+/// is stored.
 ///
 /// # Errors
 ///
-/// Fails while the store is down, or if the bundle is faulty, damaged or not
-/// signed by those the bundle before names.
+/// Fails if the object store is unavailable, or the bundle is invalid, damaged or not signed by
+/// operators of the previous bundle.
 pub async fn fetch_bundle(
     objects: &dyn ObjectStore,
     digest: &str,
@@ -158,7 +159,7 @@
     let manifest = fetch_manifest(objects, digest).await?;
     let mut fetch = PartFetch::new(objects, known);
     fetch.bytes += serde_json::to_vec(&manifest).map_or(0, |json| json.len() as u64);
-    let parts = fetch.all(&manifest).await?;
+    let parts = fetch.fetch_all(&manifest).await?;
     let bundle = Bundle::parse(manifest.version, &parts)?;
     if manifest.previous.is_empty() {
         manifest.verify(&bundle)?;
@@ -174,7 +175,7 @@
     })
 }
 
-/// Fetches parts and counts what they cost.
+/// Fetches parts and counts the fetched bytes.
 struct PartFetch<'a> {
     objects: &'a dyn ObjectStore,
     known: &'a [Part],
@@ -190,22 +191,22 @@
         }
     }
 
-    async fn all(&mut self, manifest: &Manifest) -> Result<Vec<Part>, SubmitError> {
+    async fn fetch_all(&mut self, manifest: &Manifest) -> Result<Vec<Part>, SubmitError> {
         let mut parts = Vec::new();
         for (name, digest) in &manifest.parts {
-            parts.push(self.one(*name, digest).await?);
+            parts.push(self.fetch_one(*name, digest).await?);
         }
         Ok(parts)
     }
 
-    async fn one(&mut self, name: PartName, digest: &str) -> Result<Part, SubmitError> {
+    async fn fetch_one(&mut self, name: PartName, digest: &str) -> Result<Part, SubmitError> {
         let known = self.known.iter().find(|part| part.name == name);
         if let Some(known) = known {
             let old = known.digest();
             if old == digest {
                 return Ok(known.clone());
             }
-            if let Some(part) = self.changed(known, &old, digest).await? {
+            if let Some(part) = self.apply_delta(known, &old, digest).await? {
                 return Ok(part);
             }
         }
@@ -214,9 +215,9 @@
         Ok(part)
     }
 
-    /// Makes a part from the known one and the stored difference; `None` if
-    /// there is none or it does not lead to the wanted part.
-    async fn changed(
+    /// Builds a part from the known one and the stored delta. Returns `None` if there is no
+    /// delta or the result does not match `digest`.
+    async fn apply_delta(
         &mut self,
         known: &Part,
         old: &str,
@@ -235,8 +236,8 @@
         Ok(part.filter(|part| part.digest() == digest))
     }
 
-    /// Returns a bundle that knows the operators of an earlier one, which is
-    /// all that its signatures need.
+    /// Returns a bundle with only the operators of `before`, which verify the signatures of the
+    /// next bundle.
     async fn operators_of(
         &mut self,
         before: &Manifest,
@@ -249,7 +250,7 @@
             }
             for part in parts.iter_mut().filter(|part| part.name == *name) {
                 if part.digest() != *digest {
-                    *part = self.one(*name, digest).await?;
+                    *part = self.fetch_one(*name, digest).await?;
                 }
             }
         }
@@ -258,13 +259,13 @@
     }
 }
 
-/// Stores a signed bundle and moves the head to it. Safe to repeat: a bundle
-/// that is already in force counts as accepted.
+/// Stores a signed bundle and updates the head to it. Idempotent: a bundle that is already in
+/// force counts as accepted.
 ///
 /// # Errors
 ///
-/// Fails if the bundle is faulty or unsigned, if another operator was faster,
-/// or if the platform is down.
+/// Fails if the bundle is invalid or lacks signatures, if another version was accepted
+/// concurrently, or if the platform is unavailable.
 pub async fn submit(
     platform: &dyn Platform,
     manifest: &Manifest,
@@ -273,23 +274,23 @@
     let bundle = Bundle::parse(manifest.version, parts)?;
     let head = fetch_head(platform).await?;
     let digest = manifest.digest();
-    let wanted = BundleHead {
+    let new_head = BundleHead {
         version: manifest.version,
         manifest: digest.clone(),
     };
-    if head.as_ref() == Some(&wanted) {
-        return Ok(wanted);
+    if head.as_ref() == Some(&new_head) {
+        return Ok(new_head);
     }
-    check_follows(platform, manifest, parts, &bundle, head.as_ref()).await?;
+    check_successor(platform, manifest, parts, &bundle, head.as_ref()).await?;
     store_parts(platform, head.as_ref(), parts).await?;
     let data = serde_json::to_vec(manifest).unwrap_or_default();
     platform
         .put(manifest_key(&digest), Bytes::from(data))
         .await?;
-    move_head(platform, head, wanted).await
+    update_head(platform, head, new_head).await
 }
 
-/// Stores parts, and how those that changed differ from what is in force.
+/// Stores the parts that changed, and their deltas from the version in force.
 async fn store_parts(
     platform: &dyn Platform,
     head: Option<&BundleHead>,
@@ -320,7 +321,8 @@
     Ok(())
 }
 
-async fn check_follows(
+/// Checks that a manifest is the successor of the head and is signed.
+async fn check_successor(
     platform: &dyn Platform,
     manifest: &Manifest,
     parts: &[Part],
@@ -329,14 +331,14 @@
 ) -> Result<(), SubmitError> {
     let Some(head) = head else {
         if manifest.version != 1 || !manifest.previous.is_empty() {
-            let reason = "there is no bundle yet; the first has version 1";
+            let reason = "no bundle was accepted yet; the first must have version 1 and no previous manifest";
             return Err(SubmitError::Damaged(reason.to_owned()));
         }
         return Ok(manifest.verify(bundle)?);
     };
     if manifest.version != head.version + 1 || manifest.previous != head.manifest {
         let expected = manifest.version.saturating_sub(1);
-        return Err(raced(platform, head.clone(), expected).await);
+        return Err(conflict(platform, head.clone(), expected).await);
     }
     let before = fetch_manifest(platform, &head.manifest).await?;
     let operators = PartFetch::new(platform, &[])
@@ -345,14 +347,15 @@
     Ok(manifest.verify(&operators)?)
 }
 
-async fn raced(objects: &dyn ObjectStore, in_force: BundleHead, expected: u64) -> SubmitError {
+/// Returns the error of a concurrent submission, which names the version that was accepted.
+async fn conflict(objects: &dyn ObjectStore, in_force: BundleHead, expected: u64) -> SubmitError {
     let by = match fetch_manifest(objects, &in_force.manifest).await {
         Ok(manifest) => {
             let names = manifest.signatures.iter().map(|s| s.operator.as_str());
             let names = names.collect::<Vec<_>>().join(" and ");
-            format!("{names} changed it: {}", manifest.reason)
+            format!("changed by {names}: {}", manifest.reason)
         }
-        Err(e) => format!("by whom can't be told: {e}"),
+        Err(e) => format!("the operators are unknown: {e}"),
     };
     SubmitError::Raced {
         in_force,
@@ -361,8 +364,8 @@
     }
 }
 
-/// Moves the head row. A lost answer is found out by reading back.
-async fn move_head(
+/// Updates the head row. Retries if the platform did not respond.
+async fn update_head(
     platform: &dyn Platform,
     from: Option<BundleHead>,
     to: BundleHead,
@@ -381,20 +384,20 @@
         all_or_none: true,
     };
     let expected = from.map_or(0, |head| head.version);
-    for _ in 0..READ_BACK_TRIES {
+    for _ in 0..MAX_HEAD_ATTEMPTS {
         match platform.transact(tx.clone()).await {
-            Ok(answer) if answer.applied.first() == Some(&true) => return Ok(to),
-            Ok(answer) => {
-                let row = answer.rows.into_iter().next().flatten();
+            Ok(response) if response.applied.first() == Some(&true) => return Ok(to),
+            Ok(response) => {
+                let row = response.rows.into_iter().next().flatten();
                 let now = row.map(|row| parse_head(&row)).transpose()?;
                 return match now {
                     Some(now) if now == to => Ok(to),
-                    Some(now) => Err(raced(platform, now, expected).await),
-                    None => Err(SubmitError::Damaged("the head row is gone".to_owned())),
+                    Some(now) => Err(conflict(platform, now, expected).await),
+                    None => Err(SubmitError::Damaged("the head row was removed".to_owned())),
                 };
             }
-            // The move is conditional, so doing it again is safe, and its
-            // answer tells whether the first took effect.
+            // The update is conditional, so a retry is safe and its response shows whether
+            // the first attempt took effect.
             Err(e) if e.may_have_taken_effect() => continue,
             Err(e) => return Err(e.into()),
         }
--- a/crates/notchwalk_platform/src/http_client.rs
+++ b/crates/notchwalk_platform/src/http_client.rs
@@ -1,4 +1,4 @@
-//! The platform over HTTP.
+//! HTTP client of the platform.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -12,37 +12,38 @@
 
 use crate::{ObjectStore, PlatformError, PlatformFuture, TableStore, VmList, WeightStore};
 
-/// How long a call may take.
-const TIMEOUT: Duration = Duration::from_millis(1_200);
-/// The largest answer, in bytes.
-const MAX_ANSWER: usize = 64 << 20;
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(1_200);
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// A client of the platform at one address.
+/// An HTTP client of the platform at one address.
 pub struct HttpPlatform {
     client: Client,
     addr: SocketAddr,
 }
 
 #[derive(Serialize, Deserialize)]
-struct WeightWait {
+struct WeightReservation {
     wait_s: f64,
 }
 
 impl HttpPlatform {
-    /// Builds a client.
+    /// Creates a client.
     pub fn new(client: Client, addr: SocketAddr) -> Self {
         Self { client, addr }
     }
 
     async fn call(&self, req: OutgoingRequest) -> Result<WholeResponse, PlatformError> {
-        let sent = self.client.send(self.addr, req, TIMEOUT, MAX_ANSWER).await;
-        let answer = sent.map_err(|e| match e.nothing_sent() {
+        let sent = self
+            .client
+            .send(self.addr, req, REQUEST_TIMEOUT, MAX_RESPONSE_BYTES)
+            .await;
+        let response = sent.map_err(|e| match e.nothing_sent() {
             true => PlatformError::Unreachable(e.to_string()),
             false => PlatformError::NoAnswer(e.to_string()),
         })?;
-        let status = answer.status;
+        let status = response.status;
         if status.is_success() || status == StatusCode::NOT_FOUND {
-            return Ok(answer);
+            return Ok(response);
         }
         Err(PlatformError::Refused(status.to_string()))
     }
@@ -51,8 +52,8 @@
         &self,
         req: OutgoingRequest,
     ) -> Result<T, PlatformError> {
-        let answer = self.call(req).await?;
-        answer
+        let response = self.call(req).await?;
+        response
             .json()
             .map_err(|e| PlatformError::NoAnswer(e.to_string()))
     }
@@ -79,8 +80,8 @@
     fn get(&self, key: String) -> PlatformFuture<'_, Option<Bytes>> {
         let req = OutgoingRequest::new(Method::GET, format!("/objects/{key}"));
         Box::pin(async move {
-            let answer = self.call(req).await?;
-            Ok((answer.status != StatusCode::NOT_FOUND).then_some(answer.body))
+            let response = self.call(req).await?;
+            Ok((response.status != StatusCode::NOT_FOUND).then_some(response.body))
         })
     }
 }
@@ -96,8 +97,8 @@
         let path = format!("/weights/reserve?bytes={bytes}");
         let req = OutgoingRequest::new(Method::POST, path);
         Box::pin(async move {
-            let wait: WeightWait = self.call_json(req).await?;
-            Ok(wait.wait_s)
+            let reservation: WeightReservation = self.call_json(req).await?;
+            Ok(reservation.wait_s)
         })
     }
 }
--- a/crates/notchwalk_platform/src/lib.rs
+++ b/crates/notchwalk_platform/src/lib.rs
@@ -1,6 +1,5 @@
-//! The platform that operators run already: a transactional table, an object
-//! store, the VM list and the weight store. Trait objects at the border, and
-//! clients that speak HTTP.
+//! Clients of the platform that notchwalk runs on: a transactional table, an object store,
+//! the VM list and the weight store. Each service is a trait with an HTTP implementation.
 
 mod bundles;
 mod error;
@@ -21,5 +20,5 @@
 pub use traits::{ObjectStore, Platform, PlatformFuture, TableStore, VmList, WeightStore};
 pub use version::{StoreVersion, TableCursor, Taken};
 
-/// A future that stays on its thread.
+/// A boxed future that is not `Send`.
 pub type LocalFuture<'a, T> = std::pin::Pin<Box<dyn std::future::Future<Output = T> + 'a>>;
--- a/crates/notchwalk_platform/src/prelude.rs
+++ b/crates/notchwalk_platform/src/prelude.rs
@@ -1,3 +1,3 @@
-//! The names that users of the platform need.
+//! Re-exports for users of the platform.
 
 pub use crate::{HttpPlatform, ObjectStore, Platform, PlatformError, TableStore, VmList};
--- a/crates/notchwalk_platform/src/rows.rs
+++ b/crates/notchwalk_platform/src/rows.rs
@@ -1,4 +1,4 @@
-//! A store of versioned rows whose changes can be followed.
+//! A store of versioned rows with a change feed.
 
 use std::time::Duration;
 
@@ -12,9 +12,9 @@
 pub struct Row {
     /// Its key.
     pub key: String,
-    /// Its value; `None` says that the row was removed.
+    /// Its value; `None` if the row was removed.
     pub value: Option<Bytes>,
-    /// The version of the row, in the era of the answer that brought it.
+    /// The version of the row, with the epoch of the response that contained it.
     pub version: StoreVersion,
 }
 
@@ -25,13 +25,13 @@
     pub rows: Vec<Row>,
     /// The store's newest version.
     pub version: StoreVersion,
-    /// Whether rows follow after the last one.
+    /// Whether more rows follow.
     pub more: bool,
-    /// The store's clock in milliseconds, if it said so.
+    /// The store's clock in milliseconds, if the response contains it.
     pub now_ms: Option<u64>,
 }
 
-/// A change of one row under a condition.
+/// A conditional write of one row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RowWrite {
     /// The table.
@@ -40,44 +40,45 @@
     pub key: String,
     /// The value; `None` removes the row.
     pub value: Option<Bytes>,
-    /// The version the row must have, 0 for none; `None` writes in any case.
+    /// The version that the row must have, 0 if it must not exist; `None` writes
+    /// unconditionally.
     pub expected: Option<u64>,
 }
 
-/// What became of a write.
+/// The outcome of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It took effect.
+    /// The write took effect.
     Written,
-    /// The row had another version.
+    /// The row had a different version, and the write had no effect.
     Conflict,
 }
 
-/// Why changes could not be had.
+/// Errors of reading changes.
 #[derive(Clone, Debug, Display, Error, From, PartialEq, Eq)]
 pub enum FeedError {
-    /// The history that was asked for is gone; the table must be read whole.
-    #[display("the history that was asked for is gone")]
+    /// The store no longer has these changes; the whole table must be read.
+    #[display("the store no longer has the requested history")]
     HistoryGone,
-    /// The store failed.
+    /// The call to the store failed.
     Platform(PlatformError),
 }
 
 /// A transactional store of versioned rows.
 pub trait RowStore {
-    /// Reads the rows of a table with keys from `from` on.
+    /// Reads a page of the rows of a table whose keys are `from` or greater.
     ///
     /// # Errors
     ///
-    /// Fails while the store is down.
+    /// Fails if the store is unavailable.
     fn read(&self, table: &str, from: &str) -> PlatformFuture<'_, RowPage>;
 
-    /// Returns the changes of a table after a version, waiting up to `wait`
-    /// for the first.
+    /// Returns the changes of a table after a version. Waits up to `wait` for the first
+    /// change.
     ///
     /// # Errors
     ///
-    /// Fails while the store is down and when the history is gone.
+    /// Fails if the store is unavailable or no longer has the history after `after`.
     fn changes(
         &self,
         table: &str,
@@ -85,19 +86,19 @@
         wait: Duration,
     ) -> crate::LocalFuture<'_, Result<RowPage, FeedError>>;
 
-    /// Returns how many bytes of answers arrived so far, those of answers that
-    /// were not waited for to the end as well.
+    /// Returns the number of bytes received so far, including those of responses that were
+    /// abandoned.
     fn received_bytes(&self) -> u64;
 
-    /// Closes kept connections, so that the next call goes out on a new one. To
-    /// be called when an answer got lost: connections can fall silent all at once.
+    /// Closes idle connections, so that the next call makes a new one. Call this when a
+    /// response is missing: a network failure can break many connections at once.
     fn renew_connections(&self);
 
     /// Writes one row.
     ///
     /// # Errors
     ///
-    /// Fails while the store is down; then
-    /// [`PlatformError::may_have_taken_effect`] tells more.
+    /// Fails if the store is unavailable; [`PlatformError::may_have_taken_effect`] returns
+    /// whether the write may have taken effect.
     fn write(&self, write: RowWrite) -> PlatformFuture<'_, WriteOutcome>;
 }
--- a/crates/notchwalk_platform/src/traits.rs
+++ b/crates/notchwalk_platform/src/traits.rs
@@ -1,5 +1,4 @@
-//! The platform's services as trait objects, so that tests put small fakes in
-//! their place.
+//! Traits of the platform's services, which tests implement with fakes.
 
 use bytes::Bytes;
 use notchwalk_wire::{
@@ -8,66 +7,65 @@
 
 use crate::{LocalFuture, PlatformError};
 
-/// The future of a call.
+/// The future of a call to the platform.
 pub type PlatformFuture<'a, T> = LocalFuture<'a, Result<T, PlatformError>>;
 
 /// The transactional table.
 pub trait TableStore {
-    /// Runs a transaction.
+    /// Executes a transaction.
     ///
     /// # Errors
     ///
-    /// Fails while the table is down; then
-    /// [`PlatformError::may_have_taken_effect`] tells more.
+    /// Fails if the table is unavailable; [`PlatformError::may_have_taken_effect`] returns
+    /// whether the transaction may have taken effect.
     fn transact(&self, tx: TableTransaction) -> PlatformFuture<'_, TableTransactionAnswer>;
 
     /// Reads rows.
     ///
     /// # Errors
     ///
-    /// Fails while the table is down.
+    /// Fails if the table is unavailable.
     fn read(&self, read: TableRead) -> PlatformFuture<'_, TableReadAnswer>;
 }
 
 /// The object store.
 pub trait ObjectStore {
-    /// Stores an object; storing the same one again changes nothing.
+    /// Stores an object. Idempotent.
     ///
     /// # Errors
     ///
-    /// Fails while the store is down.
+    /// Fails if the store is unavailable.
     fn put(&self, key: String, data: Bytes) -> PlatformFuture<'_, ()>;
 
-    /// Returns an object, `None` if there is none.
+    /// Returns an object, or `None` if it does not exist.
     ///
     /// # Errors
     ///
-    /// Fails while the store is down.
+    /// Fails if the store is unavailable.
     fn get(&self, key: String) -> PlatformFuture<'_, Option<Bytes>>;
 }
 
-/// The list of VMs, which lags.
+/// The list of VMs, which is eventually consistent.
 pub trait VmList {
     /// Returns the list.
     ///
     /// # Errors
     ///
-    /// Fails while the list can't be had.
+    /// Fails if the list is unavailable.
     fn vms(&self) -> PlatformFuture<'_, Vec<VmRecord>>;
 }
 
 /// The store of model weights, which is rate-limited.
 pub trait WeightStore {
-    /// Asks for permission to read so many bytes; returns how many seconds to
-    /// wait first.
+    /// Reserves the read of `bytes` bytes; returns the seconds to wait before reading.
     ///
     /// # Errors
     ///
-    /// Fails while the store is down.
+    /// Fails if the store is unavailable.
     fn reserve(&self, bytes: u64) -> PlatformFuture<'_, f64>;
 }
 
-/// All of the platform.
+/// All services of the platform.
 pub trait Platform: TableStore + ObjectStore + VmList + WeightStore {}
 
 impl<T: TableStore + ObjectStore + VmList + WeightStore> Platform for T {}
--- a/crates/notchwalk_platform/src/version.rs
+++ b/crates/notchwalk_platform/src/version.rs
@@ -1,10 +1,10 @@
-//! Versions of a store that may come back from an older copy, and how far a table of
-//! it is known.
+//! Versions of a store that can be restored from a snapshot, and the position of a reader in
+//! the changes of a table.
 
 use serde_tuple::{Deserialize_tuple, Serialize_tuple};
 
-/// A version of the store. Each time the store comes back from an older copy it
-/// begins a new era and gives revisions out again: they compare within an era only.
+/// A version of the store. A restore from a snapshot starts a new epoch, in which revision
+/// numbers are assigned again: revisions are comparable only within an epoch.
 #[derive(
     Clone,
     Copy,
@@ -19,87 +19,87 @@
     Deserialize_tuple,
 )]
 pub struct StoreVersion {
-    /// How often the store came back from a copy. Compared first.
+    /// The epoch: the number of restores from a snapshot. Compared first.
     pub era: u64,
-    /// Rises with each transaction of the era.
+    /// The revision, which increases with each transaction of the epoch.
     pub rev: u64,
 }
 
 impl StoreVersion {
-    /// Builds a version.
+    /// Creates a version.
     pub fn new(era: u64, rev: u64) -> Self {
         Self { era, rev }
     }
 }
 
-/// What an answer of the store is good for.
+/// Whether a response of the store can be applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Taken {
-    /// Its rows count.
+    /// Its rows are valid.
     Rows,
-    /// It is of an era that is over, as from a connection that lags: it says nothing.
+    /// It is from a former epoch, for example from a delayed connection, and must be ignored.
     FormerEra,
-    /// An era began since the question: the table must be read whole.
+    /// A new epoch began after the query was sent; the whole table must be read.
     NewEra,
 }
 
-/// How far one table is known.
+/// The position of a reader in the changes of one table.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TableCursor {
-    /// The version up to which changes were seen; `None` asks for the whole table.
+    /// The version up to which changes were applied; `None` if the whole table must be read.
     seen: Option<StoreVersion>,
-    /// The newest era of any answer about the table.
-    era: u64,
+    /// The newest epoch of any response about the table.
+    epoch: u64,
 }
 
 impl TableCursor {
-    /// Returns the version up to which the table is known; `None` before it was read,
-    /// and while a question is open.
+    /// Returns the version up to which changes were applied; `None` before the table was
+    /// read and while a query is pending.
     pub fn seen(&self) -> Option<StoreVersion> {
         self.seen
     }
 
-    /// Has the table read whole next.
+    /// Resets the position, so that the whole table is read next.
     pub fn forget(&mut self) {
         self.seen = None;
     }
 
-    /// Takes the version after which changes are to be asked for; `None` for the
-    /// whole table. A question without an answer is never repeated: what comes next
-    /// is read whole.
+    /// Starts a query: returns the version after which to read changes, or `None` to read the
+    /// whole table. Resets the position, so that the whole table is read after a query without
+    /// a response.
     pub fn ask(&mut self) -> Option<StoreVersion> {
         self.seen.take()
     }
 
-    /// Takes the answer to the question for changes after a version. Only rows of the
-    /// same era may count: a change of a new era may have a revision that was asked
-    /// for as known, and is not among them.
+    /// Records the response to a query for the changes after `after`. Its rows are valid only
+    /// in the same epoch: after a restore, a change can have a revision below `after`, which
+    /// the response omits.
     pub fn take_changes(&mut self, after: StoreVersion, version: StoreVersion) -> Taken {
-        let taken = self.judge(after.era, version.era);
+        let taken = self.check_epoch(after.era, version.era);
         if taken == Taken::Rows {
             self.seen = Some(version.max(after));
         }
         taken
     }
 
-    /// Takes the answer to the question for the whole table, whose first page was of
-    /// version `first` and whose last one of `last`.
+    /// Records the responses to a read of the whole table, whose first page was of version
+    /// `first` and whose last page was of version `last`.
     pub fn take_whole(&mut self, first: StoreVersion, last: StoreVersion) -> Taken {
-        let taken = self.judge(first.era, last.era);
+        let taken = self.check_epoch(first.era, last.era);
         if taken == Taken::Rows {
-            // Pages read later may be newer; their changes are seen once more.
+            // Later pages can be newer; their changes are read again.
             self.seen = Some(first);
         }
         taken
     }
 
-    /// Judges an answer of an era to a question that was asked in another one.
-    fn judge(&mut self, asked: u64, answered: u64) -> Taken {
-        if answered < self.era {
+    /// Compares the epoch of a response with that of its query and the newest one seen.
+    fn check_epoch(&mut self, queried: u64, responded: u64) -> Taken {
+        if responded < self.epoch {
             return Taken::FormerEra;
         }
-        self.era = answered;
-        match answered == asked {
+        self.epoch = responded;
+        match responded == queried {
             true => Taken::Rows,
             false => Taken::NewEra,
         }
--- a/crates/notchwalk_platform/tests/store_versions.rs
+++ b/crates/notchwalk_platform/tests/store_versions.rs
@@ -1,17 +1,17 @@
-//! All orders of a few events: two entries follow one table of two rows; rows are
-//! written, a copy is taken, and the store comes back from it. Answers are late: what
-//! the store said before its return may arrive after it.
+//! Model check of `TableCursor`: two nodes follow a table of two rows while rows are written
+//! and the store is restored from a snapshot. Responses sent before the restore can arrive
+//! after it. Guards against nodes that keep stale rows after a restore.
 
 use std::collections::{BTreeMap, HashSet};
 
 use notchwalk_platform::{StoreVersion, TableCursor, Taken};
 
 const KEYS: [char; 2] = ['a', 'b'];
-const WRITES: u8 = 3;
-/// Questions of one entry, besides those at the end.
-const QUESTIONS: u8 = 2;
+const MAX_WRITES: u8 = 3;
+/// Queries per node, besides those of the final check.
+const MAX_QUERIES: u8 = 2;
 
-/// What the store holds: of each key its value and its revision.
+/// The content of the store: the value and revision of each key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Rows {
     rows: BTreeMap<char, (u8, u64)>,
@@ -20,16 +20,16 @@
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Store {
-    era: u64,
+    epoch: u64,
     now: Rows,
-    copy: Option<Rows>,
+    snapshot: Option<Rows>,
     writes: u8,
     restored: bool,
 }
 
 impl Store {
     fn version(&self) -> StoreVersion {
-        StoreVersion::new(self.era, self.now.rev)
+        StoreVersion::new(self.epoch, self.now.rev)
     }
 
     fn write(&mut self, key: char) {
@@ -38,88 +38,86 @@
         self.now.rows.insert(key, (self.writes, self.now.rev));
     }
 
-    /// Returns the rows with keys among these that changed after a revision.
-    fn since(&self, keys: &[char], after: u64) -> Vec<Told> {
+    /// Returns the rows with these keys that changed after a revision.
+    fn changes_since(&self, keys: &[char], after: u64) -> Vec<RowUpdate> {
         let rows = self.now.rows.iter();
         let rows = rows.filter(|(key, (_, rev))| keys.contains(key) && *rev > after);
-        let told = rows.map(|(&key, &(value, rev))| Told {
+        let updates = rows.map(|(&key, &(value, rev))| RowUpdate {
             key,
             value,
-            version: StoreVersion::new(self.era, rev),
+            version: StoreVersion::new(self.epoch, rev),
         });
-        told.collect()
+        updates.collect()
     }
 }
 
-/// A row as an answer brings it.
+/// A row of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Told {
+struct RowUpdate {
     key: char,
     value: u8,
     version: StoreVersion,
 }
 
-/// Where an entry's question is.
+/// The state of a node's query.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-enum Question {
+enum Query {
     #[default]
     None,
-    /// On its way: for changes after a version, or for the whole table.
-    Asked(Option<StoreVersion>),
-    /// Changes are on their way back; `None` for a version that the store lacks.
-    Changes(StoreVersion, Option<(StoreVersion, Vec<Told>)>),
-    /// The first page of the whole table arrived, the second one was not asked for.
-    FirstPage(StoreVersion, Vec<Told>),
+    /// Sent to the store: for changes after a version, or for the whole table.
+    Sent(Option<StoreVersion>),
+    /// The store sent changes; `None` if it lacks the version.
+    Changes(StoreVersion, Option<(StoreVersion, Vec<RowUpdate>)>),
+    /// The first page of the whole table was received; the second was not queried yet.
+    FirstPage(StoreVersion, Vec<RowUpdate>),
 }
 
 #[derive(Clone, Debug, Default)]
-struct Entry {
+struct Node {
     cursor: TableCursor,
     known: BTreeMap<char, (u8, StoreVersion)>,
-    question: Question,
-    asked: u8,
+    query: Query,
+    queries: u8,
 }
 
-impl Entry {
-    fn ask(&mut self) {
-        self.asked += 1;
-        self.question = Question::Asked(self.cursor.ask());
+impl Node {
+    fn start_query(&mut self) {
+        self.queries += 1;
+        self.query = Query::Sent(self.cursor.ask());
     }
 
-    /// The next step of the question: the store answers, or the answer arrives.
-    fn go_on(&mut self, store: &Store) {
-        self.question = match std::mem::take(&mut self.question) {
-            Question::None => Question::None,
-            Question::Asked(None) => {
-                Question::FirstPage(store.version(), store.since(&KEYS[..1], 0))
+    /// Advances the query: the store sends the response, or the node receives it.
+    fn step(&mut self, store: &Store) {
+        self.query = match std::mem::take(&mut self.query) {
+            Query::None => Query::None,
+            Query::Sent(None) => {
+                Query::FirstPage(store.version(), store.changes_since(&KEYS[..1], 0))
             }
-            Question::Asked(Some(after)) if after.rev > store.now.rev => {
-                Question::Changes(after, None)
+            Query::Sent(Some(after)) if after.rev > store.now.rev => Query::Changes(after, None),
+            Query::Sent(Some(after)) => {
+                let changes = (store.version(), store.changes_since(&KEYS, after.rev));
+                Query::Changes(after, Some(changes))
             }
-            Question::Asked(Some(after)) => {
-                let changes = (store.version(), store.since(&KEYS, after.rev));
-                Question::Changes(after, Some(changes))
-            }
-            Question::Changes(_, None) => Question::None,
-            Question::Changes(after, Some((version, rows))) => {
+            Query::Changes(_, None) => Query::None,
+            Query::Changes(after, Some((version, rows))) => {
                 if self.cursor.take_changes(after, version) == Taken::Rows {
-                    self.take(&rows);
+                    self.apply(&rows);
                 }
-                Question::None
+                Query::None
             }
-            Question::FirstPage(first, mut rows) => {
-                rows.extend(store.since(&KEYS[1..], 0));
+            Query::FirstPage(first, mut rows) => {
+                rows.extend(store.changes_since(&KEYS[1..], 0));
                 if self.cursor.take_whole(first, store.version()) == Taken::Rows {
                     self.known
                         .retain(|key, _| rows.iter().any(|row| row.key == *key));
-                    self.take(&rows);
+                    self.apply(&rows);
                 }
-                Question::None
+                Query::None
             }
         }
     }
 
-    fn take(&mut self, rows: &[Told]) {
+    fn apply(&mut self, rows: &[RowUpdate]) {
         for row in rows {
             let known = self.known.get(&row.key);
             if known.is_some_and(|(_, version)| row.version < *version) {
@@ -136,96 +134,96 @@
 }
 
 #[derive(Clone, Debug, Default)]
-struct World {
+struct System {
     store: Store,
-    entries: [Entry; 2],
+    nodes: [Node; 2],
 }
 
-impl World {
-    /// Returns what may happen next.
-    fn next(&self) -> Vec<World> {
+impl System {
+    /// Returns the states that can follow.
+    fn successors(&self) -> Vec<System> {
         let mut next = Vec::new();
-        let mut add = |change: &dyn Fn(&mut World)| {
-            let mut world = self.clone();
-            change(&mut world);
-            next.push(world);
+        let mut add = |change: &dyn Fn(&mut System)| {
+            let mut system = self.clone();
+            change(&mut system);
+            next.push(system);
         };
-        if self.store.writes < WRITES {
+        if self.store.writes < MAX_WRITES {
             for key in KEYS {
-                add(&|world| world.store.write(key));
+                add(&|system| system.store.write(key));
             }
         }
-        if self.store.copy.is_none() {
-            add(&|world| world.store.copy = Some(world.store.now.clone()));
+        if self.store.snapshot.is_none() {
+            add(&|system| system.store.snapshot = Some(system.store.now.clone()));
         }
-        if let Some(copy) = self.store.copy.clone().filter(|_| !self.store.restored) {
-            add(&|world| {
-                world.store.now = copy.clone();
-                world.store.era += 1;
-                world.store.restored = true;
+        if let Some(snapshot) = self.store.snapshot.clone().filter(|_| !self.store.restored) {
+            add(&|system| {
+                system.store.now = snapshot.clone();
+                system.store.epoch += 1;
+                system.store.restored = true;
             });
         }
-        for number in 0..self.entries.len() {
-            let entry = &self.entries[number];
-            if entry.question != Question::None {
-                add(&|world| world.entries[number].go_on(&world.store));
-            } else if entry.asked < QUESTIONS {
-                add(&|world| world.entries[number].ask());
+        for index in 0..self.nodes.len() {
+            let node = &self.nodes[index];
+            if node.query != Query::None {
+                add(&|system| system.nodes[index].step(&system.store));
+            } else if node.queries < MAX_QUERIES {
+                add(&|system| system.nodes[index].start_query());
             }
         }
         next
     }
 
-    /// Returns what tells this state from others.
+    /// Returns a string that is unique to this state.
     fn fingerprint(&self) -> String {
         format!("{self:?}")
     }
 
-    /// Lets all questions end and asks again: then every entry knows what the store
-    /// holds.
+    /// Completes all queries and sends further ones, after which every node must have the
+    /// content of the store.
     fn check(&self) {
-        /// An answer of before, one that brings a new era, one for the whole.
+        /// A late response, a response of a new epoch, and a read of the whole table.
         const ROUNDS: usize = 3;
-        let mut world = self.clone();
-        let store = world.store.clone();
-        for entry in &mut world.entries {
+        let mut system = self.clone();
+        let store = system.store.clone();
+        for node in &mut system.nodes {
             for _ in 0..ROUNDS {
-                while entry.question != Question::None {
-                    entry.go_on(&store);
+                while node.query != Query::None {
+                    node.step(&store);
                 }
-                entry.ask();
+                node.start_query();
             }
-            while entry.question != Question::None {
-                entry.go_on(&store);
+            while node.query != Query::None {
+                node.step(&store);
             }
-            let held = store
+            let expected = store
                 .now
                 .rows
                 .iter()
                 .map(|(&key, &(value, _))| (key, value));
-            let held: BTreeMap<char, u8> = held.collect();
-            assert_eq!(entry.values(), held, "{self:#?}");
+            let expected: BTreeMap<char, u8> = expected.collect();
+            assert_eq!(node.values(), expected, "{self:#?}");
         }
     }
 }
 
 #[test]
-fn entries_know_what_the_store_holds_after_any_order_of_events() {
-    let mut seen = HashSet::new();
-    let mut open = vec![World::default()];
-    while let Some(world) = open.pop() {
-        if !seen.insert(world.fingerprint()) {
+fn nodes_converge_to_the_store_after_any_order_of_events() {
+    let mut visited = HashSet::new();
+    let mut pending = vec![System::default()];
+    while let Some(system) = pending.pop() {
+        if !visited.insert(system.fingerprint()) {
             continue;
         }
-        world.check();
-        open.extend(world.next());
+        system.check();
+        pending.extend(system.successors());
     }
-    println!("{} states", seen.len());
-    assert!(seen.len() > 10_000, "{} states", seen.len());
+    println!("{} states", visited.len());
+    assert!(visited.len() > 10_000, "{} states", visited.len());
 }
 
 #[test]
-fn an_answer_of_a_former_era_changes_nothing() {
+fn response_of_a_former_epoch_is_ignored() {
     let mut cursor = TableCursor::default();
     assert_eq!(cursor.ask(), None);
     let newer = StoreVersion::new(1, 4);
