--- a/crates/notchwalk_bundle/examples/two_signatures.rs
+++ b/crates/notchwalk_bundle/examples/two_signatures.rs
@@ -1,10 +1,10 @@
-//! A bundle needs an author and another operator as reviewer.
+//! A bundle must be signed by an author and by another operator who is a reviewer.
 //!
 //! Run with `cargo run -p notchwalk_bundle --example two_signatures`.
 
 use notchwalk_bundle::{new_signing_key, Bundle, Manifest, Part, PartName, SigningKey};
 
-fn public(key: &SigningKey) -> String {
+fn public_key_hex(key: &SigningKey) -> String {
     let bytes = key.verifying_key().to_bytes();
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
@@ -14,8 +14,8 @@
     let operators = format!(
         "[operator amna]\npublic_key = {}\nroles = author\n\
          [operator said]\npublic_key = {}\nroles = reviewer\n",
-        public(&amna),
-        public(&said)
+        public_key_hex(&amna),
+        public_key_hex(&said)
     );
     let part = |name, text: &str| Part {
         name,
@@ -40,7 +40,7 @@
         signatures: Vec::new(),
     };
     manifest.sign("amna", &amna);
-    println!("the author alone: {:?}", manifest.verify(&bundle));
+    println!("author only: {:?}", manifest.verify(&bundle));
     manifest.sign("said", &said);
-    println!("with the reviewer: {:?}", manifest.verify(&bundle));
+    println!("author and reviewer: {:?}", manifest.verify(&bundle));
 }
--- a/crates/notchwalk_bundle/src/bundle.rs
+++ b/crates/notchwalk_bundle/src/bundle.rs
@@ -1,4 +1,4 @@
-//! The content of a bundle.
+//! Parsing and checking of a bundle's content.
 
 use std::{collections::HashMap, fmt, str::FromStr};
 
@@ -7,23 +7,23 @@
 
 use crate::{reader::IniFile, sign::check_public_key, BundleError};
 
-/// The parts of a bundle, by concern.
+/// The name of a part of a bundle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PartName {
     /// Operators and their public keys.
     Operators,
-    /// Models, their limits, adapters and versions.
+    /// Models with their limits, adapters and versions.
     Models,
     /// Plain services.
     Services,
-    /// Workspaces: shares, priorities, limits and what they may reach.
+    /// Workspaces with their weights, priorities, limits and permissions.
     Workspaces,
-    /// How requests are scheduled.
+    /// The scheduling policy.
     Policy,
 }
 
-/// All parts, in the order in which they are listed and checked.
+/// All parts, in the order of listing and checking.
 pub const PART_NAMES: [PartName; 5] = [
     PartName::Operators,
     PartName::Models,
@@ -45,36 +45,36 @@
 }
 
 impl PartName {
-    /// Returns the part's file name in a bundle folder.
+    /// Returns the file name of the part in a bundle's directory.
     pub fn file_name(self) -> String {
         format!("{self}.ini")
     }
 }
 
-/// One part's text.
+/// The text of one part.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Part {
-    /// Which part.
+    /// The name.
     pub name: PartName,
     /// Its INI text.
     pub text: String,
 }
 
 impl Part {
-    /// Returns the digest under which the part is stored, in hex.
+    /// Returns the BLAKE3 digest under which the part is stored, in hex.
     pub fn digest(&self) -> String {
         blake3::hash(self.text.as_bytes()).to_hex().to_string()
     }
 }
 
-macro_rules! arena_key {
+macro_rules! index_type {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub struct $name(pub u32);
 
         impl $name {
-            /// Returns the place in the bundle's list.
+            /// Returns the index in the bundle's list.
             pub fn index(self) -> usize {
                 self.0 as usize
             }
@@ -82,84 +82,84 @@
     };
 }
 
-arena_key! {
-    /// Names a workspace of one bundle.
+index_type! {
+    /// Identifies a workspace within one bundle.
     WorkspaceKey
 }
-arena_key! {
-    /// Names a model of one bundle.
+index_type! {
+    /// Identifies a model within one bundle.
     ModelKey
 }
-arena_key! {
-    /// Names a plain service of one bundle.
+index_type! {
+    /// Identifies a plain service within one bundle.
     ServiceKey
 }
 
-/// A group that shares the fleet.
+/// A tenant of the fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Workspace {
     /// The name.
     pub name: String,
-    /// The share of the fleet, relative to the other workspaces.
+    /// The weight in fair sharing, relative to the other workspaces.
     pub weight: f64,
-    /// The highest priority its requests may ask for, 0 to 9.
+    /// The highest priority that its requests may have, 0 to 9.
     pub priority_max: u8,
-    /// The models it may reach.
+    /// The models it may use.
     pub models: Vec<ModelKey>,
-    /// The plain services it may reach.
+    /// The plain services it may use.
     pub services: Vec<ServiceKey>,
-    /// Requests it may have running on one entry.
+    /// Maximum number of running requests per node.
     pub max_in_flight: u32,
-    /// Requests it may have waiting on one entry.
+    /// Maximum number of queued requests per node.
     pub max_queued: u32,
 }
 
 /// A model that engines serve.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Model {
-    /// The name callers use.
+    /// The name in requests.
     pub name: String,
-    /// The largest prompt with answer, in tokens.
+    /// The context length, prompt and completion together, in tokens.
     pub context_tokens: u64,
-    /// Adapters that may be asked for as `MODEL:ADAPTER`.
+    /// Adapters, requested as `MODEL:ADAPTER`.
     pub adapters: Vec<String>,
-    /// Versions that may be asked for as `MODEL@VERSION`; the first is the
-    /// default. Engines that serve the model are ordered to load all.
+    /// Versions, requested as `MODEL@VERSION`; the first is the default. Engines that serve the
+    /// model receive orders to load all of them.
     pub versions: Vec<String>,
-    /// Whether the engines that serve it refuse old fencing numbers.
+    /// Whether the engines that serve it reject outdated fencing tokens.
     pub checks_fence: bool,
 }
 
-/// An application service beside the engines.
+/// A service that is not a model engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlainService {
-    /// The name in the path.
+    /// The name in the request path.
     pub name: String,
-    /// How long a call may take, in milliseconds.
+    /// The timeout of a call, in milliseconds.
     pub timeout_ms: u64,
-    /// Methods whose calls may be repeated after a failure.
+    /// HTTP methods whose calls may be retried after a failure.
     pub repeatable_methods: Vec<String>,
 }
 
-/// Someone who may sign bundles.
+/// An operator who may sign bundles.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Operator {
     /// The name.
     pub name: String,
     /// The ed25519 public key, in hex.
     pub public_key: String,
-    /// May propose changes.
+    /// Whether the operator may propose changes.
     pub author: bool,
-    /// May sign off the changes of others.
+    /// Whether the operator may approve the changes of others.
     pub reviewer: bool,
 }
 
-/// How requests are ordered and placed.
+/// The algorithm that orders requests and assigns them to servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PolicyKind {
-    /// One queue in the order of arrival; a baseline.
+    /// A single queue in order of arrival; a baseline.
     Fifo,
-    /// At once to the server with the least reported load; a baseline.
+    /// Immediate dispatch to the server with the least reported load; a baseline.
     LeastLoaded,
     /// Weighted fair sharing with length classes and reservations.
     #[default]
@@ -179,36 +179,35 @@
     }
 }
 
-/// The policy's settings.
+/// The settings of the scheduling policy.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Policy {
     /// The kind.
     pub kind: PolicyKind,
-    /// Requests one entry may hold, waiting and running.
+    /// Maximum number of queued and running requests per node.
     pub max_requests: u32,
-    /// The timeout of a request that names none, in milliseconds.
+    /// The timeout of a request that specifies none, in milliseconds.
     pub default_timeout_ms: u64,
-    /// The longest timeout a request may ask for, in milliseconds.
+    /// The longest timeout that a request may specify, in milliseconds.
     pub max_timeout_ms: u64,
-    /// The part of an engine's memory that long work never takes, in percent.
+    /// The share of an engine's KV memory that long requests can't reserve, in percent.
     pub short_room_percent: u64,
-    /// How long long work waits before an engine is kept free for it, in
+    /// The waiting time after which an engine is reserved for a long request, in
     /// milliseconds.
     pub ageing_ms: u64,
-    /// Further attempts allowed for each hundred requests.
+    /// The retry budget: retries per hundred requests.
     pub retry_percent: u64,
-    /// The longest pause of a daemon that engines without fencing are guarded
-    /// against, in milliseconds.
+    /// How long a daemon can be suspended without sending outdated orders to engines that lack
+    /// fencing, in milliseconds.
     pub order_pause_ms: u64,
-    /// How long the outcome of a call with an idempotency key is kept, in
-    /// seconds.
+    /// How long the outcome of a call with an idempotency key is stored, in seconds.
     pub outcome_ttl_s: u64,
 }
 
 /// A parsed and checked bundle.
 #[derive(Clone, Debug)]
 pub struct Bundle {
-    /// The version; 0 before any was accepted.
+    /// The version; 0 before the first bundle was accepted.
     pub version: u64,
     /// The workspaces; [`WorkspaceKey`]s index them.
     pub workspaces: Vec<Workspace>,
@@ -226,48 +225,47 @@
 }
 
 impl Bundle {
-    /// Parses the parts and checks each and how they fit together.
+    /// Parses the parts and checks each of them and their references to each other.
     ///
     /// # Errors
     ///
     /// Returns all findings.
     pub fn parse(version: u64, parts: &[Part]) -> Result<Self, BundleError> {
-        let mut build = Builder::default();
+        let mut builder = Builder::default();
         for name in PART_NAMES {
             match parts.iter().find(|part| part.name == name) {
-                Some(part) => build.read(part),
-                None => build
+                Some(part) => builder.read(part),
+                None => builder
                     .findings
                     .add(&name.file_name(), "", "", "the part is missing"),
             }
         }
-        build.finish(version).map_err(BundleError::Faulty)
+        builder.finish(version).map_err(BundleError::Faulty)
     }
 
-    /// Parses only the operators, which is what checking the signatures of the
-    /// next bundle needs.
+    /// Parses only the operators, which verify the signatures of the next bundle.
     ///
     /// # Errors
     ///
-    /// Returns the findings in the operators part.
+    /// Returns all findings in the operators part.
     pub fn operators_only(version: u64, parts: &[Part]) -> Result<Self, BundleError> {
-        let mut build = Builder::default();
+        let mut builder = Builder::default();
         for part in parts.iter().filter(|p| p.name == PartName::Operators) {
-            build.read(part);
+            builder.read(part);
         }
-        build.read(&Part {
+        builder.read(&Part {
             name: PartName::Policy,
             text: String::new(),
         });
-        build.finish(version).map_err(BundleError::Faulty)
+        builder.finish(version).map_err(BundleError::Faulty)
     }
 
-    /// Returns the workspace of a caller's key.
+    /// Returns the workspace of a caller's API key.
     pub fn workspace_of_key(&self, key: &str) -> Option<WorkspaceKey> {
         self.workspace_by_key.get(&crate::key_hash(key)).copied()
     }
 
-    /// Returns a workspace's data.
+    /// Returns a workspace.
     pub fn workspace(&self, key: WorkspaceKey) -> &Workspace {
         &self.workspaces[key.index()]
     }
@@ -352,7 +350,7 @@
             ini.add(
                 "",
                 "",
-                "an author and another operator as reviewer are needed",
+                "an author and another operator as reviewer are required",
             );
         }
     }
@@ -360,7 +358,7 @@
     fn read_models(&mut self, ini: &IniFile) {
         for (name, section) in ini.sections_of("model") {
             if name.contains(['@', ':', ' ']) {
-                section.add("", "a model's name holds no '@', ':' or space");
+                section.add("", "a model name must not contain '@', ':' or a space");
             }
             let mut versions = section.list("versions");
             if versions.is_empty() {
@@ -375,7 +373,7 @@
             });
         }
         if self.models.is_empty() {
-            ini.add("", "", "there is no model");
+            ini.add("", "", "at least one model is required");
         }
     }
 
@@ -401,14 +399,17 @@
                 if !is_hash {
                     section.add(
                         "key_hashes",
-                        format!("{hash:?} is no hash of 64 hex digits"),
+                        format!("{hash:?} is not a hash of 64 hex digits"),
                     );
                 } else if self.key_hashes.insert(hash.to_lowercase(), key).is_some() {
-                    section.add("key_hashes", "another workspace has the same key");
+                    section.add(
+                        "key_hashes",
+                        "the key is already assigned to another workspace",
+                    );
                 }
             }
             let models = section.list("models");
-            let models = lookup(
+            let models = resolve_names(
                 &models,
                 &self.models,
                 |m| &m.name,
@@ -417,7 +418,7 @@
                 },
             );
             let services = section.list("services");
-            let services = lookup(
+            let services = resolve_names(
                 &services,
                 &self.services,
                 |s| &s.name,
@@ -482,18 +483,18 @@
     }
 }
 
-/// Finds the places of `names` in `list` and reports those that aren't there.
-fn lookup<T>(
+/// Returns the indices of `names` in `list` and reports unknown names.
+fn resolve_names<T>(
     names: &[String],
     list: &[T],
     name_of: fn(&T) -> &String,
-    mut fault: impl FnMut(String),
+    mut report: impl FnMut(String),
 ) -> Vec<u32> {
     let mut found = Vec::new();
     for name in names {
         match list.iter().position(|item| name_of(item) == name) {
             Some(i) => found.push(i as u32),
-            None => fault(format!("{name:?} isn't in the bundle")),
+            None => report(format!("{name:?} is not in the bundle")),
         }
     }
     found
--- a/crates/notchwalk_bundle/src/delta.rs
+++ b/crates/notchwalk_bundle/src/delta.rs
@@ -1,22 +1,22 @@
-//! The difference between two texts of a part, so that a small change of a
-//! large part moves few bytes.
+//! Line deltas between two versions of a part, so that a small change of a large part
+//! transfers few bytes.
 
 use serde::{Deserialize, Serialize};
 use similar::{capture_diff_slices, Algorithm, DiffOp};
 
-/// Lines that stay, and what comes in the place of those behind them.
+/// A run of unchanged lines and the replacement of the lines after them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Hunk {
-    /// Lines of the old text that stay.
+    /// The number of unchanged lines.
     keep: usize,
-    /// Lines behind them that go.
+    /// The number of lines removed after them.
     remove: usize,
-    /// What comes instead.
+    /// The text inserted in their place.
     insert: String,
 }
 
-/// How a text becomes another one. Whoever applies it checks the result's
-/// digest.
+/// A delta from one text to another. It carries no digest: the digest of the result must be
+/// checked after [`Delta::apply`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
     hunks: Vec<Hunk>,
@@ -27,13 +27,13 @@
 }
 
 impl Delta {
-    /// Finds how `old` becomes `new`.
+    /// Computes the delta from `old` to `new`.
     pub fn between(old: &str, new: &str) -> Self {
         let (old, new) = (lines(old), lines(new));
         let mut hunks = Vec::new();
         let mut hunk = Hunk::default();
-        // Only the order of the operations is relied on: an insertion may name
-        // a place in the old text before a removal that precedes it.
+        // Uses only the order of the operations: the old index of an insertion can lie before
+        // a removal that precedes it.
         for op in capture_diff_slices(Algorithm::Myers, &old, &new) {
             if let DiffOp::Equal { len, .. } = op {
                 if hunk.remove > 0 || !hunk.insert.is_empty() {
@@ -51,19 +51,19 @@
         Self { hunks }
     }
 
-    /// Applies the difference; `None` if it does not fit the text.
+    /// Applies the delta; returns `None` if `old` has too few lines.
     pub fn apply(&self, old: &str) -> Option<String> {
         let old_lines = lines(old);
         let mut text = String::with_capacity(old.len());
-        let mut at = 0;
+        let mut next_line = 0;
         for hunk in &self.hunks {
-            let end = usize::checked_add(at, hunk.keep)?;
-            let kept = old_lines.get(at..end)?;
+            let end = usize::checked_add(next_line, hunk.keep)?;
+            let kept = old_lines.get(next_line..end)?;
             text.extend(kept.iter().copied());
             text.push_str(&hunk.insert);
-            at = end.checked_add(hunk.remove)?;
+            next_line = end.checked_add(hunk.remove)?;
         }
-        text.extend(old_lines.get(at..)?.iter().copied());
+        text.extend(old_lines.get(next_line..)?.iter().copied());
         Some(text)
     }
 }
--- a/crates/notchwalk_bundle/src/error.rs
+++ b/crates/notchwalk_bundle/src/error.rs
@@ -1,19 +1,18 @@
-//! Why a bundle is refused.
+//! Errors of bundles.
 
 use derive_more::{Display, Error};
 use notchwalk_core::Findings;
 
-/// A bundle that can't be used.
+/// Why a bundle is rejected.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum BundleError {
-    /// The content has faults.
+    /// The content is invalid.
     #[display("{_0}")]
     Faulty(Findings),
-    /// A signature is missing, does not fit, or comes from someone who may not
-    /// give it.
+    /// A signature is missing, invalid, or not from an operator with the required role.
     #[display("signature: {_0}")]
     Signature(#[error(not(source))] String),
-    /// A key can't be read.
+    /// A key is malformed.
     #[display("key: {_0}")]
     Key(#[error(not(source))] String),
 }
--- a/crates/notchwalk_bundle/src/lib.rs
+++ b/crates/notchwalk_bundle/src/lib.rs
@@ -1,6 +1,5 @@
-//! The settings bundle: what operators decide about workspaces, models,
-//! services and policy. Parsing, checking, comparing, signing and digests;
-//! no I/O.
+//! The configuration bundle: operators, models, services, workspaces and policy. Parses,
+//! checks, compares, signs and digests bundles; performs no I/O.
 
 mod bundle;
 mod delta;
--- a/crates/notchwalk_bundle/src/prelude.rs
+++ b/crates/notchwalk_bundle/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The names that users of bundles need.
+//! Re-exports for users of bundles.
 
 pub use crate::{
     Bundle, BundleError, Manifest, ModelKey, Part, PartName, PolicyKind, ServiceKey, WorkspaceKey,
--- a/crates/notchwalk_bundle/src/reader.rs
+++ b/crates/notchwalk_bundle/src/reader.rs
@@ -1,5 +1,5 @@
-//! Reads INI text and collects every fault with its place. Unknown keys and
-//! sections are faults, since they are most often typing errors.
+//! Reads INI text and collects all findings with their location. Unknown keys and sections
+//! are findings, since they are usually typing errors.
 
 use std::{cell::RefCell, collections::BTreeSet, fmt::Display, str::FromStr};
 
@@ -15,11 +15,11 @@
 }
 
 impl IniFile {
-    /// Parses `text`; `name` stands in the findings.
+    /// Parses `text`; findings refer to the file as `name`.
     ///
     /// # Errors
     ///
-    /// Fails if the text is no INI at all.
+    /// Fails if the text is not valid INI.
     pub fn parse(name: &str, text: &str) -> Result<Self, Findings> {
         let option = ParseOption {
             enabled_escape: false,
@@ -38,13 +38,13 @@
         })
     }
 
-    /// Returns the section with exactly this name.
+    /// Returns a reader of the section with exactly this title.
     pub fn section(&self, name: &str) -> SectionReader<'_> {
         self.used_sections.borrow_mut().insert(name.to_owned());
         SectionReader::new(self, name, self.ini.section(Some(name)))
     }
 
-    /// Returns the sections named `KIND NAME`, with their `NAME`s, in order.
+    /// Returns the sections with the title `KIND NAME` and their `NAME`s, in file order.
     pub fn sections_of(&self, kind: &str) -> Vec<(String, SectionReader<'_>)> {
         let mut found = Vec::new();
         let mut seen = BTreeSet::new();
@@ -59,7 +59,7 @@
             self.used_sections.borrow_mut().insert(title.to_owned());
             let name = name.trim().to_owned();
             if !seen.insert(name.clone()) {
-                self.add(title, "", "the section stands twice");
+                self.add(title, "", "duplicate section");
                 continue;
             }
             found.push((name, SectionReader::new(self, title, Some(properties))));
@@ -67,22 +67,22 @@
         found
     }
 
-    /// Records a fault.
+    /// Records a finding.
     pub fn add(&self, section: &str, key: &str, reason: impl Into<String>) {
         let mut findings = self.findings.borrow_mut();
         findings.add(&self.name, section, key, reason);
     }
 
-    /// Ends the reading.
+    /// Finishes reading.
     ///
     /// # Errors
     ///
-    /// Returns all faults, unknown sections among them.
+    /// Returns all findings, including unknown sections.
     pub fn finish(self) -> Result<(), Findings> {
         for (title, properties) in self.ini.iter() {
             match title {
                 None if properties.is_empty() => {}
-                None => self.add("", "", "keys stand before the first section"),
+                None => self.add("", "", "keys before the first section"),
                 Some(title) if !self.used_sections.borrow().contains(title) => {
                     self.add(title, "", "unknown section");
                 }
@@ -93,7 +93,7 @@
     }
 }
 
-/// Reads the keys of one section; dropping it reports the unknown ones.
+/// Reads the keys of one section; reports unknown keys when dropped.
 pub struct SectionReader<'a> {
     file: &'a IniFile,
     title: String,
@@ -111,27 +111,27 @@
         }
     }
 
-    /// Tells whether the section stands in the file.
+    /// Returns whether the file contains the section.
     pub fn exists(&self) -> bool {
         self.properties.is_some()
     }
 
-    /// Records a fault of a key.
+    /// Records a finding about a key.
     pub fn add(&self, key: &str, reason: impl Into<String>) {
         self.file.add(&self.title, key, reason);
     }
 
-    /// Returns a key's text, if it is there.
+    /// Returns the text of a key, if present.
     pub fn text(&self, key: &str) -> Option<&'a str> {
         self.used.borrow_mut().insert(key.to_owned());
         let properties = self.properties?;
         if properties.get_all(key).count() > 1 {
-            self.add(key, "the key stands twice");
+            self.add(key, "duplicate key");
         }
         properties.get(key).map(str::trim)
     }
 
-    /// Returns a key's value, if it is there and readable.
+    /// Returns the value of a key, if present and valid.
     pub fn optional<T: FromStr>(&self, key: &str) -> Option<T>
     where
         T::Err: Display,
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Returns a key's value, or `default` if it isn't there.
+    /// Returns the value of a key, or `default` if it is absent or invalid.
     pub fn or<T: FromStr>(&self, key: &str, default: T) -> T
     where
         T::Err: Display,
@@ -154,7 +154,7 @@
         self.optional(key).unwrap_or(default)
     }
 
-    /// Returns a number that must lie within `min..=max`.
+    /// Returns a number in `min..=max`, or `default` if it is absent or invalid.
     pub fn within<T>(&self, key: &str, default: T, min: T, max: T) -> T
     where
         T: FromStr + PartialOrd + Display + Copy,
@@ -168,7 +168,7 @@
         value
     }
 
-    /// Returns a value that must be there.
+    /// Returns the value of a required key.
     pub fn required<T: FromStr>(&self, key: &str) -> Option<T>
     where
         T::Err: Display,
@@ -180,7 +180,7 @@
         self.optional(key)
     }
 
-    /// Returns a comma-separated list; empty if the key isn't there.
+    /// Returns the items of a comma-separated list; empty if the key is absent.
     pub fn list(&self, key: &str) -> Vec<String> {
         let text = self.text(key).unwrap_or("");
         let items = text.split(',').map(str::trim);
--- a/crates/notchwalk_bundle/src/sign.rs
+++ b/crates/notchwalk_bundle/src/sign.rs
@@ -1,4 +1,4 @@
-//! The signed manifest of a bundle version, and keys.
+//! Signed manifests of bundle versions, and keys.
 
 use ed25519_dalek::{Signer, Verifier, VerifyingKey};
 use notchwalk_core::Findings;
@@ -6,46 +6,47 @@
 
 use crate::{Bundle, BundleError, PartName};
 
-/// A private key for signing.
+/// An ed25519 private key.
 pub type SigningKey = ed25519_dalek::SigningKey;
 
-/// Makes a new private key from the system's random numbers.
+/// Generates a private key from the system's random numbers.
 pub fn new_signing_key() -> SigningKey {
     SigningKey::from_bytes(&rand::random())
 }
 
-/// Returns the hash under which a workspace's key stands in the bundle.
+/// Returns the hash by which a bundle refers to a workspace's key.
 pub fn key_hash(key: &str) -> String {
     const DOMAIN: &str = "notchwalk workspace key v1";
     hex::encode(blake3::derive_key(DOMAIN, key.as_bytes()))
 }
 
-/// One operator's signature under a manifest.
+/// An operator's signature of a manifest.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Signature {
-    /// The operator's name in the bundle before this one.
+    /// The operator's name in the previous bundle.
     pub operator: String,
     /// The ed25519 signature, in hex.
     pub signature: String,
 }
 
-/// What is signed: a version, what it replaces and the digests of its parts.
+/// The signed description of a bundle version: its number, its predecessor and the digests of
+/// its parts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Manifest {
-    /// The version, one above the one it replaces.
+    /// The version, one above the previous.
     pub version: u64,
-    /// The digest of the manifest it replaces, empty for the first.
+    /// The digest of the previous manifest, empty for the first version.
     pub previous: String,
-    /// Why the change is made.
+    /// The reason for the change.
     pub reason: String,
-    /// Each part's digest.
+    /// The digest of each part.
     pub parts: Vec<(PartName, String)>,
-    /// The author's signature first, then the reviewer's.
+    /// The signatures, the author's first.
     pub signatures: Vec<Signature>,
 }
 
 impl Manifest {
-    /// Returns the bytes that signatures cover.
+    /// Returns the bytes covered by the signatures.
     fn signed_bytes(&self) -> Vec<u8> {
         let mut text = format!(
             "notchwalk bundle v1\n{}\n{}\n{}\n",
@@ -59,13 +60,12 @@
         text.into_bytes()
     }
 
-    /// Returns the digest of everything but the signatures, in hex.
+    /// Returns the BLAKE3 digest of the manifest without its signatures, in hex.
     pub fn digest(&self) -> String {
         blake3::hash(&self.signed_bytes()).to_hex().to_string()
     }
 
-    /// Adds an operator's signature, replacing an earlier one of the same
-    /// operator.
+    /// Adds an operator's signature; replaces an earlier one of the same operator.
     pub fn sign(&mut self, operator: &str, key: &SigningKey) {
         let signature = hex::encode(key.sign(&self.signed_bytes()).to_bytes());
         self.signatures.retain(|s| s.operator != operator);
@@ -75,19 +75,19 @@
         });
     }
 
-    /// Checks that an author and another operator, a reviewer, signed. Their
-    /// keys are those named in `before`, the bundle that is replaced; the
-    /// first bundle names its own.
+    /// Verifies the signatures of an author and of another operator who is a reviewer. Takes
+    /// their keys and roles from `before`, the previous bundle; the first bundle is verified
+    /// with its own operators.
     ///
     /// # Errors
     ///
-    /// Says which signature is missing or wrong.
+    /// Fails if a signature is missing or invalid; the error names which.
     pub fn verify(&self, before: &Bundle) -> Result<(), BundleError> {
         let mut author = None;
         let mut reviewer = None;
         for signature in &self.signatures {
             let operator = before.operator(&signature.operator).ok_or_else(|| {
-                BundleError::Signature(format!("{} is no operator", signature.operator))
+                BundleError::Signature(format!("{} is not an operator", signature.operator))
             })?;
             verify_one(&operator.public_key, &self.signed_bytes(), signature)?;
             if operator.author && author.is_none() {
@@ -98,9 +98,9 @@
         }
         match (author, reviewer) {
             (Some(_), Some(_)) => Ok(()),
-            (None, _) => Err(BundleError::Signature("no author signed".into())),
+            (None, _) => Err(BundleError::Signature("missing from an author".into())),
             (_, None) => Err(BundleError::Signature(
-                "no second operator, a reviewer, signed".into(),
+                "missing from a reviewer other than the author".into(),
             )),
         }
     }
@@ -110,20 +110,20 @@
     let key = parse_public_key(public_key)?;
     let raw = hex::decode(&signature.signature).ok();
     let raw = raw.and_then(|raw| <[u8; 64]>::try_from(raw).ok());
-    let wrong = || BundleError::Signature(format!("{}'s does not fit", signature.operator));
-    let raw = raw.ok_or_else(wrong)?;
+    let invalid = || BundleError::Signature(format!("invalid for operator {}", signature.operator));
+    let raw = raw.ok_or_else(invalid)?;
     let signature = ed25519_dalek::Signature::from_bytes(&raw);
-    key.verify(bytes, &signature).map_err(|_| wrong())
+    key.verify(bytes, &signature).map_err(|_| invalid())
 }
 
 fn parse_public_key(text: &str) -> Result<VerifyingKey, BundleError> {
-    let fault = || BundleError::Key("a public key is 64 hex digits of an ed25519 key".into());
-    let raw = hex::decode(text).map_err(|_| fault())?;
-    let raw = <[u8; 32]>::try_from(raw).map_err(|_| fault())?;
-    VerifyingKey::from_bytes(&raw).map_err(|_| fault())
+    let invalid = || BundleError::Key("not an ed25519 public key of 64 hex digits".into());
+    let raw = hex::decode(text).map_err(|_| invalid())?;
+    let raw = <[u8; 32]>::try_from(raw).map_err(|_| invalid())?;
+    VerifyingKey::from_bytes(&raw).map_err(|_| invalid())
 }
 
-/// Records a finding if `text` is no public key.
+/// Records a finding if `text` is not a public key.
 pub(crate) fn check_public_key(text: &str, file: &str, section: &str, findings: &mut Findings) {
     if let Err(e) = parse_public_key(text) {
         findings.add(file, section, "public_key", e.to_string());
--- a/crates/notchwalk_bundle/tests/bundles.rs
+++ b/crates/notchwalk_bundle/tests/bundles.rs
@@ -1,5 +1,5 @@
-//! Faults of a bundle are reported together; signatures are checked; no text
-//! makes the parser panic.
+//! Bundles: findings are complete, signatures are verified, deltas are exact and no input makes
+//! the parser panic.
 
 use notchwalk_bundle::{
     new_signing_key, Bundle, BundleError, Delta, Manifest, Part, PartName, SigningKey, PART_NAMES,
@@ -13,7 +13,7 @@
     }
 }
 
-fn public(key: &SigningKey) -> String {
+fn public_key_hex(key: &SigningKey) -> String {
     let bytes = key.verifying_key().to_bytes();
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
@@ -22,8 +22,8 @@
     let operators = format!(
         "[operator amna]\npublic_key = {}\nroles = author, reviewer\n\n\
          [operator said]\npublic_key = {}\nroles = reviewer\n",
-        public(author),
-        public(reviewer)
+        public_key_hex(author),
+        public_key_hex(reviewer)
     );
     vec![
         part(PartName::Operators, &operators),
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn all_faults_are_reported_with_their_place() {
+fn all_findings_are_reported_with_their_location() {
     let faulty = vec![
         part(
             PartName::Operators,
@@ -59,13 +59,13 @@
         ),
     ];
     let Err(BundleError::Faulty(findings)) = Bundle::parse(1, &faulty) else {
-        panic!("the bundle must be refused");
+        panic!("the bundle must be rejected");
     };
     insta::assert_snapshot!(findings.to_string());
 }
 
 #[test]
-fn an_author_and_another_operator_must_sign() {
+fn signatures_of_an_author_and_another_reviewer_are_required() {
     let (amna, said) = (new_signing_key(), new_signing_key());
     let parts = parts(&amna, &said);
     let bundle = Bundle::parse(1, &parts).expect("a valid bundle");
@@ -76,37 +76,31 @@
         parts: parts.iter().map(|p| (p.name, p.digest())).collect(),
         signatures: Vec::new(),
     };
-    assert!(manifest.verify(&bundle).is_err(), "nobody signed");
+    assert!(manifest.verify(&bundle).is_err(), "no signature");
     manifest.sign("amna", &amna);
-    assert!(
-        manifest.verify(&bundle).is_err(),
-        "the author alone is not enough"
-    );
+    assert!(manifest.verify(&bundle).is_err(), "only the author signed");
     manifest.sign("amna", &amna);
     assert!(
         manifest.verify(&bundle).is_err(),
-        "the same operator twice is not enough"
+        "the same operator signed twice"
     );
     let mut reviewer_only = manifest.clone();
     reviewer_only.signatures.clear();
     reviewer_only.sign("said", &said);
     assert!(
         reviewer_only.verify(&bundle).is_err(),
-        "a reviewer is no author"
+        "only a reviewer signed"
     );
     manifest.sign("said", &said);
-    manifest.verify(&bundle).expect("both signed");
+    manifest.verify(&bundle).expect("valid signatures");
     let mut forged = manifest.clone();
     forged.reason = "another".to_owned();
+    assert!(forged.verify(&bundle).is_err(), "changed after signing");
+    let mut wrong_key = manifest.clone();
+    wrong_key.sign("said", &new_signing_key());
     assert!(
-        forged.verify(&bundle).is_err(),
-        "the signed text was changed"
-    );
-    let mut stranger = manifest.clone();
-    stranger.sign("said", &new_signing_key());
-    assert!(
-        stranger.verify(&bundle).is_err(),
-        "another key signed for said"
+        wrong_key.verify(&bundle).is_err(),
+        "signed with another key"
     );
 }
 
@@ -114,14 +108,14 @@
     #![proptest_config(ProptestConfig { rng_seed: prop::test_runner::RngSeed::Fixed(11), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn no_text_makes_the_parser_panic(texts in prop::collection::vec(".{0,200}", 5)) {
+    fn arbitrary_text_does_not_panic_the_parser(texts in prop::collection::vec(".{0,200}", 5)) {
         let named = PART_NAMES.into_iter().zip(&texts);
         let parts: Vec<_> = named.map(|(name, text)| part(name, text)).collect();
         let _ = Bundle::parse(1, &parts);
     }
 
     #[test]
-    fn no_ini_makes_the_parser_panic(
+    fn arbitrary_ini_does_not_panic_the_parser(
         text in "(\\[(model|service|workspace|operator) [a-z@:]{0,4}\\]\n|[a-z_]{1,12} ?= ?[-0-9a-z, ]{0,12}\n){0,12}"
     ) {
         let parts: Vec<_> = PART_NAMES.into_iter().map(|name| part(name, &text)).collect();
@@ -129,7 +123,7 @@
     }
 
     #[test]
-    fn a_delta_leads_from_one_text_to_the_other(
+    fn delta_transforms_the_old_text_into_the_new(
         old in "([a-c]{0,2}\n){0,12}[a-c]{0,2}",
         new in "([a-c]{0,2}\n){0,12}[a-c]{0,2}",
     ) {
@@ -138,7 +132,7 @@
     }
 
     #[test]
-    fn a_delta_on_another_text_does_not_panic(
+    fn delta_applied_to_another_text_does_not_panic(
         texts in prop::collection::vec("([a-c]{0,2}\n){0,8}", 3),
     ) {
         let _ = Delta::between(&texts[0], &texts[1]).apply(&texts[2]);
