--- a/crates/notchwalk_wire/src/caller.rs
+++ b/crates/notchwalk_wire/src/caller.rs
@@ -1,11 +1,10 @@
-//! The callers' interface: OpenAI-compatible completions, and our own
-//! `/v1/entries`.
+//! The API for callers: OpenAI-compatible completions, and `/v1/entries`.
 
 use notchwalk_core::Tokens;
 use serde::{Deserialize, Serialize};
 
-/// A prompt as callers give it: one text, or one list of token ids, or a list
-/// with one of either.
+/// The prompt of a completion request: a text or a list of token ids, or a batch of one of
+/// either.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum PromptInput {
@@ -13,26 +12,26 @@
     Text(String),
     /// Token ids.
     Tokens(Vec<u32>),
-    /// A batch of texts; only batches of one are served.
+    /// A batch of texts; only batches of one are supported.
     Texts(Vec<String>),
-    /// A batch of token lists; only batches of one are served.
+    /// A batch of token lists; only batches of one are supported.
     TokenLists(Vec<Vec<u32>>),
 }
 
-/// Texts that end an answer.
+/// Stop sequences.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum StopInput {
-    /// One text.
+    /// One sequence.
     One(String),
-    /// Several.
+    /// Several sequences.
     Many(Vec<String>),
 }
 
-/// Options of a streamed answer.
+/// Options of a streamed response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StreamOptions {
-    /// Ends the stream with a chunk that carries the usage.
+    /// Whether the stream ends with a chunk that contains the token usage.
     #[serde(default)]
     pub include_usage: bool,
 }
@@ -45,52 +44,52 @@
     pub model: String,
     /// The prompt.
     pub prompt: PromptInput,
-    /// The longest answer, in tokens.
+    /// The maximum length of the completion, in tokens.
     #[serde(default)]
     pub max_tokens: Option<u32>,
-    /// Whether the answer is streamed.
+    /// Whether the response is streamed.
     #[serde(default)]
     pub stream: Option<bool>,
-    /// Options of the stream.
+    /// Options of the streamed response.
     #[serde(default)]
     pub stream_options: Option<StreamOptions>,
-    /// Number of answers; only 1 is served.
+    /// Number of completions; only 1 is supported.
     #[serde(default)]
     pub n: Option<u32>,
-    /// Server-side ranking; only 1 is served.
+    /// Number of candidates for server-side ranking; only 1 is supported.
     #[serde(default)]
     pub best_of: Option<u32>,
-    /// Returns the prompt with the answer; not served.
+    /// Whether the completion is returned with the prompt; not supported.
     #[serde(default)]
     pub echo: Option<bool>,
-    /// Texts that end the answer.
+    /// Stop sequences.
     #[serde(default)]
     pub stop: Option<StopInput>,
-    /// Text after the answer; not served.
+    /// Text that follows the completion; not supported.
     #[serde(default)]
     pub suffix: Option<serde_json::Value>,
-    /// Sampling temperature, passed on.
+    /// Sampling temperature, passed through to the engine.
     #[serde(default)]
     pub temperature: Option<serde_json::Value>,
-    /// Nucleus sampling, passed on.
+    /// Nucleus sampling, passed through to the engine.
     #[serde(default)]
     pub top_p: Option<serde_json::Value>,
-    /// Seed of the sampling, passed on.
+    /// Sampling seed, passed through to the engine.
     #[serde(default)]
     pub seed: Option<serde_json::Value>,
-    /// Presence penalty, passed on.
+    /// Presence penalty, passed through to the engine.
     #[serde(default)]
     pub presence_penalty: Option<serde_json::Value>,
-    /// Frequency penalty, passed on.
+    /// Frequency penalty, passed through to the engine.
     #[serde(default)]
     pub frequency_penalty: Option<serde_json::Value>,
-    /// Bias of tokens, passed on.
+    /// Bias per token, passed through to the engine.
     #[serde(default)]
     pub logit_bias: Option<serde_json::Value>,
-    /// The caller's end user; has no effect.
+    /// The end user of the caller; has no effect.
     #[serde(default)]
     pub user: Option<serde_json::Value>,
-    /// Log probabilities; not served.
+    /// Log probabilities; not supported.
     #[serde(default)]
     pub logprobs: Option<serde_json::Value>,
 }
@@ -105,7 +104,7 @@
 }
 
 impl ChatMessage {
-    /// Returns the message's text; `None` if it holds anything but text.
+    /// Returns the text of the message, or `None` if its content is not only text.
     pub fn text(&self) -> Option<String> {
         match &self.content {
             serde_json::Value::String(text) => Some(text.clone()),
@@ -125,97 +124,97 @@
 pub struct ChatRequest {
     /// `MODEL`, `MODEL:ADAPTER` or `MODEL@VERSION`.
     pub model: String,
-    /// The messages so far.
+    /// The conversation.
     pub messages: Vec<ChatMessage>,
-    /// The longest answer, in tokens (the older name).
+    /// The maximum length of the completion, in tokens (deprecated name).
     #[serde(default)]
     pub max_tokens: Option<u32>,
-    /// The longest answer, in tokens.
+    /// The maximum length of the completion, in tokens.
     #[serde(default)]
     pub max_completion_tokens: Option<u32>,
-    /// Whether the answer is streamed.
+    /// Whether the response is streamed.
     #[serde(default)]
     pub stream: Option<bool>,
-    /// Options of the stream.
+    /// Options of the streamed response.
     #[serde(default)]
     pub stream_options: Option<StreamOptions>,
-    /// Number of answers; only 1 is served.
+    /// Number of completions; only 1 is supported.
     #[serde(default)]
     pub n: Option<u32>,
-    /// Tools; not served.
+    /// Tools; not supported.
     #[serde(default)]
     pub tools: Option<serde_json::Value>,
-    /// Texts that end the answer.
+    /// Stop sequences.
     #[serde(default)]
     pub stop: Option<StopInput>,
-    /// How tools are chosen; not served.
+    /// The choice of tools; not supported.
     #[serde(default)]
     pub tool_choice: Option<serde_json::Value>,
-    /// Functions, the older name of tools; not served.
+    /// Functions, the deprecated name of tools; not supported.
     #[serde(default)]
     pub functions: Option<serde_json::Value>,
-    /// The answer's format; only text is served.
+    /// The format of the completion; only text is supported.
     #[serde(default)]
     pub response_format: Option<serde_json::Value>,
-    /// Log probabilities of several tokens; not served.
+    /// Number of log probabilities per token; not supported.
     #[serde(default)]
     pub top_logprobs: Option<serde_json::Value>,
-    /// The caller's notes; have no effect.
+    /// Metadata of the caller; has no effect.
     #[serde(default)]
     pub metadata: Option<serde_json::Value>,
-    /// Whether the answer is kept; it never is.
+    /// Whether the completion is stored; has no effect.
     #[serde(default)]
     pub store: Option<bool>,
-    /// Sampling temperature, passed on.
+    /// Sampling temperature, passed through to the engine.
     #[serde(default)]
     pub temperature: Option<serde_json::Value>,
-    /// Nucleus sampling, passed on.
+    /// Nucleus sampling, passed through to the engine.
     #[serde(default)]
     pub top_p: Option<serde_json::Value>,
-    /// Seed of the sampling, passed on.
+    /// Sampling seed, passed through to the engine.
     #[serde(default)]
     pub seed: Option<serde_json::Value>,
-    /// Presence penalty, passed on.
+    /// Presence penalty, passed through to the engine.
     #[serde(default)]
     pub presence_penalty: Option<serde_json::Value>,
-    /// Frequency penalty, passed on.
+    /// Frequency penalty, passed through to the engine.
     #[serde(default)]
     pub frequency_penalty: Option<serde_json::Value>,
-    /// Bias of tokens, passed on.
+    /// Bias per token, passed through to the engine.
     #[serde(default)]
     pub logit_bias: Option<serde_json::Value>,
-    /// The caller's end user; has no effect.
+    /// The end user of the caller; has no effect.
     #[serde(default)]
     pub user: Option<serde_json::Value>,
-    /// Log probabilities; not served.
+    /// Log probabilities; not supported.
     #[serde(default)]
     pub logprobs: Option<serde_json::Value>,
 }
 
-/// Token counts of an answer.
+/// Token usage of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Tokens in the prompt.
     pub prompt_tokens: Tokens,
-    /// Tokens of the answer.
+    /// Tokens in the completion.
     pub completion_tokens: Tokens,
-    /// Both.
+    /// The sum of both.
     pub total_tokens: Tokens,
 }
 
-/// Whether a failed request was run.
+/// Whether a failed request was executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OutcomeWord {
-    /// It truly did not run.
+    /// The request was not executed.
     NotRun,
-    /// It ran, wholly or in part.
+    /// The request was executed, completely or in part.
     Ran,
-    /// It can't be told.
+    /// It is not known whether the request was executed.
     Unknown,
 }
 
-/// An error as callers see it.
+/// The body of an error response.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ApiError {
     /// The error.
@@ -225,29 +224,29 @@
 /// The content of an error.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ApiErrorBody {
-    /// What went wrong, in a sentence.
+    /// A description of the error.
     pub message: String,
-    /// OpenAI's kind of error, such as `invalid_request_error`.
+    /// The error type of the OpenAI API, such as `invalid_request_error`.
     #[serde(rename = "type")]
     pub kind: String,
-    /// The parameter at fault, if one is.
+    /// The parameter that caused the error, if any.
     pub param: Option<String>,
-    /// A stable code.
+    /// A stable error code.
     pub code: String,
-    /// Whether the request was run.
+    /// Whether the request was executed.
     pub outcome: OutcomeWord,
 }
 
 /// One model of `GET /v1/models`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ModelInfo {
-    /// The name to ask for.
+    /// The model name for requests.
     pub id: String,
     /// Always `model`.
     pub object: String,
-    /// Seconds since 1970; the bundle knows none, so 0.
+    /// The creation time in seconds since 1970; always 0, since bundles don't contain it.
     pub created: u64,
-    /// Who offers it.
+    /// The owner of the model.
     pub owned_by: String,
 }
 
@@ -260,20 +259,20 @@
     pub data: Vec<ModelInfo>,
 }
 
-/// One entry of `GET /v1/entries`.
+/// One node in the response of `GET /v1/entries`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryInfo {
-    /// The address callers connect to.
+    /// The address for callers.
     pub address: String,
     /// Its failure domain.
     pub failure_domain: String,
 }
 
-/// `GET /v1/entries`: the addresses to use, best first.
+/// `GET /v1/entries`: the nodes that accept requests, in order of preference.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntriesAnswer {
-    /// The entries, in the order in which to try them.
+    /// The nodes, in the order in which callers should try them.
     pub entries: Vec<EntryInfo>,
-    /// How long the answer may be kept, in seconds.
+    /// How long the response may be cached, in seconds.
     pub ttl_s: u64,
 }
--- a/crates/notchwalk_wire/src/engine.rs
+++ b/crates/notchwalk_wire/src/engine.rs
@@ -7,87 +7,87 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Prompt {
-    /// Text; the engine counts its tokens.
+    /// Text, which the engine tokenizes.
     Text(String),
     /// Token ids.
     Tokens(Vec<u32>),
 }
 
-/// `POST /v1/generate`: answers with server-sent [`EngineFrame`]s.
+/// `POST /v1/generate`: the response is a stream of server-sent [`EngineFrame`]s.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct GenerateRequest<P = Prompt> {
     /// The request.
     pub request: RequestId,
-    /// The attempt; an engine that sees a newer one drops the older.
+    /// The attempt; an engine that receives a newer attempt cancels the older one.
     pub attempt: Attempt,
     /// The model.
     pub model: String,
-    /// The adapter, if one is asked for.
+    /// The adapter, if one is requested.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub adapter: Option<String>,
-    /// The model's version.
+    /// The version of the model.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub version: Option<String>,
-    /// Higher is served first.
+    /// The priority; higher values are served first.
     pub priority: u8,
-    /// The first token of the answer that is wanted; more than 0 resumes.
+    /// The index of the first token to return; above 0 when resuming a stream.
     pub offset: u32,
-    /// The longest answer, in tokens, counted from token 0.
+    /// The maximum length of the completion in tokens, counted from token 0.
     pub max_tokens: u32,
-    /// KV cache of the prompt's beginning that other engines export.
+    /// Tickets of KV cache segments of the prompt prefix, exported by other engines.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub imports: Vec<String>,
-    /// Sampling parameters, passed on as the caller gave them.
+    /// Sampling parameters of the caller, passed through.
     #[serde(default, skip_serializing_if = "serde_json::Map::is_empty")]
     pub sampling: serde_json::Map<String, serde_json::Value>,
-    /// Texts that end the answer.
+    /// Stop sequences.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub stop: Vec<String>,
-    /// The prompt; drivers send it by reference.
+    /// The prompt; generic so that senders can serialize a reference.
     pub prompt: P,
 }
 
-/// One frame of a streamed answer.
+/// One frame of a streamed response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineFrame {
-    /// The request it belongs to.
+    /// The request.
     pub request: RequestId,
-    /// The attempt it belongs to.
+    /// The attempt.
     pub attempt: Attempt,
-    /// The place of its first token in the answer.
+    /// The index of the frame's first token in the completion.
     pub offset: u32,
-    /// The tokens' texts.
+    /// The texts of the tokens.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub tokens: Vec<String>,
-    /// Set on the last frame only.
+    /// The end of the completion; only in the last frame.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub finish: Option<EngineFinish>,
 }
 
-/// How an answer ended.
+/// How a completion ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineFinish {
     /// `stop` or `length`.
     pub reason: String,
-    /// Tokens of the prompt.
+    /// Tokens in the prompt.
     pub prompt_tokens: Tokens,
-    /// Tokens of the prompt found in the prefix cache.
+    /// Prompt tokens found in the prefix cache.
     pub cached_tokens: Tokens,
-    /// Tokens of the whole answer.
+    /// Tokens in the complete completion.
     pub completion_tokens: Tokens,
 }
 
-/// An engine's refusal before any work: the request did not run there.
+/// A rejection by an engine before execution: the request did not run there.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineRefusal {
     /// A stable code such as `overloaded` or `model_not_loaded`.
     pub code: String,
-    /// What to tell a person.
+    /// A message for people.
     pub message: String,
 }
 
-/// `POST /v1/kv/prefill`: computes and holds a segment of a prompt too large
-/// for one engine and exports it.
+/// `POST /v1/kv/prefill`: prefills one segment of a prompt that is too large for a single
+/// engine, retains its KV cache and exports it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SegmentRequest {
     /// The request.
@@ -98,36 +98,36 @@
     pub model: String,
     /// The first token of the segment.
     pub from: Tokens,
-    /// The token after its last.
+    /// The token after the last one of the segment.
     pub to: Tokens,
-    /// Tickets of the segments before.
+    /// Tickets of the preceding segments.
     pub imports: Vec<String>,
 }
 
-/// A segment that is ready.
+/// The response to a [`SegmentRequest`] after the prefill.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SegmentAnswer {
-    /// Names the exported KV cache towards other engines.
+    /// The ticket with which other engines import the KV cache.
     pub ticket: String,
 }
 
-/// `POST /v1/cancel`: ends a request's attempts and frees their memory.
+/// `POST /v1/cancel`: cancels attempts of a request and frees their memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CancelRequest {
     /// The request.
     pub request: RequestId,
-    /// Attempts up to this one end.
+    /// The last attempt to cancel; all earlier ones are cancelled as well.
     pub up_to: Attempt,
 }
 
-/// The confirmation of a cancel.
+/// The response to a [`CancelRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CancelAnswer {
-    /// Tokens of memory that were freed.
+    /// KV memory freed, in tokens.
     pub freed: Tokens,
 }
 
-/// A model as an engine has it loaded.
+/// A model that an engine has loaded.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadedModel {
     /// The model.
@@ -138,73 +138,73 @@
     pub adapters: Vec<String>,
 }
 
-/// `GET /v1/load`: the load as it was a moment ago.
+/// `GET /v1/load`: a recent load of the engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// KV memory in tokens.
+    /// KV memory, in tokens.
     pub capacity_tokens: Tokens,
     /// KV memory in use, in tokens.
     pub used_tokens: Tokens,
-    /// Requests running.
+    /// Running requests.
     pub running: u32,
-    /// Requests waiting in the engine.
+    /// Requests queued in the engine.
     pub waiting: u32,
-    /// Requests that can run at once.
+    /// Maximum number of requests that run concurrently.
     pub slots: u32,
-    /// Prompt tokens still to be computed.
+    /// Prompt tokens that remain to be prefilled.
     pub backlog_tokens: Tokens,
-    /// The same by priority, the highest first.
+    /// `backlog_tokens` per priority, highest priority first.
     #[serde(default)]
     pub backlog_by_priority: Vec<(u8, Tokens)>,
-    /// Nanoseconds of engine time a prompt token costs.
+    /// Engine time per prompt token, in nanoseconds.
     pub prompt_token_ns: u64,
-    /// Nanoseconds of engine time a generated token costs.
+    /// Engine time per generated token, in nanoseconds.
     pub answer_token_ns: u64,
-    /// What is loaded.
+    /// The loaded models.
     pub loaded: Vec<LoadedModel>,
-    /// Whether the server is about to leave.
+    /// Whether the server is draining.
     pub leaving: bool,
-    /// Counts evictions for want of memory since the start.
+    /// Number of evictions due to lack of memory since the engine started.
     pub evictions: u64,
 }
 
-/// Memory that an engine holds for a request.
+/// KV memory that an engine has allocated for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holding {
     /// The request.
     pub request: RequestId,
     /// The attempt.
     pub attempt: Attempt,
-    /// Tokens held.
+    /// The size, in tokens.
     pub tokens: Tokens,
-    /// How long it has been held, in milliseconds.
+    /// The time since the allocation, in milliseconds.
     pub age_ms: u64,
 }
 
 /// `GET /v1/holdings`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holdings {
-    /// All memory held for requests; cached prefixes don't count.
+    /// All memory allocated for requests, without cached prefixes.
     pub holdings: Vec<Holding>,
 }
 
-/// A change of an engine's prefix cache.
+/// A change in an engine's prefix cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CacheEvent {
-    /// A block was stored.
+    /// A block with this hash was stored.
     Stored(u64),
-    /// A block was evicted.
+    /// A block with this hash was evicted.
     Evicted(u64),
 }
 
-/// `GET /v1/cache/events?after=N`: events after number N, late and sometimes
-/// with gaps. `after=0` asks for a snapshot, as `Stored` events.
+/// `GET /v1/cache/events?after=N`: the events after number N. Events can be delayed or missing.
+/// `after=0` requests a snapshot as `Stored` events.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvents {
     /// The number of the first event.
     pub first: u64,
-    /// The number to ask after next time.
+    /// The number of the last event, `after` of the next request.
     pub last: u64,
     /// The events.
     pub events: Vec<CacheEvent>,
@@ -212,25 +212,25 @@
     pub snapshot: bool,
 }
 
-/// The state an order asks for; repeating it changes nothing.
+/// The state that an order requests. Orders are idempotent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WantedState {
-    /// The version of a model is loaded.
+    /// A version of a model is loaded.
     VersionLoaded {
         /// The model.
         model: String,
         /// The version.
         version: String,
     },
-    /// The version of a model isn't loaded.
+    /// A version of a model is not loaded.
     VersionUnloaded {
         /// The model.
         model: String,
         /// The version.
         version: String,
     },
-    /// The adapter is loaded.
+    /// An adapter is loaded.
     AdapterLoaded {
         /// The model.
         model: String,
@@ -242,18 +242,18 @@
 /// `POST /v1/orders`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderRequest {
-    /// The fencing number of the lease under which the order is given.
+    /// The fencing token of the lease under which the order is sent.
     pub fence: u64,
-    /// What is wanted.
+    /// The desired state.
     pub wanted: WantedState,
 }
 
-/// The answer to an order.
+/// The response to an [`OrderRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderAnswer {
-    /// Whether the engine took it; an old fencing number is refused by engines
-    /// that check it.
+    /// Whether the engine accepted the order; engines that check the fencing token reject an
+    /// outdated one.
     pub accepted: bool,
-    /// The highest fencing number seen.
+    /// The highest fencing token that the engine has received.
     pub fence: u64,
 }
--- a/crates/notchwalk_wire/src/lib.rs
+++ b/crates/notchwalk_wire/src/lib.rs
@@ -1,5 +1,5 @@
-//! Message types: what callers, engines, the platform and other daemons are
-//! told and answer. JSON towards the outside, CBOR between daemons.
+//! Message types of the APIs for callers, engines, the platform and peers: JSON for external
+//! APIs, CBOR between nodes.
 
 mod caller;
 mod cbor;
--- a/crates/notchwalk_wire/src/peer.rs
+++ b/crates/notchwalk_wire/src/peer.rs
@@ -1,35 +1,36 @@
-//! What daemons tell each other. Structs travel as CBOR arrays: control may
-//! cost a node 3 KB a second, and names would be most of it.
+//! Messages between nodes. Structs are serialized as CBOR arrays, since field names would take
+//! most of the 3 KB per second that a node may use for control traffic.
 
 use notchwalk_core::{BootNumber, RequestId, ServerId, Tokens, VmId};
 use notchwalk_quarantine::News;
 use serde::{Deserialize, Serialize};
 use serde_tuple::{Deserialize_tuple, Serialize_tuple};
 
-/// When a peer was last heard, as another one tells.
+/// When the sender last received a message from a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
 pub struct Heard {
     /// The peer.
     pub vm: VmId,
-    /// Its boot.
+    /// The boot of the peer.
     pub boot: BootNumber,
-    /// How long ago, in milliseconds.
+    /// The time since the last message, in milliseconds.
     pub age_ms: u64,
 }
 
-/// The share of a server that its home grants an entry.
+/// The share of a server that its home grants to a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
 pub struct ServerShare {
     /// The server.
     pub server: ServerId,
-    /// The share of its time, in thousandths.
+    /// The share of the server's time, in thousandths.
     pub per_mille: u16,
-    /// The part of its memory that long work leaves to all entries together,
-    /// in thousandths.
+    /// The share of the server's memory that long requests leave to all nodes together, in
+    /// thousandths.
     pub pool_per_mille: u16,
 }
 
-/// Cost served for a workspace since the boot, so that peers can count it in.
+/// Cost that the sender has served for a workspace since its boot; peers include it in fair
+/// sharing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
 pub struct ServedCost {
     /// The hash of the workspace's name.
@@ -38,16 +39,16 @@
     pub cost_us: u64,
 }
 
-/// A reservation for long work.
+/// A memory reservation for a long request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
 pub struct LongHold {
     /// The server.
     pub server: ServerId,
     /// The request.
     pub request: RequestId,
-    /// Tokens reserved.
+    /// The reserved memory, in tokens.
     pub tokens: Tokens,
-    /// Whether its prompt was computed.
+    /// Whether the prefill is complete.
     pub prompt_done: bool,
 }
 
@@ -56,89 +57,89 @@
 pub struct Heartbeat {
     /// The sender.
     pub vm: VmId,
-    /// Its boot.
+    /// The boot of the sender.
     pub boot: BootNumber,
-    /// Counts the heartbeats of the boot; older ones that come late are
-    /// dropped.
+    /// The number of the heartbeat within the boot; heartbeats that arrive out of order are
+    /// ignored.
     pub seq: u64,
-    /// Whether the sender drains.
+    /// Whether the sender is draining.
     pub leaving: bool,
-    /// The version of the bundle in force there.
+    /// The version of the bundle in force at the sender.
     pub bundle_version: u64,
-    /// Peers the sender has heard.
+    /// The peers from which the sender has received messages.
     pub heard: Vec<Heard>,
-    /// The weight of the workspaces with work at the sender, in thousandths,
-    /// for each model by the hash of its name.
+    /// For each model, by the hash of its name: the total weight of the workspaces with
+    /// requests at the sender, in thousandths.
     pub demand: Vec<(u64, u64)>,
-    /// Shares granted to the receiver by the sender as home.
+    /// Shares that the sender grants to the receiver, of servers whose home it is.
     pub shares: Vec<ServerShare>,
-    /// The heaviest workspaces' served cost.
+    /// The served cost of the workspaces with the highest cost.
     pub served: Vec<ServedCost>,
-    /// Servers the sender knows to be leaving.
+    /// Servers that are draining, according to the sender.
     pub leaving_servers: Vec<ServerId>,
-    /// Long reservations the sender holds, so that a new home learns them and a
-    /// lost release is made good.
+    /// The reservations for long requests of the sender, from which a new home restores its
+    /// state and a home detects a lost release.
     pub long_holds: Vec<LongHold>,
 }
 
-/// What an entry wants of a server's home for a long prompt.
+/// What a node requests from the home of a server for a long request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LongRequestKind {
-    /// Memory for so many tokens.
+    /// Reserve memory for this number of tokens.
     Reserve(Tokens),
-    /// The prompt was computed; the next may start.
+    /// The prefill is complete; the next one may start.
     PromptDone,
-    /// Nothing any more.
+    /// Release the reservation.
     Release,
 }
 
-/// A request about long work to a server's home.
+/// A message about a long request to the home of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
 pub struct LongRequest {
     /// The request.
     pub request: RequestId,
     /// The server.
     pub server: ServerId,
-    /// What is wanted.
+    /// The requested operation.
     pub kind: LongRequestKind,
 }
 
-/// How a home answers a reservation.
+/// The response of a home to a reservation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LongReplyKind {
-    /// The memory is held.
+    /// The memory is reserved.
     Granted,
-    /// There is no room now; ask another server.
+    /// There is not enough memory; another server must be used.
     Denied,
-    /// There is no room yet, but it is being cleared for this request; ask
-    /// again soon.
+    /// There is not enough memory yet, but it is being cleared for this request; the
+    /// reservation must be requested again.
     Earmarked,
 }
 
-/// A home's answer.
+/// The response of a home.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
 pub struct LongReply {
     /// The request.
     pub request: RequestId,
     /// The server.
     pub server: ServerId,
-    /// The answer.
+    /// The response.
     pub kind: LongReplyKind,
 }
 
-/// A message between daemons.
+/// A message between nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Signs of life and shared state.
+    /// Liveness and shared state.
     Heartbeat(Heartbeat),
-    /// About long work, to a home.
+    /// A message about a long request to a home.
     LongRequest(LongRequest),
-    /// About long work, from a home.
+    /// The response of a home to a [`LongRequest`].
     LongReply(LongReply),
-    /// Asks for a bundle newer than this version; the store is down.
+    /// Requests a bundle newer than this version while the store is unavailable.
     BundleAsk(u64),
-    /// A bundle: its manifest and parts as JSON.
+    /// A bundle: its manifest and parts, as JSON.
     BundleOffer(String),
-    /// What is known of requests under which servers ended.
+    /// Updates about requests that are suspected of crashing servers.
     Suspects(Vec<News>),
 }
--- a/crates/notchwalk_wire/src/platform.rs
+++ b/crates/notchwalk_wire/src/platform.rs
@@ -7,23 +7,23 @@
 pub struct Row {
     /// The key.
     pub key: String,
-    /// The value; JSON in our use.
+    /// The value, usually JSON.
     pub value: String,
-    /// Counts the row's changes.
+    /// The version, which increases with each change of the row.
     pub version: u64,
 }
 
-/// What must hold of a row for an operation to take effect.
+/// The condition on a row under which an operation takes effect.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Condition {
-    /// Nothing.
+    /// No condition.
     Any,
-    /// There is no such row.
+    /// The row does not exist.
     Absent,
-    /// The row is at this version.
+    /// The row has this version.
     Version(u64),
-    /// The row's value is exactly this.
+    /// The row has exactly this value.
     Value(String),
 }
 
@@ -32,55 +32,55 @@
 pub struct TableOp {
     /// The row's key.
     pub key: String,
-    /// What must hold.
+    /// The condition.
     pub condition: Condition,
     /// The new value; `None` deletes the row.
     pub value: Option<String>,
-    /// The time after which the row lapses, in seconds.
+    /// The time after which the row expires, in seconds.
     #[serde(default)]
     pub ttl_s: Option<u64>,
 }
 
-/// `POST /table/transaction`. With `all_or_none`, one failed condition stops
-/// all; without, each operation stands alone and only shares the write.
+/// `POST /table/transaction`. With `all_or_none`, a failed condition aborts the whole
+/// transaction; otherwise each operation takes effect independently, in a single write.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableTransaction {
     /// The operations.
     pub ops: Vec<TableOp>,
-    /// Whether one failed condition stops all.
+    /// Whether a failed condition aborts the whole transaction.
     pub all_or_none: bool,
 }
 
-/// The answer to a transaction.
+/// The response to a [`TableTransaction`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableTransactionAnswer {
     /// Whether each operation took effect.
     pub applied: Vec<bool>,
-    /// The rows as they are now, in the operations' order.
+    /// The rows after the transaction, in the order of the operations.
     pub rows: Vec<Option<Row>>,
 }
 
 /// `POST /table/read`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableRead {
-    /// The rows wanted.
+    /// The keys of the rows to read.
     pub keys: Vec<String>,
 }
 
-/// The rows, in the order asked.
+/// The response to a [`TableRead`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableReadAnswer {
-    /// The rows; `None` where there is none.
+    /// The rows in the order of the keys; `None` for a row that does not exist.
     pub rows: Vec<Option<Row>>,
 }
 
-/// What a VM is for.
+/// The role of a VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmKind {
-    /// An entry VM, with its daemon's address for peers.
+    /// An entry VM.
     Entry {
-        /// Where peers connect.
+        /// The address of its node for peers.
         peer_address: String,
     },
     /// A backend server with a model engine.
@@ -92,27 +92,27 @@
     },
 }
 
-/// Whether a VM stays.
+/// The state of a VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmState {
-    /// It runs.
+    /// The VM is running.
     Live,
-    /// It is about to stop.
+    /// The VM will be stopped soon.
     Leaving,
 }
 
-/// A line of `GET /vms`. The list lags.
+/// An item of `GET /vms`, a list that is eventually consistent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmRecord {
     /// The VM's number.
     pub id: u32,
-    /// What it is for.
+    /// The role.
     pub kind: VmKind,
-    /// Where it listens for its main use.
+    /// The address of its main service.
     pub address: String,
-    /// Its failure domain.
+    /// The failure domain.
     pub failure_domain: String,
-    /// Whether it stays.
+    /// The state.
     pub state: VmState,
 }
--- a/crates/notchwalk_wire/src/prelude.rs
+++ b/crates/notchwalk_wire/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The names that users of the messages need most.
+//! Re-exports of the most used message types.
 
 pub use crate::{
     ApiError, EngineFrame, GenerateRequest, Heartbeat, LoadReport, OutcomeWord, PeerMessage,
--- a/crates/notchwalk_wire/tests/parsers.rs
+++ b/crates/notchwalk_wire/tests/parsers.rs
@@ -1,4 +1,4 @@
-//! No bytes make the parsers of messages panic, and messages survive the way.
+//! Messages survive a round trip, and no input makes their parsers panic.
 
 use notchwalk_core::{BootNumber, RequestId, ServerId, VmId};
 use notchwalk_wire::{
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_heartbeat_survives_the_way() {
+fn heartbeat_round_trips_through_cbor() {
     let message = heartbeat();
     assert_eq!(from_cbor::<PeerMessage>(&to_cbor(&message)), Ok(message));
 }
@@ -50,21 +50,21 @@
     #![proptest_config(ProptestConfig { rng_seed: prop::test_runner::RngSeed::Fixed(12), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn no_bytes_make_the_cbor_parser_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn arbitrary_bytes_do_not_panic_the_cbor_parser(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let _ = from_cbor::<PeerMessage>(&bytes);
     }
 
     #[test]
-    fn no_damaged_heartbeat_makes_the_parser_panic(at in 0usize..200, byte in any::<u8>(), cut in 0usize..200) {
+    fn corrupted_heartbeat_does_not_panic_the_cbor_parser(at in 0usize..200, byte in any::<u8>(), cut in 0usize..200) {
         let mut bytes = to_cbor(&heartbeat());
-        let place = at % bytes.len();
-        bytes[place] = byte;
+        let index = at % bytes.len();
+        bytes[index] = byte;
         bytes.truncate(bytes.len().saturating_sub(cut % 50));
         let _ = from_cbor::<PeerMessage>(&bytes);
     }
 
     #[test]
-    fn no_text_makes_the_json_parsers_panic(text in "[\\[\\]{}\",:a-z0-9 \\\\.-]{0,120}") {
+    fn arbitrary_text_does_not_panic_the_json_parsers(text in "[\\[\\]{}\",:a-z0-9 \\\\.-]{0,120}") {
         let _ = serde_json::from_str::<CompletionRequest>(&text);
         let _ = serde_json::from_str::<ChatRequest>(&text);
         let _ = serde_json::from_str::<EngineFrame>(&text);
@@ -73,7 +73,7 @@
     }
 
     #[test]
-    fn request_ids_read_what_they_write(vm in any::<u32>(), boot in any::<u64>(), seq in any::<u64>()) {
+    fn request_id_round_trips_through_text(vm in any::<u32>(), boot in any::<u64>(), seq in any::<u64>()) {
         let id = RequestId { vm: VmId(vm), boot: BootNumber(boot), seq };
         prop_assert_eq!(id.to_string().parse::<RequestId>(), Ok(id));
     }
