--- a/crates/notchwalk_bundle/src/bundle.rs
+++ b/crates/notchwalk_bundle/src/bundle.rs
@@ -102,7 +102,7 @@
     pub name: String,
     /// The weight in fair sharing, relative to the other workspaces.
     pub weight: f64,
-    /// The highest priority that its requests may have, 0 to 9.
+    /// The highest priority that its requests may specify, 0 to 9.
     pub priority_max: u8,
     /// The models it may use.
     pub models: Vec<ModelKey>,
--- a/crates/notchwalk_cli/src/arguments.rs
+++ b/crates/notchwalk_cli/src/arguments.rs
@@ -13,9 +13,9 @@
     notchwalk bundle propose bundle/ --platform 10.0.0.9:7000 --as amna
         --key amna.key --reason 'more for rig checks' --out change.json
     Exit codes:
-    0 success, 1 a file can't be read or written, 2 invalid input,
-    3 another version of the bundle was accepted first, 4 the platform
-    or a daemon failed or did not respond";
+    0 success, 1 file error, 2 invalid input, 3 another version of the
+    bundle was accepted first, 4 the platform or a daemon failed or did
+    not respond";
 
 /// Operates notchwalk.
 ///
@@ -86,7 +86,7 @@
     Bundle(#[bpaf(external(bundle_command))] BundleCommand),
 }
 
-/// Subcommands of `key`.
+/// Key commands
 #[derive(Clone, Debug, Bpaf)]
 pub enum KeyCommand {
     /// Generate an operator's key pair; prints the public key for operators.ini
@@ -104,7 +104,7 @@
     Peer,
 }
 
-/// The operator who signs and the key used.
+/// Signing options
 #[derive(Clone, Debug, Bpaf)]
 pub struct Signer {
     /// The operator's name in operators.ini
@@ -115,7 +115,7 @@
     pub key: PathBuf,
 }
 
-/// Subcommands of `bundle`.
+/// Bundle commands
 #[derive(Clone, Debug, Bpaf)]
 pub enum BundleCommand {
     /// Write a directory with an example of each part
--- a/crates/notchwalk_http/src/connection.rs
+++ b/crates/notchwalk_http/src/connection.rs
@@ -197,7 +197,7 @@
     }
 
     /// Resolves when the peer closes or resets the connection. Buffers the bytes that arrive
-    /// until then; never resolves once [`MAX_READ_AHEAD_BYTES`] are buffered. Cancel safe.
+    /// until then; never resolves once `MAX_READ_AHEAD_BYTES` are buffered. Cancel safe.
     pub async fn closed(&mut self) {
         loop {
             if self.rbuf.len() > MAX_READ_AHEAD_BYTES {
--- a/crates/notchwalk_platform/src/bundles.rs
+++ b/crates/notchwalk_platform/src/bundles.rs
@@ -40,7 +40,7 @@
 /// Why a bundle was not accepted, or could not be fetched.
 #[derive(Debug, Display, Error, From)]
 pub enum SubmitError {
-    /// A call to the platform failed.
+    /// A call to the platform failed; no version was accepted.
     #[display("{_0}")]
     Platform(PlatformError),
     /// The bundle is invalid or lacks signatures.
--- a/crates/notchwalk_platform/src/lib.rs
+++ b/crates/notchwalk_platform/src/lib.rs
@@ -1,5 +1,6 @@
 //! Clients of the platform that notchwalk runs on: a transactional table, an object store,
-//! the VM list and the weight store. Each service is a trait with an HTTP implementation.
+//! the VM list and the weight store. Each is a trait, which [`HttpPlatform`] implements over
+//! HTTP; [`RowStore`] is implemented outside this crate.
 
 mod bundles;
 mod error;
--- a/crates/notchwalk_platform/src/version.rs
+++ b/crates/notchwalk_platform/src/version.rs
@@ -93,7 +93,7 @@
         taken
     }
 
-    /// Compares the epoch of a response with that of its query and the newest one seen.
+    /// Compares the epoch of a response with that of its query and with the newest one.
     fn check_epoch(&mut self, queried: u64, responded: u64) -> Taken {
         if responded < self.epoch {
             return Taken::FormerEra;
