--- a/crates/notchwalk_quarantine/tests/rules.rs
+++ b/crates/notchwalk_quarantine/tests/rules.rs
@@ -433,7 +433,7 @@
 /// other losses become known only seconds later, when the registrations of idle servers
 /// expire.
 #[test]
-fn losses_that_come_in_series_quarantine_nobody() {
+fn losses_in_series_do_not_quarantine() {
     let (mut node, harmless) = (Node::new(), content(1));
     for round in 0..4 {
         node.crash(harmless, round * 10);
--- a/crates/notchwalk_relay/src/attempt.rs
+++ b/crates/notchwalk_relay/src/attempt.rs
@@ -56,7 +56,7 @@
     /// Number of writes of events.
     pub event_writes: u32,
     /// Time from arrival to the first event, as predicted at the first attempt.
-    pub predicted_first: Option<Duration>,
+    pub predicted_first_event: Option<Duration>,
     /// Number of attempts.
     pub sends: u32,
     /// The last error that a server returned.
@@ -77,7 +77,7 @@
             last_at: None,
             max_event_gap: Duration::ZERO,
             event_writes: 0,
-            predicted_first: None,
+            predicted_first_event: None,
             sends: 0,
             server_error: None,
             splitter: EventSplitter::default(),
@@ -171,7 +171,7 @@
     delivery.sends += 1;
     let waited = shell.now().since(req.arrived);
     delivery
-        .predicted_first
+        .predicted_first_event
         .get_or_insert(waited + to.predicted_first_event);
     let request = send_and_read_head(shell, req, delivery.last_event, to, exchange);
     let request = request.await;
--- a/crates/notchwalk_relay/src/front/record.rs
+++ b/crates/notchwalk_relay/src/front/record.rs
@@ -69,7 +69,7 @@
         if let Some(first) = first {
             let histogram = metrics.first_byte.with_label_values(&[&req.route]);
             histogram.observe(first.as_secs_f64());
-            if let Some(predicted) = delivery.predicted_first {
+            if let Some(predicted) = delivery.predicted_first_event {
                 let ratio = predicted.as_secs_f64() / first.as_secs_f64().max(1e-3);
                 let histogram = metrics.prediction_ratio.with_label_values(&[&req.route]);
                 histogram.observe(ratio);
--- a/crates/notchwalk_relay/src/server_watch.rs
+++ b/crates/notchwalk_relay/src/server_watch.rs
@@ -106,8 +106,8 @@
     /// Returns whether a row of a snapshot is of an incarnation before the known one.
     fn is_former_incarnation(&self, record: &ServerRecord) -> bool {
         let known = self.known.get(&record.instance);
-        let born = known.and_then(|known| known.record.started_ms);
-        self.reading_snapshot && born > record.started_ms
+        let started_ms = known.and_then(|known| known.record.started_ms);
+        self.reading_snapshot && started_ms > record.started_ms
     }
 
     /// Closes idle connections to the former incarnation of a server; its end may not
--- a/crates/notchwalk_route/src/engine_cost.rs
+++ b/crates/notchwalk_route/src/engine_cost.rs
@@ -1,8 +1,9 @@
 //! Cost model of an engine, from its configured parameters.
 //!
 //! While any request decodes, an engine step consists of
-//! [`EngineParameters::steps_per_pass`] token steps, which also prefill waiting prompts.
-//! Each engine step emits one event per stream. All times are in milliseconds.
+//! [`EngineParameters::decode_steps_per_engine_step`] token steps, which also prefill
+//! waiting prompts. Each engine step emits one event per stream. All times are in
+//! milliseconds.
 
 use crate::EngineParameters;
 
--- a/crates/notchwalk_route/src/fleet/server.rs
+++ b/crates/notchwalk_route/src/fleet/server.rs
@@ -64,7 +64,7 @@
     /// Derives the short id of this incarnation.
     pub(super) fn incarnation_tag(&self) -> u32 {
         match self.started_ms {
-            Some(born) => tag_of(&format!("{}/{born}", self.instance)),
+            Some(started_ms) => tag_of(&format!("{}/{started_ms}", self.instance)),
             None => tag_of(&self.instance),
         }
     }
--- a/crates/notchwalk_route/tests/decisions/common.rs
+++ b/crates/notchwalk_route/tests/decisions/common.rs
@@ -253,9 +253,9 @@
 }
 
 /// Returns a registration of a desk server with the start time of its incarnation.
-pub fn desk(number: u8, born: u64) -> ServerRecord {
+pub fn desk(number: u8, started_ms: u64) -> ServerRecord {
     ServerRecord {
-        started_ms: Some(born),
+        started_ms: Some(started_ms),
         ..record(PLAIN_SERVICE, number)
     }
 }
--- a/crates/notchwalk_route/tests/decisions/suspects.rs
+++ b/crates/notchwalk_route/tests/decisions/suspects.rs
@@ -231,9 +231,9 @@
     assert_eq!(verdict, Verdict::Allowed);
 }
 
-/// Unusable answers show that the server is running.
+/// Invalid responses show that the server is running.
 #[test]
-fn unusable_answer_is_not_a_crash() {
+fn invalid_response_is_not_a_crash() {
     let mut rig = TestRouter::new();
     for _ in 0..4 {
         let request = arrive(&mut rig, "/again/", 0, crashing_content());
@@ -248,9 +248,9 @@
 }
 
 /// Returns a registration of a desk server with the start time of its incarnation.
-fn desk(number: u8, born: u64) -> ServerRecord {
+fn desk(number: u8, started_ms: u64) -> ServerRecord {
     ServerRecord {
-        started_ms: Some(born),
+        started_ms: Some(started_ms),
         ..record(PLAIN_SERVICE, number)
     }
 }
--- a/crates/notchwalk_standin/src/routed/engine.rs
+++ b/crates/notchwalk_standin/src/routed/engine.rs
@@ -1,7 +1,7 @@
 //! A model engine in simulated time, as the users' pages describe theirs.
 //!
 //! It works in passes. A pass plays one token step, or
-//! [`EngineParameters::steps_per_pass`] while any request generates, and reads
+//! [`EngineParameters::decode_steps_per_engine_step`] while any request generates, and reads
 //! prompts within these steps: parts for other engines before prompts of its
 //! own, the newest part first (seen), prompts of its own in the order of their
 //! arrival. A pass ends with one event for each request that generates.
--- a/crates/notchwalkd/src/metrics.rs
+++ b/crates/notchwalkd/src/metrics.rs
@@ -18,7 +18,7 @@
     retry_budget: Gauge,
 }
 
-/// Names and help texts of the counters, in the order that [`Metrics::text`] sets them.
+/// Names and help texts of the counters, in the order that [`Metrics::encode`] sets them.
 const COUNTERS: [(&str, &str); 12] = [
     ("notchwalk_arrived_total", "Requests that came"),
     ("notchwalk_refused_total", "Requests refused at the door"),
