--- a/crates/notchwalk_cli/src/explain/request_log.rs
+++ b/crates/notchwalk_cli/src/explain/request_log.rs
@@ -81,7 +81,7 @@
             "draining" => "The node had been draining for more than three seconds.".to_owned(),
             "no_server" => {
                 "No server of the service was available: removed, draining (NW4103), with an \
-                 open circuit (NW4002), or backing off (NW4104)."
+                 open circuit (NW4002), or within a backoff that it requested (NW4104)."
                     .to_owned()
             }
             "limited" => {
--- a/crates/notchwalk_route/src/router/reserving.rs
+++ b/crates/notchwalk_route/src/router/reserving.rs
@@ -67,7 +67,7 @@
         let Some(assignment) = request.pending_assignment.take() else {
             return;
         };
-        // A server may have announced draining or backoff in the meantime.
+        // A server may have announced draining or requested a backoff in the meantime.
         let fleet = &self.fleet;
         let servers = request.prefill_workers.iter().chain(&request.server);
         let is_ready = |&key: &ServerKey| {
--- a/crates/notchwalk_route/src/router/sending.rs
+++ b/crates/notchwalk_route/src/router/sending.rs
@@ -143,7 +143,7 @@
         );
         debug_assert!(
             server.accepts_requests(now),
-            "work assigned to a server that is draining or backing off"
+            "work assigned to a server that is draining or has requested a backoff"
         );
         self.quarantine.record_send(request.facts.content, now);
         let is_engine = request.facts.prompt_tokens > 0;
--- a/crates/notchwalk_route/tests/decisions/random_runs.rs
+++ b/crates/notchwalk_route/tests/decisions/random_runs.rs
@@ -136,7 +136,7 @@
             .expect("sent to a server that announced draining");
         assert!(
             self.rig.now >= until,
-            "sent to a server that is backing off"
+            "sent to a server during the backoff that it requested"
         );
         assert!(to.prefill_workers.len() <= 17);
         let (state, repeatability, attempts) =
