--- a/crates/notchwalk_decide/src/membership.rs
+++ b/crates/notchwalk_decide/src/membership.rs
@@ -264,7 +264,7 @@
         PeerMessage::Heartbeat(_) => {}
         PeerMessage::LongRequest(request) => long_home::on_request(node, cx, from, request),
         PeerMessage::LongReply(reply) => long_work::on_reply(node, cx, reply),
-        PeerMessage::Suspects(updates) => node.quarantine.hear(from.0, &updates, cx.now),
+        PeerMessage::Suspects(updates) => node.quarantine.apply_updates(from.0, &updates, cx.now),
         // The driver exchanges bundles and passes on only verified ones.
         PeerMessage::BundleAsk(_) | PeerMessage::BundleOffer(_) => {}
     }
@@ -299,7 +299,7 @@
     }
     if revived {
         let facts = format!("vm={} boot={}", from.0, heartbeat.boot.0);
-        cx.log(LogEventKind::PeerAlive, facts);
+        cx.log(LogEventKind::PeerReachable, facts);
     }
     apply_last_seen(node, cx.now, from, &heartbeat.heard);
     apply_served(node, from, &heartbeat.served);
--- a/crates/notchwalk_decide/src/suspects.rs
+++ b/crates/notchwalk_decide/src/suspects.rs
@@ -4,7 +4,7 @@
 //! content over all requests and nodes.
 
 use notchwalk_core::{Instant, LogEventKind};
-use notchwalk_quarantine::{Finding, Fingerprint, News, Verdict};
+use notchwalk_quarantine::{Fingerprint, QuarantineFinding, QuarantineUpdate, Verdict};
 use notchwalk_wire::PeerMessage;
 
 use crate::{
@@ -35,7 +35,7 @@
             Some((FailureCode::Quarantined, left))
         }
         Verdict::Held => Some((FailureCode::Suspected, SUSPECTED_RETRY_MS)),
-        Verdict::Free | Verdict::Suspected { .. } | Verdict::Busy => None,
+        Verdict::Allowed | Verdict::Suspected { .. } | Verdict::RunningElsewhere => None,
     }
 }
 
@@ -64,23 +64,23 @@
     let quarantine = &mut node.quarantine;
     match end {
         AttemptEnd::Complete { .. } => {
-            quarantine.note_server_lived(incarnation_id, running.sent_at, cx.now);
-            quarantine.note_succeeded(content, cx.now);
+            quarantine.record_server_alive(incarnation_id, running.sent_at, cx.now);
+            quarantine.record_success(content, cx.now);
         }
         AttemptEnd::Broken if !draining => {
-            quarantine.note_broken(content, &[incarnation_id], others, silent, cx.now);
+            quarantine.record_broken_connection(content, &[incarnation_id], others, silent, cx.now);
         }
         AttemptEnd::Refused { .. } => {
-            quarantine.note_server_lived(incarnation_id, running.sent_at, cx.now);
-            quarantine.note_idle(content);
+            quarantine.record_server_alive(incarnation_id, running.sent_at, cx.now);
+            quarantine.record_run_ended(content);
         }
-        AttemptEnd::Broken | AttemptEnd::NotSent => quarantine.note_idle(content),
+        AttemptEnd::Broken | AttemptEnd::NotSent => quarantine.record_run_ended(content),
     }
 }
 
 pub(crate) fn on_sent(node: &mut Node, cx: &Cx<'_>, key: RequestKey) {
     if let Some(content) = node.requests[key].content {
-        node.quarantine.note_sent(content, cx.now);
+        node.quarantine.record_send(content, cx.now);
     }
 }
 
@@ -89,7 +89,7 @@
 pub(crate) fn on_server_unreachable(node: &mut Node, cx: &Cx<'_>, server: ServerKey) {
     let incarnation_id = incarnation_id(node, server);
     node.quarantine
-        .note_server_ended(incarnation_id, true, cx.now);
+        .record_server_ended(incarnation_id, true, cx.now);
     node.servers.arena[server].unreachable = true;
 }
 
@@ -103,8 +103,8 @@
 
 /// Advances the quarantine, publishes updates to peers and logs findings.
 pub(crate) fn on_tick(node: &mut Node, cx: &mut Cx<'_>) {
-    node.quarantine.pass_time(cx.now);
-    let updates = node.quarantine.take_news();
+    node.quarantine.tick(cx.now);
+    let updates = node.quarantine.take_updates();
     broadcast(node, cx, updates);
     for finding in node.quarantine.take_findings() {
         log(cx, &finding);
@@ -113,10 +113,14 @@
 
 /// Rebroadcasts updates that peers may have missed.
 pub(crate) fn on_heartbeat(node: &Node, cx: &mut Cx<'_>) {
-    broadcast(node, cx, node.quarantine.retold(true, cx.now));
+    broadcast(
+        node,
+        cx,
+        node.quarantine.updates_to_rebroadcast(true, cx.now),
+    );
 }
 
-fn broadcast(node: &Node, cx: &mut Cx<'_>, updates: Vec<News>) {
+fn broadcast(node: &Node, cx: &mut Cx<'_>, updates: Vec<QuarantineUpdate>) {
     if updates.is_empty() {
         return;
     }
@@ -126,34 +130,34 @@
     }
 }
 
-fn log(cx: &mut Cx<'_>, finding: &Finding) {
+fn log(cx: &mut Cx<'_>, finding: &QuarantineFinding) {
     match finding {
-        Finding::Crashed {
+        QuarantineFinding::Crashed {
             content,
             crash,
-            moments,
+            incidents,
         } => {
             let server = crash.server >> INCARNATION_BITS;
             let facts = format!(
-                "content={content} server={server} others={} silent={} moments={moments}",
-                crash.others, crash.silent
+                "content={content} server={server} others={} silent={} moments={incidents}",
+                crash.other_requests, crash.silent
             );
             cx.log(LogEventKind::CrashSuspected, facts);
         }
-        Finding::Quarantined(found) => {
+        QuarantineFinding::Quarantined(found) => {
             let servers = found.crashes.iter().map(|c| c.server >> INCARNATION_BITS);
             let servers: Vec<String> = servers.map(|server| server.to_string()).collect();
             let facts = format!(
                 "content={} lasts_s={} times={} declared_here={} crashes={}",
                 found.content,
-                found.lasts.as_secs(),
-                found.times,
-                found.own,
+                found.duration.as_secs(),
+                found.quarantine_count,
+                found.declared_locally,
                 servers.join(",")
             );
             cx.log(LogEventKind::RequestQuarantined, facts);
         }
-        Finding::Ended { content, reason } => {
+        QuarantineFinding::Ended { content, reason } => {
             let facts = format!("content={content} reason={reason:?}");
             cx.log(LogEventKind::QuarantineEnded, facts);
         }
--- a/crates/notchwalk_relay/src/attempt.rs
+++ b/crates/notchwalk_relay/src/attempt.rs
@@ -10,10 +10,10 @@
 
 use crate::{
     active_request::ActiveRequest,
-    server_words::{self, ResponseOrigin},
+    server_notices::{self, ResponseOrigin},
     shell::Shell,
     stream_events::EventSplitter,
-    AnswerWord, BackendRequest,
+    BackendRequest, ResponseKind,
 };
 
 /// The largest response that is buffered before it is relayed, in bytes.
@@ -56,7 +56,7 @@
     /// Number of writes of events.
     pub event_writes: u32,
     /// Time from arrival to the first event, as predicted at the first attempt.
-    pub predicted_first: Option<Duration>,
+    pub predicted_first_event: Option<Duration>,
     /// Number of attempts.
     pub sends: u32,
     /// The last error that a server returned.
@@ -77,7 +77,7 @@
             last_at: None,
             max_event_gap: Duration::ZERO,
             event_writes: 0,
-            predicted_first: None,
+            predicted_first_event: None,
             sends: 0,
             server_error: None,
             splitter: EventSplitter::default(),
@@ -101,12 +101,15 @@
         AttemptEnd::Delivered { .. } => "delivered",
         AttemptEnd::NotConnected => "not_connected",
         AttemptEnd::NotSent => "not_sent",
-        AttemptEnd::NotRun { moved: true, .. } => "moved",
+        AttemptEnd::NotRun {
+            address_reused: true,
+            ..
+        } => "moved",
         AttemptEnd::NotRun { .. } => "not_run",
         AttemptEnd::Failed => "failed",
-        AttemptEnd::Silent => "silent",
-        AttemptEnd::Broken => "broken",
-        AttemptEnd::Unusable => "unusable",
+        AttemptEnd::TimedOut => "silent",
+        AttemptEnd::ConnectionLost => "broken",
+        AttemptEnd::InvalidResponse => "unusable",
     }
 }
 
@@ -146,7 +149,11 @@
             () = shell.sleep_until(req.deadline) => return Awaited::TimedOut,
             () = wait_idle_timeout(idle_timeout) => {}
         }
-        if shell.router.borrow().may_try_another(req.key, shell.now()) {
+        if shell
+            .router
+            .borrow()
+            .may_retry_elsewhere(req.key, shell.now())
+        {
             return Awaited::Silent;
         }
         idle_timeout = None;
@@ -164,8 +171,8 @@
     delivery.sends += 1;
     let waited = shell.now().since(req.arrived);
     delivery
-        .predicted_first
-        .get_or_insert(waited + to.predicted_first);
+        .predicted_first_event
+        .get_or_insert(waited + to.predicted_first_event);
     let request = send_and_read_head(shell, req, delivery.last_event, to, exchange);
     let request = request.await;
     let response = match request {
@@ -174,30 +181,32 @@
         Awaited::Done(Err(e)) if e.nothing_sent() => {
             return AttemptOutcome::Ended(AttemptEnd::NotConnected);
         }
-        Awaited::Done(Err(_)) => return AttemptOutcome::Ended(AttemptEnd::Broken),
-        Awaited::Silent => return AttemptOutcome::Ended(AttemptEnd::Silent),
+        Awaited::Done(Err(_)) => return AttemptOutcome::Ended(AttemptEnd::ConnectionLost),
+        Awaited::Silent => return AttemptOutcome::Ended(AttemptEnd::TimedOut),
         Awaited::CallerDisconnected => return AttemptOutcome::CallerDisconnected,
         Awaited::TimedOut => return AttemptOutcome::TimedOut,
     };
     let facts = shell
         .dialect
-        .backend_answer(&req.caller.id, response.status, &response.headers);
-    let not_run = |moved| AttemptEnd::NotRun {
+        .backend_response(&req.caller.id, response.status, &response.headers);
+    let not_run = |address_reused| AttemptEnd::NotRun {
         at_fault: facts.at_fault,
-        moved,
+        address_reused,
     };
-    match facts.word {
-        AnswerWord::Unusable | AnswerWord::Foreign => AttemptOutcome::Ended(AttemptEnd::Unusable),
-        AnswerWord::NotRun => {
+    match facts.kind {
+        ResponseKind::InvalidResponse | ResponseKind::Mismatched => {
+            AttemptOutcome::Ended(AttemptEnd::InvalidResponse)
+        }
+        ResponseKind::NotRun => {
             discard_body(response).await;
             AttemptOutcome::Ended(not_run(false))
         }
-        AnswerWord::Moved => AttemptOutcome::Ended(not_run(true)),
-        AnswerWord::Success if req.streaming => {
+        ResponseKind::Moved => AttemptOutcome::Ended(not_run(true)),
+        ResponseKind::Success if req.streaming => {
             relay_stream(shell, exchange, req, delivery, to, response).await
         }
-        AnswerWord::Success | AnswerWord::Failure => {
-            relay_buffered(shell, exchange, req, delivery, response, facts.word).await
+        ResponseKind::Success | ResponseKind::Failure => {
+            relay_buffered(shell, exchange, req, delivery, response, facts.kind).await
         }
     }
 }
@@ -214,7 +223,7 @@
 fn still_accepts_requests(shell: &Shell, to: &Assignment) -> bool {
     let router = shell.router.borrow();
     let server = router.fleet().get(to.server);
-    server.is_some_and(|server| server.wants_work(shell.now()))
+    server.is_some_and(|server| server.accepts_requests(shell.now()))
 }
 
 /// Sends a request and reads the response head; `None` if the server no longer accepts
@@ -236,7 +245,7 @@
             caller: &head.headers,
             assignment: to,
             workspace: req.workspace.as_deref(),
-            patience: req.deadline.since(shell.now()),
+            timeout: req.deadline.since(shell.now()),
             last_event,
         });
         let host = head.headers.get(header::HOST);
@@ -264,7 +273,7 @@
             _ => Err(e.into()),
         }
     };
-    await_server(shell, exchange, req, to.first_silence, send).await
+    await_server(shell, exchange, req, to.first_output_timeout, send).await
 }
 
 /// Reads the response head of this request, skipping responses to others.
@@ -283,9 +292,9 @@
         let id = &req.caller.id;
         let facts = shell
             .dialect
-            .backend_answer(id, response.status, &response.headers);
-        server_words::apply_notices(shell, origin, &facts);
-        if facts.word != AnswerWord::Foreign {
+            .backend_response(id, response.status, &response.headers);
+        server_notices::apply_notices(shell, origin, &facts);
+        if facts.kind != ResponseKind::Mismatched {
             break;
         }
         response = response.next_response(method).await?;
@@ -315,7 +324,7 @@
     req: &ActiveRequest,
     delivery: &mut Delivery,
     mut response: StreamedResponse,
-    word: AnswerWord,
+    kind: ResponseKind,
 ) -> AttemptOutcome {
     let status = response.status;
     let headers = end_to_end_headers(&mut response.headers);
@@ -323,12 +332,12 @@
     let body = match await_server(shell, exchange, req, None, read).await {
         Awaited::Done(Ok(whole)) => whole.body,
         Awaited::Done(Err(_)) | Awaited::Silent => {
-            return AttemptOutcome::Ended(AttemptEnd::Broken)
+            return AttemptOutcome::Ended(AttemptEnd::ConnectionLost)
         }
         Awaited::CallerDisconnected => return AttemptOutcome::CallerDisconnected,
         Awaited::TimedOut => return AttemptOutcome::TimedOut,
     };
-    if word == AnswerWord::Failure && status.is_server_error() {
+    if kind == ResponseKind::Failure && status.is_server_error() {
         delivery.server_error = Some(RetainedError {
             status,
             headers,
@@ -338,12 +347,12 @@
     }
     if delivery.head_sent {
         // A complete response can't follow events already delivered.
-        return AttemptOutcome::Ended(AttemptEnd::Unusable);
+        return AttemptOutcome::Ended(AttemptEnd::InvalidResponse);
     }
     exchange.respond(status, headers, &body).await;
     delivery.record_write(shell.now());
     AttemptOutcome::Delivered(AttemptEnd::Delivered {
-        healthy: word == AnswerWord::Success,
+        is_success: kind == ResponseKind::Success,
     })
 }
 
@@ -357,7 +366,7 @@
 ) -> AttemptOutcome {
     let status = response.status;
     let headers = end_to_end_headers(&mut response.headers);
-    let mut idle_timeout = to.first_silence;
+    let mut idle_timeout = to.first_output_timeout;
     let mut started = false;
     loop {
         let next = response.next();
@@ -365,11 +374,11 @@
             Awaited::Done(Ok(chunk)) => chunk,
             Awaited::Done(Err(_)) => {
                 delivery.splitter.drop_partial();
-                return AttemptOutcome::Ended(AttemptEnd::Broken);
+                return AttemptOutcome::Ended(AttemptEnd::ConnectionLost);
             }
             Awaited::Silent => {
                 delivery.splitter.drop_partial();
-                return AttemptOutcome::Ended(AttemptEnd::Silent);
+                return AttemptOutcome::Ended(AttemptEnd::TimedOut);
             }
             Awaited::CallerDisconnected => return AttemptOutcome::CallerDisconnected,
             Awaited::TimedOut => return AttemptOutcome::TimedOut,
@@ -384,7 +393,7 @@
         }
         if !started {
             started = true;
-            idle_timeout = to.pause_silence;
+            idle_timeout = to.inter_token_timeout;
             shell.step(Event::Started { request: req.key });
         }
         if write_events(exchange, delivery, status, &headers, &events)
@@ -408,7 +417,7 @@
         return AttemptOutcome::CallerDisconnected;
     }
     response.release();
-    AttemptOutcome::Delivered(AttemptEnd::Delivered { healthy: true })
+    AttemptOutcome::Delivered(AttemptEnd::Delivered { is_success: true })
 }
 
 async fn write_events(
--- a/crates/notchwalk_relay/src/engine_orders.rs
+++ b/crates/notchwalk_relay/src/engine_orders.rs
@@ -8,7 +8,7 @@
 use notchwalk_route::{Event, FailedReservation, RequestKey, ReservationOrder};
 
 use crate::{
-    server_words::{self, ResponseOrigin},
+    server_notices::{self, ResponseOrigin},
     shell::Shell,
 };
 
@@ -31,13 +31,13 @@
     let no_id = http::HeaderValue::from_static("");
     let facts = shell
         .dialect
-        .backend_answer(&no_id, response.status, &response.headers);
+        .backend_response(&no_id, response.status, &response.headers);
     let origin = ResponseOrigin {
         server: None,
         addr: order.addr,
         sent_at,
     };
-    server_words::apply_notices(shell, origin, &facts);
+    server_notices::apply_notices(shell, origin, &facts);
     Ok(response.status)
 }
 
--- a/crates/notchwalk_relay/src/front/accept.rs
+++ b/crates/notchwalk_relay/src/front/accept.rs
@@ -6,7 +6,7 @@
 use http::StatusCode;
 use notchwalk_core::Instant;
 use notchwalk_http::prelude::*;
-use notchwalk_quarantine::{Content, Fingerprint, Fingerprinting};
+use notchwalk_quarantine::{Fingerprint, FingerprintBuilder, RequestHead};
 use notchwalk_route::{host_name, RequestFacts, RequestKey, RouteLookup, WorkspaceTag};
 
 use super::Front;
@@ -90,7 +90,7 @@
             }
             RouteLookup::Found { route, workspace } => (route, workspace),
         };
-        let caller_timeout = caller.patience.unwrap_or(DEFAULT_CALLER_TIMEOUT);
+        let caller_timeout = caller.timeout.unwrap_or(DEFAULT_CALLER_TIMEOUT);
         let request_timeout = caller_timeout.min(route.timeout.saturating_sub(TIMEOUT_MARGIN));
         let name = workspace.as_ref().map(|(name, _)| name.as_ref());
         let read = self.read_body(exchange, limits.body_bytes, request_timeout, name);
@@ -111,11 +111,11 @@
                 .map_or(WorkspaceTag::default(), |(name, _)| WorkspaceTag::of(name)),
             workspace_priority: workspace.as_ref().map_or(0, |(_, priority)| *priority),
             arrived,
-            patience: caller_timeout,
+            caller_timeout,
             deadline,
             prompt_tokens: caller.prompt_tokens,
             answer_tokens: caller
-                .guessed_answer_tokens
+                .estimated_answer_tokens
                 .unwrap_or(default_answer_tokens),
             route: route.clone(),
             content,
@@ -179,9 +179,9 @@
 }
 
 /// Starts the fingerprint of a request from its head.
-fn fingerprinting(exchange: &Exchange, workspace: Option<&str>) -> Fingerprinting {
+fn fingerprinting(exchange: &Exchange, workspace: Option<&str>) -> FingerprintBuilder {
     let head = &exchange.head;
-    Fingerprinting::new(&Content {
+    FingerprintBuilder::new(&RequestHead {
         workspace,
         method: head.method.as_str(),
         host: &host_name(host(exchange)),
--- a/crates/notchwalk_relay/src/front/record.rs
+++ b/crates/notchwalk_relay/src/front/record.rs
@@ -45,12 +45,12 @@
             req.content,
             req.route,
             to.instance,
-            to.helpers.len(),
-            to.grounds,
-            to.resent,
-            to.since_first.as_millis(),
+            to.prefill_workers.len(),
+            to.reason,
+            to.previous_sends,
+            to.since_first_attempt.as_millis(),
             now.since(req.arrived).as_millis(),
-            to.predicted_first.as_secs_f64() * 1e3,
+            to.predicted_first_event.as_secs_f64() * 1e3,
             req.caller.prompt_tokens,
             now.since(self.shell.servers_refreshed_at.get()).as_millis(),
         );
@@ -69,7 +69,7 @@
         if let Some(first) = first {
             let histogram = metrics.first_byte.with_label_values(&[&req.route]);
             histogram.observe(first.as_secs_f64());
-            if let Some(predicted) = delivery.predicted_first {
+            if let Some(predicted) = delivery.predicted_first_event {
                 let ratio = predicted.as_secs_f64() / first.as_secs_f64().max(1e-3);
                 let histogram = metrics.prediction_ratio.with_label_values(&[&req.route]);
                 histogram.observe(ratio);
--- a/crates/notchwalk_relay/src/operator.rs
+++ b/crates/notchwalk_relay/src/operator.rs
@@ -43,7 +43,7 @@
     /// Returns the numbers of open requests and of quarantined contents.
     fn counts(&self) -> (usize, usize) {
         let router = self.shell.router.borrow();
-        let quarantined = router.quarantine().quarantined(self.shell.now());
+        let quarantined = router.quarantine().quarantined_count(self.shell.now());
         (router.open_requests(), quarantined)
     }
 
@@ -51,13 +51,13 @@
         let router = self.shell.router.borrow();
         let metrics = &self.shell.metrics;
         metrics.server_limits.reset();
-        for (server, limit) in router.fleet().limited() {
+        for (server, limit) in router.fleet().limited_servers() {
             let labels = [server.record.instance.as_str()];
             let gauge = metrics.server_limits.with_label_values(&labels);
             gauge.set(limit.rate());
         }
         metrics.limited_sends.reset();
-        let sent = router.fleet().sent_within_limits();
+        let sent = router.fleet().sent_to_limited();
         metrics.limited_sends.inc_by(sent);
     }
 
@@ -69,22 +69,22 @@
             .fleet()
             .iter()
             .map(|(key, server)| {
-                let load = router.board().load(key, now);
+                let load = router.load_view().load(key, now);
                 serde_json::json!({
                     "instance": server.record.instance,
                     "service": server.record.service,
                     "addr": server.record.addr,
-                    "takes_work": server.takes_work(now),
-                    "said_leaving": server.leaves(),
-                    "wants_nothing_ms": server.wants_nothing_for(now).as_millis() as u64,
+                    "takes_work": server.is_available(now),
+                    "said_leaving": server.is_draining(),
+                    "wants_nothing_ms": server.back_off_remaining(now).as_millis() as u64,
                     "limit_per_second": server.limit().map(|limit| limit.rate()),
-                    "limit_allowance": server.allowance(now),
+                    "limit_allowance": server.available_requests(now),
                     "limit_users": server.limit_users(now),
                     "failure_rate": server.failure_rate(now),
-                    "generating": load.writers,
-                    "reading": load.readers,
+                    "generating": load.decoding,
+                    "reading": load.prefilling,
                     "calls": load.calls,
-                    "reading_left_ms": load.reading_ms,
+                    "reading_left_ms": load.remaining_prefill_ms,
                     "context_tokens": load.context_tokens,
                 })
             })
@@ -117,7 +117,7 @@
                     self.shell.metrics.quarantined.set(quarantined as i64);
                     self.shell.metrics.open_requests.set(open as i64);
                     self.update_limit_metrics();
-                    let text = self.shell.metrics.text();
+                    let text = self.shell.metrics.encode();
                     exchange.respond_text(StatusCode::OK, &text).await;
                 }
                 "/state" => exchange.respond_json(StatusCode::OK, &self.state()).await,
--- a/crates/notchwalk_relay/src/server_words.rs
+++ b/crates/notchwalk_relay/src/server_notices.rs
@@ -3,9 +3,9 @@
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
 use notchwalk_core::{Instant, LogEvent, LogEventKind};
-use notchwalk_route::{Event, RateLimit, ServerKey, ServerWord};
+use notchwalk_route::{Event, RateLimit, ServerKey, ServerNotice};
 
-use crate::{shell::Shell, AnswerFacts, AnswerWord, ComeBack, SaidLimit};
+use crate::{shell::Shell, AnnouncedLimit, ResponseFacts, ResponseKind, RetryAfter};
 
 /// The longest back-off time that is accepted: a longer one is likely in another unit,
 /// and would exclude the server for too long.
@@ -29,27 +29,34 @@
 /// Applies the notices in the head of any response: to a request, to an order, also to
 /// a different request on the same connection. Called before anything of the response
 /// is relayed.
-pub(crate) fn apply_notices(shell: &Rc<Shell>, origin: ResponseOrigin, facts: &AnswerFacts) {
+pub(crate) fn apply_notices(shell: &Rc<Shell>, origin: ResponseOrigin, facts: &ResponseFacts) {
     let Some(server) = notice_source(shell, origin, facts) else {
         return;
     };
     if let Some(limit) = limit(shell, server, facts) {
-        let asked = origin.sent_at;
-        apply_notice(shell, server, ServerWord::Limit { limit, asked });
+        let requested_at = origin.sent_at;
+        apply_notice(
+            shell,
+            server,
+            ServerNotice::Limit {
+                limit,
+                requested_at,
+            },
+        );
     }
-    if facts.leaving {
-        apply_notice(shell, server, ServerWord::Leaving);
+    if facts.draining {
+        apply_notice(shell, server, ServerNotice::Draining);
     }
-    if let Some(backoff) = backoff(shell, server, &facts.wants_nothing_for) {
-        apply_notice(shell, server, ServerWord::WantsNothing(backoff));
+    if let Some(backoff) = backoff(shell, server, &facts.retry_after) {
+        apply_notice(shell, server, ServerNotice::BackOff(backoff));
     }
 }
 
-fn apply_notice(shell: &Rc<Shell>, server: ServerKey, notice: ServerWord) {
+fn apply_notice(shell: &Rc<Shell>, server: ServerKey, notice: ServerNotice) {
     let label = match notice {
-        ServerWord::Leaving => Some("leaving"),
-        ServerWord::WantsNothing(_) => Some("wants_nothing"),
-        ServerWord::Limit { limit, .. } => limit.map(|_| "limit"),
+        ServerNotice::Draining => Some("leaving"),
+        ServerNotice::BackOff(_) => Some("wants_nothing"),
+        ServerNotice::Limit { limit, .. } => limit.map(|_| "limit"),
     };
     if let Some(label) = label {
         shell
@@ -58,41 +65,42 @@
             .with_label_values(&[label])
             .inc();
     }
-    shell.step(Event::ServerSaid {
-        server,
-        word: notice,
-    });
+    shell.step(Event::NoticeReceived { server, notice });
 }
 
 /// Returns the server that a response speaks for: the one it names, else the one that
 /// the request was for, unless the address now belongs to another one.
-fn notice_source(shell: &Shell, origin: ResponseOrigin, facts: &AnswerFacts) -> Option<ServerKey> {
+fn notice_source(
+    shell: &Shell,
+    origin: ResponseOrigin,
+    facts: &ResponseFacts,
+) -> Option<ServerKey> {
     let router = shell.router.borrow();
     let fleet = router.fleet();
     if let Some(instance) = &facts.instance {
         return fleet.by_instance(instance);
     }
-    if facts.word != AnswerWord::Moved {
+    if facts.kind != ResponseKind::Moved {
         return origin.server.or_else(|| fleet.by_addr(origin.addr));
     }
-    fleet.other_at(origin.addr, origin.server)
+    fleet.other_server_at(origin.addr, origin.server)
 }
 
 /// Returns the limit that a response announces, or `Some(None)` if a known limit has
 /// ended; `None` if the response changes nothing. Only the server's own responses can
 /// end a limit.
-fn limit(shell: &Shell, server: ServerKey, facts: &AnswerFacts) -> Option<Option<RateLimit>> {
+fn limit(shell: &Shell, server: ServerKey, facts: &ResponseFacts) -> Option<Option<RateLimit>> {
     match &facts.limit {
-        SaidLimit::Rate(rate) => Some(Some(*rate)),
-        SaidLimit::Faulty { reason, taken } => {
-            let rate = taken.map_or_else(|| "none".to_owned(), |rate| rate.to_string());
+        AnnouncedLimit::Rate(rate) => Some(Some(*rate)),
+        AnnouncedLimit::Invalid { reason, applied } => {
+            let rate = applied.map_or_else(|| "none".to_owned(), |rate| rate.to_string());
             log_invalid(shell, server, reason, &format!("taken_per_second={rate}"));
-            taken.map(Some)
+            applied.map(Some)
         }
-        SaidLimit::NotSaid => {
+        AnnouncedLimit::Absent => {
             let is_own = matches!(
-                facts.word,
-                AnswerWord::Success | AnswerWord::Failure | AnswerWord::NotRun
+                facts.kind,
+                ResponseKind::Success | ResponseKind::Failure | ResponseKind::NotRun
             );
             let router = shell.router.borrow();
             let known = router.fleet().get(server)?.limit();
@@ -103,17 +111,17 @@
 
 /// Returns how long to back off from a server. Invalid values are ignored; longer ones
 /// are capped at [`MAX_BACKOFF`].
-fn backoff(shell: &Shell, server: ServerKey, retry_after: &ComeBack) -> Option<Duration> {
+fn backoff(shell: &Shell, server: ServerKey, retry_after: &RetryAfter) -> Option<Duration> {
     match retry_after {
-        ComeBack::NotSaid => None,
-        ComeBack::After(time) if *time > MAX_BACKOFF => {
+        RetryAfter::Absent => None,
+        RetryAfter::After(time) if *time > MAX_BACKOFF => {
             let reason = format!("{} s exceed the maximum", time.as_secs());
             let taken = format!("taken_ms={}", MAX_BACKOFF.as_millis());
             log_invalid(shell, server, &reason, &taken);
             Some(MAX_BACKOFF)
         }
-        ComeBack::After(time) => Some(*time).filter(|time| !time.is_zero()),
-        ComeBack::Faulty(reason) => {
+        RetryAfter::After(time) => Some(*time).filter(|time| !time.is_zero()),
+        RetryAfter::Invalid(reason) => {
             log_invalid(shell, server, reason, "taken_ms=0");
             None
         }
@@ -133,33 +141,42 @@
         "server={} reason={reason:?} {applied}",
         instance_name(shell, server)
     );
-    LogEvent::new(LogEventKind::ServerWordFaulty, facts).emit();
+    LogEvent::new(LogEventKind::ServerNoticeInvalid, facts).emit();
 }
 
 /// Logs a notice that is new to this node.
-pub(crate) fn log_notice(shell: &Shell, server: ServerKey, notice: ServerWord, by_peer: bool) {
+pub(crate) fn log_notice(
+    shell: &Shell,
+    server: ServerKey,
+    notice: ServerNotice,
+    reported_by_peer: bool,
+) {
     let (kind, facts) = match notice {
-        ServerWord::Leaving => {
+        ServerNotice::Draining => {
             let router = shell.router.borrow();
             let stage = router.fleet().get(server).map(|known| known.record.stage);
-            let running = router.board().load(server, shell.now()).occupied();
-            let facts = format!("by_peer={by_peer} record={stage:?} running={running}");
-            (LogEventKind::ServerSaysLeaving, facts)
+            let running = router.load_view().load(server, shell.now()).occupied();
+            let facts = format!("by_peer={reported_by_peer} record={stage:?} running={running}");
+            (LogEventKind::ServerAnnouncedDraining, facts)
         }
-        ServerWord::WantsNothing(time) => {
+        ServerNotice::BackOff(time) => {
             let facts = format!("for_ms={}", time.as_millis());
-            (LogEventKind::ServerWantsNothing, facts)
+            (LogEventKind::ServerRequestedBackOff, facts)
         }
-        ServerWord::Limit { limit, asked } => {
-            let age = shell.now().since(asked).as_millis();
+        ServerNotice::Limit {
+            limit,
+            requested_at,
+        } => {
+            let age = shell.now().since(requested_at).as_millis();
             match limit {
                 Some(limit) => {
-                    let facts = format!("by_peer={by_peer} per_second={limit} asked_ms={age}");
-                    (LogEventKind::ServerLimited, facts)
+                    let facts =
+                        format!("by_peer={reported_by_peer} per_second={limit} asked_ms={age}");
+                    (LogEventKind::ServerLimitAnnounced, facts)
                 }
                 None => {
-                    let facts = format!("by_peer={by_peer} asked_ms={age}");
-                    (LogEventKind::ServerLimitEnded, facts)
+                    let facts = format!("by_peer={reported_by_peer} asked_ms={age}");
+                    (LogEventKind::ServerLimitLifted, facts)
                 }
             }
         }
@@ -179,11 +196,11 @@
     let facts = format!(
         "server={} per_second={limit} allowance={:.2} users={} sent={}",
         known.record.instance,
-        known.allowance(now).unwrap_or_default(),
+        known.available_requests(now).unwrap_or_default(),
         known.limit_users(now),
         known.sent()
     );
-    LogEvent::new(LogEventKind::ServerLimitUsedUp, facts).emit();
+    LogEvent::new(LogEventKind::ServerLimitExhausted, facts).emit();
 }
 
 fn instance_name(shell: &Shell, server: ServerKey) -> String {
--- a/crates/notchwalk_relay/src/shell.rs
+++ b/crates/notchwalk_relay/src/shell.rs
@@ -126,15 +126,15 @@
     }
 
     /// Returns how often the machine resumed from a suspension so far.
-    pub fn resumes(&self) -> u64 {
-        self.suspension.resumes()
+    pub fn resume_count(&self) -> u64 {
+        self.suspension.resume_count()
     }
 
     /// Checks whether the machine was suspended. If so, idle connections are closed:
     /// the other ends may have closed them unnoticed, and a request that must run at
     /// most once would be lost on one.
     pub fn check_suspension(&self) {
-        if self.suspension.notice(&self.clock) {
+        if self.suspension.check(&self.clock) {
             self.client.forget_idle();
             self.store.renew_connections();
         }
@@ -247,8 +247,8 @@
         }
         let router = self.router.borrow();
         let fleet = router.fleet();
-        let has_notices = fleet.has_leaving_news() || fleet.has_limit_news();
-        if router.has_changed_work() || router.quarantine().has_news() || has_notices {
+        let has_notices = fleet.has_draining_updates() || fleet.has_limit_updates();
+        if router.has_changed_work() || router.quarantine().has_updates() || has_notices {
             self.publish_wake.notify();
         }
     }
--- a/crates/notchwalk_relay/src/store_repair.rs
+++ b/crates/notchwalk_relay/src/store_repair.rs
@@ -42,12 +42,18 @@
     presence::write_record(shell).await;
     let quarantines = write_quarantines(shell).await;
     let facts = format!("record=true quarantines={quarantines}");
-    LogEvent::new(LogEventKind::WrittenAgain, facts).emit();
+    LogEvent::new(LogEventKind::RecordsRewritten, facts).emit();
 }
 
 /// Writes the quarantines missing from the store; returns their number.
 async fn write_quarantines(shell: &Rc<Shell>) -> usize {
-    if shell.router.borrow().quarantine().quarantined(shell.now()) == 0 {
+    if shell
+        .router
+        .borrow()
+        .quarantine()
+        .quarantined_count(shell.now())
+        == 0
+    {
         return 0;
     }
     let rank = shell.peers.borrow().rank(shell.now());
--- a/crates/notchwalk_relay/src/table_watch.rs
+++ b/crates/notchwalk_relay/src/table_watch.rs
@@ -120,7 +120,7 @@
     /// An incomplete read of the whole table.
     partial: Option<PartialRead>,
     /// The number of resumes when the table was last known.
-    resumes: u64,
+    resume_count: u64,
 }
 
 impl<R: TableReader> Watch<R> {
@@ -256,7 +256,7 @@
 
     /// Returns whether the machine was suspended since the table was last known.
     fn was_suspended(&self) -> bool {
-        self.shell.resumes() != self.resumes
+        self.shell.resume_count() != self.resume_count
     }
 
     async fn poll_once(&mut self) -> Result<(), FeedError> {
@@ -264,7 +264,7 @@
         // The known version is stale, and no message of a peer may have arrived yet.
         if self.was_suspended() {
             self.cursor.forget();
-            self.resumes = self.shell.resumes();
+            self.resume_count = self.shell.resume_count();
         }
         // Several changes may be pending, each replacing the row.
         if self.reader.is_behind() && self.reader.has_one_row() {
@@ -296,7 +296,7 @@
             self.reader.table(),
             outage.as_millis()
         );
-        LogEvent::new(LogEventKind::StoreRegained, facts).emit();
+        LogEvent::new(LogEventKind::StoreRecovered, facts).emit();
         self.set_up(1);
     }
 
@@ -311,7 +311,7 @@
             self.shell.now().since(poll.at).as_millis(),
             self.shell.store.received_bytes() - poll.received_before
         );
-        LogEvent::new(LogEventKind::QuestionGivenUp, facts).emit();
+        LogEvent::new(LogEventKind::ChangePollAbandoned, facts).emit();
     }
 
     fn count_poll(&self, end: &str) {
@@ -332,7 +332,7 @@
             self.reader.table(),
             error.to_string()
         );
-        LogEvent::new(LogEventKind::StoreLost, facts).emit();
+        LogEvent::new(LogEventKind::StoreUnavailable, facts).emit();
         self.set_up(0);
     }
 
@@ -355,14 +355,14 @@
     /// transit still arrives.
     const COMPARISONS: u32 = 2;
     let mut response = std::pin::pin!(response);
-    let resumes = shell.resumes();
+    let resume_count = shell.resume_count();
     let mut behind = 0;
     loop {
         monoio::select! {
             page = &mut response => return page.map(Some),
             () = monoio::time::sleep(COMPARE_INTERVAL) => {}
         }
-        if shell.resumes() != resumes {
+        if shell.resume_count() != resume_count {
             return Ok(None);
         }
         behind = if reader.is_behind() { behind + 1 } else { 0 };
@@ -393,7 +393,7 @@
         unavailable_since: None,
         polled_at: Instant::ZERO,
         partial: None,
-        resumes: 0,
+        resume_count: 0,
     };
     watch.set_up(1);
     loop {
@@ -402,7 +402,7 @@
             Err(FeedError::HistoryGone) => {
                 let table = watch.reader.table();
                 let facts = format!("table={table}");
-                LogEvent::new(LogEventKind::HistoryGone, facts).emit();
+                LogEvent::new(LogEventKind::ChangeHistoryExpired, facts).emit();
             }
             Err(e) => {
                 watch.record_failure(&e);
--- a/crates/notchwalk_route/src/effect.rs
+++ b/crates/notchwalk_route/src/effect.rs
@@ -3,13 +3,13 @@
 use std::{net::SocketAddr, time::Duration};
 
 use notchwalk_core::Instant;
-use notchwalk_quarantine::Finding;
+use notchwalk_quarantine::QuarantineFinding;
 
-use crate::{RequestKey, ServerKey, ServerWord};
+use crate::{RequestKey, ServerKey, ServerNotice};
 
 /// A prefill worker: another engine that prefills a part of a prompt.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Helper {
+pub struct PrefillWorker {
     /// Its address.
     pub addr: SocketAddr,
     /// The id of the memory reservation there, if any.
@@ -18,7 +18,7 @@
 
 /// The reason for a placement, for logs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Grounds {
+pub enum PlacementReason {
     /// The server has the lowest expected penalty.
     LeastLoss,
     /// The engines have free capacity, so no other request misses its objective.
@@ -39,23 +39,23 @@
     /// The instance id that is expected at the address.
     pub instance: String,
     /// Engines that prefill parts of the prompt.
-    pub helpers: Vec<Helper>,
+    pub prefill_workers: Vec<PrefillWorker>,
     /// The priority on the server; 0 is the highest.
     pub priority: u8,
     /// The deadline from the timeouts of the caller and the route.
     pub deadline: Instant,
     /// The reason for the placement.
-    pub grounds: Grounds,
+    pub reason: PlacementReason,
     /// How often the request was sent before.
-    pub resent: u32,
+    pub previous_sends: u32,
     /// Predicted time to the first event.
-    pub predicted_first: Duration,
+    pub predicted_first_event: Duration,
     /// Time from the caller's first attempt to the arrival of this one.
-    pub since_first: Duration,
+    pub since_first_attempt: Duration,
     /// Timeout for the first output of the server; `None` waits until the deadline.
-    pub first_silence: Option<Duration>,
+    pub first_output_timeout: Option<Duration>,
     /// Timeout between two events; `None` waits until the deadline.
-    pub pause_silence: Option<Duration>,
+    pub inter_token_timeout: Option<Duration>,
 }
 
 /// Why this node refuses a request.
@@ -100,7 +100,7 @@
     /// Number of tokens to reserve; `None` releases the memory.
     pub tokens: Option<u32>,
     /// Lifetime of the reservation without renewal.
-    pub hold: Duration,
+    pub ttl: Duration,
 }
 
 /// An output of a router.
@@ -147,15 +147,15 @@
         addr: SocketAddr,
     },
     /// Report a finding on requests during which servers crashed.
-    Found(Finding),
+    Finding(QuarantineFinding),
     /// Report a new notice from a server.
-    Heard {
+    NewNotice {
         /// The server.
         server: ServerKey,
         /// The notice.
-        word: ServerWord,
+        notice: ServerNotice,
         /// Whether a peer published it; otherwise this node received it.
-        by_peer: bool,
+        reported_by_peer: bool,
     },
     /// Report that a server's limit is used up: requests for its service wait or go to other
     /// servers.
@@ -164,10 +164,10 @@
         server: ServerKey,
     },
     /// Report that a server was ejected.
-    Closed {
+    Ejected {
         /// The server.
         server: ServerKey,
         /// Duration of the ejection.
-        pause: Duration,
+        duration: Duration,
     },
 }
--- a/crates/notchwalk_route/src/router/suspects.rs
+++ b/crates/notchwalk_route/src/router/suspects.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use notchwalk_core::Instant;
-use notchwalk_quarantine::{Fingerprint, News, Quarantine, Verdict};
+use notchwalk_quarantine::{Fingerprint, Quarantine, QuarantineUpdate, Verdict};
 
 use super::Router;
 use crate::{request::Request, shares::tag_of, AttemptEnd, Effect, Refusal, RequestKey, ServerKey};
@@ -31,20 +31,22 @@
     }
 
     /// Takes the quarantine updates to broadcast to peers.
-    pub fn take_news(&mut self) -> Vec<News> {
-        self.quarantine.take_news()
+    pub fn take_quarantine_updates(&mut self) -> Vec<QuarantineUpdate> {
+        self.quarantine.take_updates()
     }
 
     /// Checks a request's content against the quarantine.
     pub(super) fn check_content(&self, request: &Request, now: Instant) -> ContentCheck {
         match self.quarantine.verdict(request.facts.content, now) {
-            Verdict::Free | Verdict::Suspected { .. } => ContentCheck::Allowed,
+            Verdict::Allowed | Verdict::Suspected { .. } => ContentCheck::Allowed,
             Verdict::Quarantined { .. } => ContentCheck::Refuse(Refusal::Quarantined),
             Verdict::Held => ContentCheck::Refuse(Refusal::Suspected),
-            Verdict::Busy if now.since(request.waits_since) < MAX_WAIT_FOR_OTHER_RUN => {
+            Verdict::RunningElsewhere
+                if now.since(request.waiting_since) < MAX_WAIT_FOR_OTHER_RUN =>
+            {
                 ContentCheck::Wait
             }
-            Verdict::Busy => ContentCheck::Refuse(Refusal::Suspected),
+            Verdict::RunningElsewhere => ContentCheck::Refuse(Refusal::Suspected),
         }
     }
 
@@ -80,7 +82,7 @@
             return;
         };
         let (content, sent_at) = (request.facts.content, request.sent_at);
-        let Some(server) = request.at else {
+        let Some(server) = request.server else {
             return;
         };
         let tag = self.tag(server);
@@ -88,23 +90,29 @@
             end,
             AttemptEnd::Delivered { .. }
                 | AttemptEnd::Failed
-                | AttemptEnd::Unusable
+                | AttemptEnd::InvalidResponse
                 | AttemptEnd::NotRun {
                     at_fault: None,
-                    moved: false
+                    address_reused: false
                 }
         );
         if let Some(tag) = tag.filter(|_| answered) {
-            self.quarantine.note_server_lived(tag, sent_at, now);
+            self.quarantine.record_server_alive(tag, sent_at, now);
         }
         match end {
-            AttemptEnd::Delivered { healthy: true } => self.quarantine.note_succeeded(content, now),
-            AttemptEnd::Broken => self.record_crash(key, server, false, now),
-            AttemptEnd::Silent => self.record_crash(key, server, true, now),
-            AttemptEnd::NotConnected | AttemptEnd::NotRun { moved: true, .. } => {
-                self.quarantine.note_idle(content);
+            AttemptEnd::Delivered { is_success: true } => {
+                self.quarantine.record_success(content, now)
+            }
+            AttemptEnd::ConnectionLost => self.record_crash(key, server, false, now),
+            AttemptEnd::TimedOut => self.record_crash(key, server, true, now),
+            AttemptEnd::NotConnected
+            | AttemptEnd::NotRun {
+                address_reused: true,
+                ..
+            } => {
+                self.quarantine.record_run_ended(content);
                 if let Some(tag) = tag {
-                    self.quarantine.note_server_ended(tag, true, now);
+                    self.quarantine.record_server_ended(tag, true, now);
                 }
             }
             AttemptEnd::NotRun {
@@ -114,15 +122,16 @@
                 // The segment may have crashed the worker, if the worker was alive when it
                 // was sent.
                 let worker = self.fleet.by_addr(addr).filter(|&key| key != server);
-                let was_alive = |&key: &ServerKey| self.fleet.was_heard_since(key, sent_at);
+                let was_alive = |&key: &ServerKey| self.fleet.has_responded_since(key, sent_at);
                 match worker.filter(was_alive).and_then(|key| self.tag(key)) {
                     Some(tag) => {
-                        self.quarantine.note_broken(content, &[tag], 0, false, now);
+                        self.quarantine
+                            .record_broken_connection(content, &[tag], 0, false, now);
                     }
-                    None => self.quarantine.note_idle(content),
+                    None => self.quarantine.record_run_ended(content),
                 }
             }
-            _ => self.quarantine.note_idle(content),
+            _ => self.quarantine.record_run_ended(content),
         }
     }
 
@@ -133,29 +142,29 @@
             return;
         };
         let content = request.facts.content;
-        let servers = std::iter::once(&server).chain(&request.helpers);
+        let servers = std::iter::once(&server).chain(&request.prefill_workers);
         let tags: Vec<u32> = servers.filter_map(|&key| self.crashed_tag(key)).collect();
         if tags.is_empty() {
-            return self.quarantine.note_idle(content);
+            return self.quarantine.record_run_ended(content);
         }
-        let others = self.load_view.on(server).len().saturating_sub(1);
+        let others = self.load_view.work_on(server).len().saturating_sub(1);
         let others = u16::try_from(others).unwrap_or(u16::MAX);
         self.quarantine
-            .note_broken(content, &tags, others, silent, now);
+            .record_broken_connection(content, &tags, others, silent, now);
     }
 
     /// Returns the short id of a server that may have crashed.
     fn crashed_tag(&self, server: ServerKey) -> Option<u32> {
         let Some(known) = self.fleet.get(server) else {
-            return self.fleet.ended_life(server).map(|life| life.tag);
+            return self.fleet.ended_incarnation(server).map(|ended| ended.tag);
         };
-        (!known.leaves()).then_some(known.tag)
+        (!known.is_draining()).then_some(known.tag)
     }
 
     /// Restricts a request with suspected content to a subset of servers that depends on
     /// its content. Otherwise nodes that lose requests in the same crash would all retry on
     /// the same server, and harmless contents would be quarantined too.
-    pub(super) fn scatter_suspect(&mut self, key: RequestKey, now: Instant) {
+    pub(super) fn restrict_suspect(&mut self, key: RequestKey, now: Instant) {
         /// The subset holds one in this many servers, with a minimum that leaves a choice
         /// by load.
         const SERVERS_PER_CANDIDATE: usize = 4;
@@ -167,13 +176,14 @@
         let needs_reservation = self
             .engine_placement(&request.service, now)
             .is_some_and(|placement| placement.exceeds_engine(&self.demand(request, now)));
-        if needs_reservation || self.quarantine.verdict(content, now) == Verdict::Free {
+        if needs_reservation || self.quarantine.verdict(content, now) == Verdict::Allowed {
             return;
         }
-        let servers = self.fleet.in_use(&request.service, now).iter();
+        let servers = self.fleet.servers_in_use(&request.service, now).iter();
         let is_eligible = |key: &&ServerKey| {
             let server = self.fleet.get(**key);
-            server.is_some_and(|server| server.takes_work(now)) && !request.tried.contains(key)
+            server.is_some_and(|server| server.is_available(now))
+                && !request.attempted.contains(key)
         };
         let mut servers: Vec<ServerKey> = servers.filter(is_eligible).copied().collect();
         servers.sort_by_key(|&key| {
@@ -185,20 +195,25 @@
             .min(servers.len());
         let others = servers.split_off(candidates);
         if let Some(Some(request)) = self.requests.get_mut(key) {
-            request.tried.extend(others);
+            request.attempted.extend(others);
         }
     }
 
     /// Applies a peer's quarantine updates.
-    pub(super) fn apply_quarantine_updates(&mut self, peer: u32, news: &[News], now: Instant) {
-        self.quarantine.hear(peer, news, now);
-        for item in news {
-            let News::Crashed { content, .. } = *item else {
+    pub(super) fn apply_quarantine_updates(
+        &mut self,
+        peer: u32,
+        updates: &[QuarantineUpdate],
+        now: Instant,
+    ) {
+        self.quarantine.apply_updates(peer, updates, now);
+        for item in updates {
+            let QuarantineUpdate::Crashed { content, .. } = *item else {
                 continue;
             };
             // The peer's count doesn't include runs on this node.
             if self.is_running(content) {
-                self.quarantine.note_sent(content, now);
+                self.quarantine.record_send(content, now);
             }
         }
     }
@@ -206,7 +221,7 @@
     fn is_running(&self, content: Fingerprint) -> bool {
         let requests = self.requests.values().flatten();
         let mut same = requests.filter(|request| request.facts.content == content);
-        same.any(|request| request.at.is_some())
+        same.any(|request| request.server.is_some())
     }
 
     /// Removes a request whose caller disconnected or timed out.
@@ -219,10 +234,10 @@
         let Some(Some(request)) = self.requests.get(key) else {
             return self.remove_request(key, now, out);
         };
-        if request.at.is_some() {
-            self.quarantine.note_idle(request.facts.content);
+        if request.server.is_some() {
+            self.quarantine.record_run_ended(request.facts.content);
         }
-        if request.reserving.is_some() {
+        if request.pending_assignment.is_some() {
             self.roll_back_sends(key, now);
         }
         self.remove_request(key, now, out);
@@ -230,7 +245,7 @@
 
     /// Requests probes of servers whose connections broke, to detect crashes.
     pub(super) fn probe_servers(&mut self, now: Instant, out: &mut Vec<Effect>) {
-        for server in self.quarantine.take_checks(now) {
+        for server in self.quarantine.take_probes(now) {
             let server_key = self.fleet.by_tag(server);
             let Some(known) = server_key.and_then(|key| self.fleet.get(key)) else {
                 continue;
@@ -243,6 +258,6 @@
     /// Emits the quarantine's new findings as effects.
     pub(super) fn emit_findings(&mut self, out: &mut Vec<Effect>) {
         let findings = self.quarantine.take_findings();
-        out.extend(findings.into_iter().map(Effect::Found));
+        out.extend(findings.into_iter().map(Effect::Finding));
     }
 }
--- a/crates/notchwalk_route/tests/decisions/common.rs
+++ b/crates/notchwalk_route/tests/decisions/common.rs
@@ -3,25 +3,26 @@
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
 use notchwalk_core::Instant;
-use notchwalk_quarantine::{Content, Fingerprint, Fingerprinting};
+use notchwalk_quarantine::{Fingerprint, FingerprintBuilder, RequestHead};
 use notchwalk_route::{
-    Assignment, AttemptEnd, Backend, Effect, EngineParameters, Event, Refusal, Repeatability,
-    RequestFacts, RequestKey, Route, RouteLookup, Router, RouterConfig, ServerChange, ServerKey,
-    ServerRecord, ServerStage, Service, Sharing, SiteConfig, Workspace, WorkspaceTag,
+    Assignment, AttemptEnd, Backend, Effect, EngineParameters, Event, LimitSharing, Refusal,
+    Repeatability, RequestFacts, RequestKey, Route, RouteLookup, Router, RouterConfig,
+    ServerChange, ServerKey, ServerRecord, ServerStage, Service, SiteConfig, Workspace,
+    WorkspaceTag,
 };
 
 pub const ENGINES: &str = "engines";
-pub const DESK: &str = "desk";
+pub const PLAIN_SERVICE: &str = "desk";
 
 pub fn parameters() -> EngineParameters {
     EngineParameters {
         slots: 16,
         memory_tokens: 315_000,
-        steps_per_pass: 51.0,
-        step_ms: 0.85,
+        decode_steps_per_engine_step: 51.0,
+        decode_step_ms: 0.85,
         sequence_ms: 0.00425,
         context_ms_per_k: 0.00285,
-        read_tokens_per_ms: 177.0,
+        prefill_tokens_per_ms: 177.0,
         pair_ms_per_million: 0.184,
         chunk_tokens: 2_048,
         hop_ms: 0.05,
@@ -38,10 +39,10 @@
         repeatability,
         timeout: Duration::from_secs(10),
         objective: Duration::from_millis(300),
-        pause_objective: streaming.then_some(Duration::from_millis(250)),
+        inter_token_objective: streaming.then_some(Duration::from_millis(250)),
         priority: 1,
         max_attempts: 2,
-        open: false,
+        is_public: false,
         backends: vec![Backend {
             service: service.to_owned(),
             weight: 1,
@@ -52,7 +53,7 @@
 pub fn site() -> SiteConfig {
     let long = Route {
         objective: Duration::from_secs(3),
-        pause_objective: Some(Duration::from_secs(1)),
+        inter_token_objective: Some(Duration::from_secs(1)),
         timeout: Duration::from_secs(15),
         ..route("/long/", ENGINES, Repeatability::Resumable)
     };
@@ -65,12 +66,15 @@
         version: 1,
         routes: vec![
             route("/short/", ENGINES, Repeatability::Resumable),
-            route("/short/special/", DESK, Repeatability::Idempotent),
+            route("/short/special/", PLAIN_SERVICE, Repeatability::Idempotent),
             long,
-            route("/once/", DESK, Repeatability::Once),
-            route("/again/", DESK, Repeatability::Idempotent),
+            route("/once/", PLAIN_SERVICE, Repeatability::AtMostOnce),
+            route("/again/", PLAIN_SERVICE, Repeatability::Idempotent),
+        ],
+        services: vec![
+            service(ENGINES, Some(parameters())),
+            service(PLAIN_SERVICE, None),
         ],
-        services: vec![service(ENGINES, Some(parameters())), service(DESK, None)],
         workspaces: Some(vec![Workspace {
             name: "riggers".to_owned(),
             keys: vec!["key".to_owned()],
@@ -82,7 +86,7 @@
 
 /// Returns the fingerprint of a request with this body.
 pub fn content(body: &str) -> Fingerprint {
-    let mut fingerprinting = Fingerprinting::new(&Content {
+    let mut fingerprinting = FingerprintBuilder::new(&RequestHead {
         workspace: None,
         method: "POST",
         host: "a.example",
@@ -95,7 +99,7 @@
 pub fn record(service: &str, number: u8) -> ServerRecord {
     ServerRecord {
         instance: format!("{service}-{number}"),
-        born: None,
+        started_ms: None,
         service: service.to_owned(),
         addr: format!("10.0.{}.{number}:80", service.len())
             .parse()
@@ -107,7 +111,7 @@
 }
 
 /// A router, its clock and the effects it emitted.
-pub struct Rig {
+pub struct TestRouter {
     pub router: Router,
     pub now: Instant,
     pub effects: Vec<Effect>,
@@ -118,15 +122,15 @@
     arrivals: u64,
 }
 
-impl Rig {
+impl TestRouter {
     pub fn new() -> Self {
-        Self::named("entry-1", 18)
+        Self::with_engines("entry-1", 18)
     }
 
     /// Builds a rig whose node has run long enough to have received its peers' work.
-    pub fn named(name: &str, engines: u8) -> Self {
+    pub fn with_engines(name: &str, engines: u8) -> Self {
         let mut rig = Self::just_started(name, engines);
-        rig.pass(Duration::from_secs(5));
+        rig.advance(Duration::from_secs(5));
         rig
     }
 
@@ -147,13 +151,13 @@
             content: None,
             arrivals: 0,
         };
-        rig.step(Event::Entries { count: 1 });
-        rig.step(Event::Sharing(Sharing::new(name, 1, 1)));
+        rig.step(Event::NodeCount { count: 1 });
+        rig.step(Event::LimitSharing(LimitSharing::new(name, 1, 1)));
         rig.step(Event::Configured(site()));
         let engines = (0..engines).map(|number| record(ENGINES, number));
-        let desks = (0..3).map(|number| record(DESK, number));
+        let desks = (0..3).map(|number| record(PLAIN_SERVICE, number));
         let servers = engines.chain(desks).collect();
-        rig.step(Event::Servers(ServerChange::Whole(servers)));
+        rig.step(Event::Servers(ServerChange::All(servers)));
         rig
     }
 
@@ -163,7 +167,7 @@
         self.effects.extend(out);
     }
 
-    pub fn pass(&mut self, time: Duration) {
+    pub fn advance(&mut self, time: Duration) {
         self.now = self.now.after(time);
         self.step(Event::Tick);
     }
@@ -176,26 +180,26 @@
     }
 
     pub fn arrive(&mut self, path: &str, prompt_tokens: u32) -> RequestKey {
-        self.arrive_again(path, prompt_tokens, Duration::ZERO)
+        self.arrive_retry(path, prompt_tokens, Duration::ZERO)
     }
 
-    /// Sends a request of a caller whose first attempt was `since_first` ago.
-    pub fn arrive_again(
+    /// Sends a request of a caller whose first attempt was `since_first_attempt` ago.
+    pub fn arrive_retry(
         &mut self,
         path: &str,
         prompt_tokens: u32,
-        since_first: Duration,
+        since_first_attempt: Duration,
     ) -> RequestKey {
         let route = self.route(path);
-        let patience = route.timeout - since_first;
+        let caller_timeout = route.timeout - since_first_attempt;
         self.arrivals += 1;
         let default_content = content(&self.arrivals.to_string());
         let facts = RequestFacts {
             workspace: self.workspace,
             workspace_priority: 0,
             arrived: self.now,
-            patience,
-            deadline: self.now.after(patience),
+            caller_timeout,
+            deadline: self.now.after(caller_timeout),
             prompt_tokens,
             answer_tokens: 800,
             route,
@@ -206,12 +210,12 @@
         request
     }
 
-    pub fn end(&mut self, request: RequestKey, end: AttemptEnd) {
+    pub fn end_attempt(&mut self, request: RequestKey, end: AttemptEnd) {
         self.step(Event::AttemptEnded { request, end });
     }
 
     /// Takes the sends emitted since the last call.
-    pub fn sends(&mut self) -> Vec<(RequestKey, Assignment)> {
+    pub fn take_sends(&mut self) -> Vec<(RequestKey, Assignment)> {
         let mut sends = Vec::new();
         self.effects.retain(|effect| match effect {
             Effect::Send { request, to } => {
@@ -223,8 +227,8 @@
         sends
     }
 
-    pub fn only_send(&mut self) -> Assignment {
-        let mut sends = self.sends();
+    pub fn take_only_send(&mut self) -> Assignment {
+        let mut sends = self.take_sends();
         assert_eq!(sends.len(), 1, "{sends:?}");
         sends.remove(0).1
     }
@@ -238,7 +242,7 @@
     }
 
     /// Broadcasts the node's work on all servers to another node's router.
-    pub fn tell(&self, other: &mut Self, peer: u32) {
+    pub fn broadcast_work_to(&self, other: &mut Self, peer: u32) {
         let (servers, work) = self.router.all_own_work(self.now);
         other.step(Event::PeerWork {
             peer,
@@ -249,27 +253,27 @@
 }
 
 /// Returns a registration of a desk server with the start time of its incarnation.
-pub fn born(number: u8, born: u64) -> ServerRecord {
+pub fn desk(number: u8, started_ms: u64) -> ServerRecord {
     ServerRecord {
-        born: Some(born),
-        ..record(DESK, number)
+        started_ms: Some(started_ms),
+        ..record(PLAIN_SERVICE, number)
     }
 }
 
 /// Registers a server, or updates its registration.
-pub fn present(rig: &mut Rig, record: ServerRecord) {
-    rig.step(Event::Servers(ServerChange::Present(record)));
+pub fn register(rig: &mut TestRouter, record: ServerRecord) {
+    rig.step(Event::Servers(ServerChange::Registered(record)));
 }
 
 /// Returns the key of a registered server.
-pub fn key(rig: &Rig, service: &str, number: u8) -> ServerKey {
+pub fn server_key(rig: &TestRouter, service: &str, number: u8) -> ServerKey {
     let instance = record(service, number).instance;
     let fleet = rig.router.fleet();
     fleet.by_instance(&instance).expect("server is registered")
 }
 
 /// Counts the requests sent to each server.
-pub fn tally(sends: &[(RequestKey, Assignment)]) -> HashMap<String, usize> {
+pub fn count_by_server(sends: &[(RequestKey, Assignment)]) -> HashMap<String, usize> {
     let mut counts = HashMap::new();
     for (_, to) in sends {
         *counts.entry(to.instance.clone()).or_default() += 1;
--- a/crates/notchwalk_route/tests/decisions/random_runs.rs
+++ b/crates/notchwalk_route/tests/decisions/random_runs.rs
@@ -5,14 +5,14 @@
 use notchwalk_core::Instant;
 use notchwalk_route::{
     Assignment, AttemptEnd, Effect, Event, FailedReservation, PeerWork, Refusal, Repeatability,
-    RequestKey, ServerChange, ServerKey, ServerStage, ServerWord, SiteConfig, WorkPhase,
+    RequestKey, ServerChange, ServerKey, ServerNotice, ServerStage, SiteConfig, WorkPhase,
 };
 use proptest::{
     prelude::*,
     test_runner::{Config, RngAlgorithm, TestRng, TestRunner},
 };
 
-use crate::common::{record, site, Rig, DESK, ENGINES};
+use crate::common::{record, site, TestRouter, ENGINES, PLAIN_SERVICE};
 
 #[derive(Clone, Debug)]
 enum Action {
@@ -59,20 +59,20 @@
 }
 
 struct Harness {
-    rig: Rig,
+    rig: TestRouter,
     states: HashMap<RequestKey, (RequestState, Repeatability, u32)>,
     order: Vec<RequestKey>,
     /// Times of first sends, and of retries after a server was reached.
     first_sends: Vec<Instant>,
     retries: Vec<Instant>,
-    /// When servers that back off accept requests again; `None` for draining ones.
+    /// When servers that requested a backoff accept requests again; `None` for draining ones.
     available_from: HashMap<ServerKey, Option<Instant>>,
 }
 
 impl Harness {
     fn new() -> Self {
         Self {
-            rig: Rig::named("entry-1", 7),
+            rig: TestRouter::with_engines("entry-1", 7),
             states: HashMap::new(),
             order: Vec::new(),
             first_sends: Vec::new(),
@@ -109,11 +109,11 @@
                     state.reserving = true;
                 }
                 Effect::Order(_)
-                | Effect::Closed { .. }
-                | Effect::Heard { .. }
+                | Effect::Ejected { .. }
+                | Effect::NewNotice { .. }
                 | Effect::Check { .. }
                 | Effect::LimitUsedUp { .. }
-                | Effect::Found(_) => {}
+                | Effect::Finding(_) => {}
             }
         }
     }
@@ -136,9 +136,9 @@
             .expect("sent to a server that announced draining");
         assert!(
             self.rig.now >= until,
-            "sent to a server that is backing off"
+            "sent to a server during the backoff that it requested"
         );
-        assert!(to.helpers.len() <= 17);
+        assert!(to.prefill_workers.len() <= 17);
         let (state, repeatability, attempts) =
             self.states.get_mut(&request).expect("request arrived");
         assert!(!state.ended, "sent after the request ended");
@@ -147,7 +147,7 @@
             "two concurrent sends of a request"
         );
         assert!(
-            state.may_have_run == 0 || *repeatability != Repeatability::Once,
+            state.may_have_run == 0 || *repeatability != Repeatability::AtMostOnce,
             "non-repeatable request sent again after it may have run"
         );
         assert!(
@@ -245,8 +245,9 @@
             }
             Action::Drain(server, removed) => self.drain(server, removed),
             Action::Register(server) => {
-                let record = record(if server < 7 { ENGINES } else { DESK }, server % 7);
-                self.rig.step(Event::Servers(ServerChange::Present(record)));
+                let record = record(if server < 7 { ENGINES } else { PLAIN_SERVICE }, server % 7);
+                self.rig
+                    .step(Event::Servers(ServerChange::Registered(record)));
             }
             Action::Notify(server, backoff) => self.notify(server, backoff),
             Action::Configure(version) => {
@@ -260,29 +261,30 @@
                 );
             }
             Action::PeerWork(server, count) => self.broadcast_peer_work(server, count),
-            Action::Advance(ms) => self.rig.pass(Duration::from_millis(ms.into())),
+            Action::Advance(ms) => self.rig.advance(Duration::from_millis(ms.into())),
         }
     }
 
     fn drain(&mut self, server: u8, removed: bool) {
-        let mut record = record(if server < 7 { ENGINES } else { DESK }, server % 7);
+        let mut record = record(if server < 7 { ENGINES } else { PLAIN_SERVICE }, server % 7);
         record.stage = ServerStage::Leaving;
         let change = match removed {
-            true => ServerChange::Gone(record.instance),
-            false => ServerChange::Present(record),
+            true => ServerChange::Removed(record.instance),
+            false => ServerChange::Registered(record),
         };
         self.rig.step(Event::Servers(change));
     }
 
     /// Reports a server's draining notice (`None`) or backoff in milliseconds.
     fn notify(&mut self, server: u8, backoff: Option<u16>) {
-        let instance = record(if server < 7 { ENGINES } else { DESK }, server % 7).instance;
+        let instance =
+            record(if server < 7 { ENGINES } else { PLAIN_SERVICE }, server % 7).instance;
         let Some(server) = self.rig.router.fleet().by_instance(&instance) else {
             return;
         };
-        let word = match backoff {
-            Some(ms) => ServerWord::WantsNothing(Duration::from_millis(ms.into())),
-            None => ServerWord::Leaving,
+        let notice = match backoff {
+            Some(ms) => ServerNotice::BackOff(Duration::from_millis(ms.into())),
+            None => ServerNotice::Draining,
         };
         let until = backoff.map(|ms| self.rig.now.after(Duration::from_millis(ms.into())));
         let known = self
@@ -290,7 +292,7 @@
             .entry(server)
             .or_insert(Some(Instant::ZERO));
         *known = known.zip(until).map(|(before, until)| before.max(until));
-        self.rig.step(Event::ServerSaid { server, word });
+        self.rig.step(Event::NoticeReceived { server, notice });
     }
 
     fn end(&mut self, which: usize, end: u8) {
@@ -305,22 +307,22 @@
             0 => AttemptEnd::NotConnected,
             1 => AttemptEnd::NotRun {
                 at_fault: None,
-                moved: true,
+                address_reused: true,
             },
             2 => AttemptEnd::NotRun {
                 at_fault: None,
-                moved: false,
+                address_reused: false,
             },
             3 => AttemptEnd::Failed,
-            4 => AttemptEnd::Broken,
-            _ => AttemptEnd::Delivered { healthy: true },
+            4 => AttemptEnd::ConnectionLost,
+            _ => AttemptEnd::Delivered { is_success: true },
         };
-        if matches!(end, AttemptEnd::Failed | AttemptEnd::Broken) {
+        if matches!(end, AttemptEnd::Failed | AttemptEnd::ConnectionLost) {
             state.may_have_run += 1;
         }
         state.reached = end != AttemptEnd::NotConnected;
         state.ended = matches!(end, AttemptEnd::Delivered { .. });
-        self.rig.end(request, end);
+        self.rig.end_attempt(request, end);
     }
 
     /// Reports a peer's short requests on an engine.
@@ -334,13 +336,13 @@
         drop(servers);
         let work = PeerWork {
             server: tag,
-            phase: WorkPhase::Writing,
+            phase: WorkPhase::Decode,
             context_tokens: 5_000,
-            pass_tokens: 5_000,
-            read_ms: 30,
-            pause_ms: 250,
+            step_tokens: 5_000,
+            prefill_ms: 30,
+            inter_token_ms: 250,
             age_ms: 100,
-            reading_ms: 60,
+            predicted_prefill_ms: 60,
             workspace: 0,
         };
         self.rig.step(Event::PeerWork {
@@ -352,7 +354,7 @@
 
     /// Ends all requests and checks that no state remains.
     fn finish(mut self) {
-        self.rig.step(Event::PeerGone { peer: 1 });
+        self.rig.step(Event::PeerUnreachable { peer: 1 });
         for request in std::mem::take(&mut self.order) {
             if !self.states[&request].0.ended {
                 self.rig.step(Event::Abandoned { request });
@@ -362,8 +364,8 @@
         assert_eq!(self.rig.router.reservations(), 0);
         assert_eq!(self.rig.router.queued_work().0, 0);
         for (key, server) in self.rig.router.fleet().iter() {
-            let load = self.rig.router.board().load(key, self.rig.now);
-            let left = load.occupied() + load.helping;
+            let load = self.rig.router.load_view().load(key, self.rig.now);
+            let left = load.occupied() + load.prefill_parts;
             assert_eq!(left, 0, "{} still has work", server.record.instance);
             assert_eq!(load.context_tokens, 0.0);
         }
--- a/crates/notchwalk_standin/src/routed/policy.rs
+++ b/crates/notchwalk_standin/src/routed/policy.rs
@@ -18,11 +18,11 @@
     EngineParameters {
         slots: 16,
         memory_tokens: 315_000,
-        steps_per_pass: 51.0,
-        step_ms: 0.85,
+        decode_steps_per_engine_step: 51.0,
+        decode_step_ms: 0.85,
         sequence_ms: 0.00425,
         context_ms_per_k: 0.00285,
-        read_tokens_per_ms: 177.0,
+        prefill_tokens_per_ms: 177.0,
         pair_ms_per_million: 0.184,
         chunk_tokens: 2_048,
         hop_ms: 0.05,
@@ -98,10 +98,10 @@
         repeatability: Repeatability::Resumable,
         timeout: kind.patience,
         objective: kind.objective,
-        pause_objective: Some(kind.pause),
+        inter_token_objective: Some(kind.pause),
         priority: 1,
         max_attempts: 2,
-        open: true,
+        is_public: true,
         backends: vec![Backend {
             service: SERVICE.to_owned(),
             weight: 1,
@@ -123,7 +123,7 @@
 pub(crate) fn record(number: usize) -> ServerRecord {
     ServerRecord {
         instance: format!("engine-{number}"),
-        born: None,
+        started_ms: None,
         service: SERVICE.to_owned(),
         addr: SocketAddr::from(([10, 0, 0, number as u8], 80)),
         failure_domain: "a".to_owned(),
--- a/crates/notchwalk_standin/src/routed/world.rs
+++ b/crates/notchwalk_standin/src/routed/world.rs
@@ -9,7 +9,7 @@
 };
 
 use notchwalk_core::Instant;
-use notchwalk_quarantine::{Content, Fingerprint, Fingerprinting};
+use notchwalk_quarantine::{Fingerprint, FingerprintBuilder, RequestHead};
 use notchwalk_route::{
     Assignment, AttemptEnd, Effect, Event, FailedReservation, PeerWork, RequestFacts, RequestKey,
     Route, RouteLookup, Router, RouterConfig, ServerChange, WorkspaceTag,
@@ -118,7 +118,7 @@
             let before = start.before(STARTED_BEFORE);
             router.step(before, Event::Configured(site()), &mut out);
             let all = (0..ENGINES).map(record).collect();
-            let change = Event::Servers(ServerChange::Whole(all));
+            let change = Event::Servers(ServerChange::All(all));
             router.step(before, change, &mut out);
             router
         });
@@ -242,7 +242,7 @@
             workspace: WorkspaceTag::default(),
             workspace_priority: 0,
             arrived: self.now,
-            patience: kind.patience,
+            caller_timeout: kind.patience,
             deadline: self.now.after(kind.patience),
             prompt_tokens: arrival.prompt as u32,
             answer_tokens: (f64::from(arrival.events) * TOKENS_PER_EVENT) as u32,
@@ -337,12 +337,12 @@
             }
             // Memory is given back when the request is dropped here.
             Effect::Order(_)
-            | Effect::Closed { .. }
-            | Effect::Heard { .. }
+            | Effect::Ejected { .. }
+            | Effect::NewNotice { .. }
             | Effect::DeliverFailure { .. }
             | Effect::Check { .. }
             | Effect::LimitUsedUp { .. }
-            | Effect::Found(_) => {}
+            | Effect::Finding(_) => {}
         }
     }
 
@@ -362,7 +362,10 @@
     fn reach(&mut self, number: Number, to: &Assignment) {
         let arrival = self.arrivals[number];
         let generating = self.by_addr[&to.addr];
-        let others = to.helpers.iter().map(|helper| self.by_addr[&helper.addr]);
+        let others = to
+            .prefill_workers
+            .iter()
+            .map(|helper| self.by_addr[&helper.addr]);
         let others: Vec<usize> = others.filter(|&engine| engine != generating).collect();
         let k = others.len() + 1;
         let part = Part {
@@ -460,7 +463,7 @@
         };
         let (entry, key) = (request.entry, request.key);
         self.drop_request(number);
-        let end = AttemptEnd::Delivered { healthy: true };
+        let end = AttemptEnd::Delivered { is_success: true };
         self.step(entry, Event::AttemptEnded { request: key, end });
         self.by_key.remove(&(entry, key));
     }
@@ -490,11 +493,11 @@
 /// Returns the fingerprint of a request: each of them is another one.
 fn content_of(number: Number) -> Fingerprint {
     let target = number.to_string();
-    let content = Content {
+    let content = RequestHead {
         workspace: None,
         method: "POST",
         host: "",
         target: &target,
     };
-    Fingerprinting::new(&content).finish()
+    FingerprintBuilder::new(&content).finish()
 }
--- a/crates/notchwalk_wire/src/peer.rs
+++ b/crates/notchwalk_wire/src/peer.rs
@@ -2,7 +2,7 @@
 //! most of the 3 KB per second that a node may use for control traffic.
 
 use notchwalk_core::{BootNumber, RequestId, ServerId, Tokens, VmId};
-use notchwalk_quarantine::News;
+use notchwalk_quarantine::QuarantineUpdate;
 use serde::{Deserialize, Serialize};
 use serde_tuple::{Deserialize_tuple, Serialize_tuple};
 
@@ -141,5 +141,5 @@
     /// A bundle: its manifest and parts, as JSON.
     BundleOffer(String),
     /// Updates about requests that are suspected of crashing servers.
-    Suspects(Vec<News>),
+    Suspects(Vec<QuarantineUpdate>),
 }
