--- a/crates/notchwalk_standin/src/routed/limits.rs
+++ b/crates/notchwalk_standin/src/routed/limits.rs
@@ -1,5 +1,5 @@
-//! Servers that name limits, in simulated time: many routers share them, with messages
-//! that take time and get lost, and entries that are killed, suspended and cut off.
+//! Routers that share the rate limits of servers, in simulated time, with message latency
+//! and loss, and with nodes that crash, are suspended or are partitioned from their peers.
 
 use std::{
     cmp::Reverse,
@@ -20,85 +20,88 @@
 
 use super::limits_plan::{Demand, LimitsOutcome, LimitsPlan, Trouble};
 
-const DESK: &str = "desk";
-/// How often a router hears that time passed, as the daemon has it.
+const SERVICE: &str = "desk";
+/// Interval of a router's ticks, as in the daemon.
 const TICK: Duration = Duration::from_millis(15);
-/// How often an entry says that it lives.
+/// Interval of heartbeats in a small fleet.
 const HEARTBEAT: Duration = Duration::from_millis(250);
-/// Heartbeats that a peer misses before it does not count as heard.
-const MISSED: u32 = 4;
-/// One way between an entry and a server, or another entry, at most.
-const ONE_WAY_MS: std::ops::Range<f64> = 0.3..3.0;
-/// How long a server works on a call.
-const WORK: Duration = Duration::from_millis(60);
-/// How long a call may take in all.
-const TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Servers without a limit, where there are any.
-pub const FREE_SERVERS: usize = 2;
+/// Heartbeat intervals without a message after which a peer no longer counts as reachable.
+const MAX_MISSED_HEARTBEATS: u32 = 4;
+/// Range of the one-way latency between a node and a server or a peer.
+const LATENCY_MS: std::ops::Range<f64> = 0.3..3.0;
+/// Time that a server takes for a request.
+const SERVICE_TIME: Duration = Duration::from_millis(60);
+/// Timeout of a request, including its time in the queue.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Number of servers without a limit if [`LimitsPlan::others`] is set.
+pub const UNLIMITED_SERVERS: usize = 2;
 
+/// A scheduled event. Requests and responses hold the node, its incarnation, the request, the
+/// server and the time of sending.
 #[derive(Debug)]
-enum Happening {
+enum Scheduled {
     Tick(usize),
-    Beat(usize),
-    Arrive,
-    Told {
+    Heartbeat(usize),
+    RequestArrives,
+    Message {
         to: usize,
         from: usize,
         limits: Vec<LimitUpdate>,
-        beat: bool,
+        is_heartbeat: bool,
     },
-    Reach(usize, u64, RequestKey, usize, Instant),
-    Answer(usize, u64, RequestKey, usize, Instant, Option<RateLimit>),
-    Strike(usize, Trouble),
+    RequestReachesServer(usize, u64, RequestKey, usize, Instant),
+    ResponseArrives(usize, u64, RequestKey, usize, Instant, Option<RateLimit>),
+    FaultBegins(usize, Trouble),
     Restart(usize),
-    Greet(usize),
+    SendKnownLimits(usize),
 }
 
-struct Entry {
+struct Node {
     router: Router,
-    /// Rises with each start; what was sent to an earlier life is void.
-    life: u64,
-    up: bool,
-    resumes: Instant,
-    cut_until: Instant,
-    heard: Vec<Instant>,
-    arrived: BTreeMap<RequestKey, Instant>,
+    /// Increases with each crash and restart. Responses to an earlier incarnation are ignored.
+    incarnation: u64,
+    is_running: bool,
+    suspended_until: Instant,
+    partitioned_until: Instant,
+    /// Time of the last message from each node, or zero for an unreachable peer.
+    last_received: Vec<Instant>,
+    arrived_at: BTreeMap<RequestKey, Instant>,
 }
 
-/// See the module's page.
+/// A simulation of nodes that share servers with rate limits.
 pub struct LimitsWorld {
     plan: LimitsPlan,
     now: Instant,
-    entries: Vec<Entry>,
-    due: BinaryHeap<Reverse<(Instant, u64)>>,
-    happenings: BTreeMap<u64, Happening>,
-    number: u64,
+    nodes: Vec<Node>,
+    queue: BinaryHeap<Reverse<(Instant, u64)>>,
+    events: BTreeMap<u64, Scheduled>,
+    sequence: u64,
     rng: Pcg64Mcg,
     outcome: LimitsOutcome,
 }
 
-/// When the run begins; the clock is older.
+/// Start time of a run. It is not zero, so that earlier times can be represented.
 pub const BEGIN: Instant = Instant::from_millis(10_000);
 
-fn name(entry: usize) -> String {
-    format!("entry-{entry}")
+fn node_name(node: usize) -> String {
+    format!("entry-{node}")
 }
 
 fn site() -> SiteConfig {
     let route = Route {
-        name: DESK.to_owned(),
+        name: SERVICE.to_owned(),
         host: "a.example".to_owned(),
         prefix: "/".to_owned(),
         streaming: false,
         repeatability: Repeatability::Idempotent,
-        timeout: TIMEOUT,
+        timeout: REQUEST_TIMEOUT,
         objective: Duration::from_millis(300),
         inter_token_objective: None,
         priority: 1,
         max_attempts: 2,
         is_public: true,
         backends: vec![Backend {
-            service: DESK.to_owned(),
+            service: SERVICE.to_owned(),
             weight: 1,
         }],
     };
@@ -106,7 +109,7 @@
         version: 1,
         routes: vec![route],
         services: vec![Service {
-            name: DESK.to_owned(),
+            name: SERVICE.to_owned(),
             max_connections: 100,
             engine: None,
         }],
@@ -118,10 +121,10 @@
     ServerRecord {
         instance: format!("i-{server}"),
         started_ms: None,
-        service: DESK.to_owned(),
+        service: SERVICE.to_owned(),
         addr: format!("10.0.{}.{}:80", server / 250, server % 250 + 1)
             .parse()
-            .expect("an address"),
+            .expect("the address is valid"),
         failure_domain: "a".to_owned(),
         slots: 200,
         stage: ServerStage::Ready,
@@ -129,276 +132,289 @@
 }
 
 impl LimitsWorld {
-    /// Builds a world at its beginning.
+    /// Creates a simulation at its start.
     pub fn new(plan: LimitsPlan) -> Self {
         let servers = plan.limits.len();
-        let mut world = Self {
+        let mut simulation = Self {
             now: BEGIN,
-            entries: Vec::new(),
-            due: BinaryHeap::new(),
-            happenings: BTreeMap::new(),
-            number: 0,
+            nodes: Vec::new(),
+            queue: BinaryHeap::new(),
+            events: BTreeMap::new(),
+            sequence: 0,
             rng: Pcg64Mcg::seed_from_u64(plan.seed),
             outcome: LimitsOutcome {
                 reached: vec![Vec::new(); servers],
-                heard_end: vec![None; plan.entries],
+                heard_end: vec![None; plan.nodes],
                 ..LimitsOutcome::default()
             },
             plan,
         };
-        for entry in 0..world.plan.entries {
-            let started = world.start(entry, 0);
-            world.entries.push(started);
-            let phase = TICK.mul_f64(world.rng.random_range(0.0..1.0));
-            world.later(phase, Happening::Tick(entry));
-            let phase = HEARTBEAT.mul_f64(world.rng.random_range(0.0..1.0));
-            world.later(phase, Happening::Beat(entry));
+        for node in 0..simulation.plan.nodes {
+            let state = simulation.start_node(node, 0);
+            simulation.nodes.push(state);
+            let phase = TICK.mul_f64(simulation.rng.random_range(0.0..1.0));
+            simulation.schedule(phase, Scheduled::Tick(node));
+            let phase = HEARTBEAT.mul_f64(simulation.rng.random_range(0.0..1.0));
+            simulation.schedule(phase, Scheduled::Heartbeat(node));
         }
-        for (at, entry, trouble) in world.plan.troubles.clone() {
-            world.later(at, Happening::Strike(entry, trouble));
+        for (at, node, fault) in simulation.plan.troubles.clone() {
+            simulation.schedule(at, Scheduled::FaultBegins(node, fault));
         }
-        world.later(Duration::ZERO, Happening::Arrive);
-        world
+        simulation.schedule(Duration::ZERO, Scheduled::RequestArrives);
+        simulation
     }
 
-    fn start(&self, entry: usize, life: u64) -> Entry {
+    fn start_node(&self, node: usize, incarnation: u64) -> Node {
         let mut router = Router::new(RouterConfig {
-            name: name(entry),
+            name: node_name(node),
             failure_domain: "a".to_owned(),
             retry_ratio: 0.2,
             retry_slack: 100.0,
             retry_window: Duration::from_secs(10),
-            seed: self.plan.seed + entry as u64,
+            seed: self.plan.seed + node as u64,
         });
-        let others = if self.plan.others { FREE_SERVERS } else { 0 };
+        let others = if self.plan.others {
+            UNLIMITED_SERVERS
+        } else {
+            0
+        };
         let servers = (0..self.plan.limits.len() + others).map(record).collect();
-        let count = self.plan.entries as u32;
+        let count = self.plan.nodes as u32;
         let mut out = Vec::new();
         for event in [
             Event::NodeCount { count },
             Event::Configured(site()),
             Event::Servers(ServerChange::All(servers)),
-            Event::LimitSharing(LimitSharing::new(&name(entry), count, 1)),
+            Event::LimitSharing(LimitSharing::new(&node_name(node), count, 1)),
         ] {
             router.step(self.now, event, &mut out);
         }
-        // At the beginning all have heard each other; after a start nobody was heard.
-        let heard = match life {
+        // At the start of a run all peers are reachable. A restarted node has received nothing.
+        let last_received = match incarnation {
             0 => self.now,
             _ => Instant::ZERO,
         };
-        Entry {
+        Node {
             router,
-            life,
-            up: true,
-            resumes: Instant::ZERO,
-            cut_until: Instant::ZERO,
-            heard: vec![heard; self.plan.entries],
-            arrived: BTreeMap::new(),
+            incarnation,
+            is_running: true,
+            suspended_until: Instant::ZERO,
+            partitioned_until: Instant::ZERO,
+            last_received: vec![last_received; self.plan.nodes],
+            arrived_at: BTreeMap::new(),
         }
     }
 
-    fn later(&mut self, after: Duration, happening: Happening) {
-        self.number += 1;
-        self.happenings.insert(self.number, happening);
+    fn schedule(&mut self, after: Duration, event: Scheduled) {
+        self.sequence += 1;
+        self.events.insert(self.sequence, event);
         let at = self.now.after(after);
-        self.due.push(Reverse((at, self.number)));
+        self.queue.push(Reverse((at, self.sequence)));
     }
 
-    fn one_way(&mut self) -> Duration {
-        Duration::from_secs_f64(self.rng.random_range(ONE_WAY_MS) / 1e3)
+    fn sample_latency(&mut self) -> Duration {
+        Duration::from_secs_f64(self.rng.random_range(LATENCY_MS) / 1e3)
     }
 
-    /// Plays the run to its end.
+    /// Runs the simulation to its end.
     pub fn run(mut self) -> LimitsOutcome {
         let end = BEGIN.after(self.plan.lasts);
-        while let Some(Reverse((at, number))) = self.due.pop() {
+        while let Some(Reverse((at, sequence))) = self.queue.pop() {
             if at >= end {
                 break;
             }
             self.now = at;
-            if let Some(happening) = self.happenings.remove(&number) {
-                self.happen(happening);
+            if let Some(event) = self.events.remove(&sequence) {
+                self.handle(event);
             }
         }
         self.outcome
     }
 
-    /// Returns the entry that a happening concerns, and whether it waits for the entry.
-    fn happen(&mut self, happening: Happening) {
-        let concerned = match happening {
-            Happening::Tick(entry) | Happening::Beat(entry) => Some(entry),
-            Happening::Told { to, .. } => Some(to),
-            Happening::Answer(entry, ..) => Some(entry),
+    /// Handles an event. Events at a suspended node are deferred until it resumes.
+    fn handle(&mut self, event: Scheduled) {
+        let target = match event {
+            Scheduled::Tick(node) | Scheduled::Heartbeat(node) => Some(node),
+            Scheduled::Message { to, .. } => Some(to),
+            Scheduled::ResponseArrives(node, ..) => Some(node),
             _ => None,
         };
-        if let Some(entry) = concerned {
-            let resumes = self.entries[entry].resumes;
-            if resumes > self.now {
-                // Its machine is suspended: all of it happens when it runs again.
-                return self.later(resumes.since(self.now), happening);
+        if let Some(node) = target {
+            let suspended_until = self.nodes[node].suspended_until;
+            if suspended_until > self.now {
+                return self.schedule(suspended_until.since(self.now), event);
             }
         }
-        match happening {
-            Happening::Tick(entry) => {
-                self.later(TICK, Happening::Tick(entry));
-                self.step(entry, Event::Tick);
+        match event {
+            Scheduled::Tick(node) => {
+                self.schedule(TICK, Scheduled::Tick(node));
+                self.step(node, Event::Tick);
             }
-            Happening::Beat(entry) => self.beat(entry),
-            Happening::Arrive => self.arrive(),
-            Happening::Told {
+            Scheduled::Heartbeat(node) => self.send_heartbeat(node),
+            Scheduled::RequestArrives => self.handle_arrival(),
+            Scheduled::Message {
                 to,
                 from,
                 limits,
-                beat,
-            } => self.hear(to, from, limits, beat),
-            Happening::Reach(entry, life, key, server, asked) => {
-                self.reach(entry, life, key, server, asked);
+                is_heartbeat,
+            } => self.receive(to, from, limits, is_heartbeat),
+            Scheduled::RequestReachesServer(node, incarnation, key, server, sent_at) => {
+                self.handle_request_at_server(node, incarnation, key, server, sent_at);
             }
-            Happening::Answer(entry, life, key, server, asked, limit) => {
-                self.answer(entry, life, key, server, asked, limit);
+            Scheduled::ResponseArrives(node, incarnation, key, server, sent_at, limit) => {
+                self.handle_response(node, incarnation, key, server, sent_at, limit);
             }
-            Happening::Strike(entry, trouble) => self.strike(entry, trouble),
-            Happening::Restart(entry) => self.restart(entry),
-            Happening::Greet(entry) => self.greet(entry),
+            Scheduled::FaultBegins(node, fault) => self.inject_fault(node, fault),
+            Scheduled::Restart(node) => self.restart(node),
+            Scheduled::SendKnownLimits(node) => self.send_known_limits(node),
         }
     }
 
-    fn strike(&mut self, entry: usize, trouble: Trouble) {
+    fn inject_fault(&mut self, node: usize, fault: Trouble) {
         let now = self.now;
-        let struck = &mut self.entries[entry];
-        match trouble {
+        let node_state = &mut self.nodes[node];
+        match fault {
             Trouble::Kill(time) => {
-                struck.up = false;
-                struck.life += 1;
-                self.later(time, Happening::Restart(entry));
+                node_state.is_running = false;
+                node_state.incarnation += 1;
+                self.schedule(time, Scheduled::Restart(node));
             }
-            Trouble::Suspend(time) => struck.resumes = now.after(time),
-            Trouble::Cut(time) => struck.cut_until = now.after(time),
+            Trouble::Suspend(time) => node_state.suspended_until = now.after(time),
+            Trouble::Cut(time) => node_state.partitioned_until = now.after(time),
         }
     }
 
-    fn restart(&mut self, entry: usize) {
-        let life = self.entries[entry].life + 1;
-        self.entries[entry] = self.start(entry, life);
-        self.outcome.starts.push((entry, self.now));
-        // It says at once that it is here, and is told what is known, three times.
-        self.tell(entry, None, Vec::new(), true);
-        for times in 0..3 {
-            self.later(HEARTBEAT * times, Happening::Greet(entry));
+    fn restart(&mut self, node: usize) {
+        let incarnation = self.nodes[node].incarnation + 1;
+        self.nodes[node] = self.start_node(node, incarnation);
+        self.outcome.restarts.push((node, self.now));
+        // Announces itself immediately; peers then send their limits three times, since
+        // messages can get lost.
+        self.send(node, None, Vec::new(), true);
+        for round in 0..3 {
+            self.schedule(HEARTBEAT * round, Scheduled::SendKnownLimits(node));
         }
     }
 
-    fn greet(&mut self, entry: usize) {
-        for peer in 0..self.plan.entries {
-            if peer != entry && self.entries[peer].up {
+    fn send_known_limits(&mut self, node: usize) {
+        for peer in 0..self.plan.nodes {
+            if peer != node && self.nodes[peer].is_running {
                 let limits = self.known_limits(peer, LimitScope::All);
-                self.tell(peer, Some(entry), limits, true);
+                self.send(peer, Some(node), limits, true);
             }
         }
     }
 
-    fn known_limits(&self, entry: usize, told: LimitScope) -> Vec<LimitUpdate> {
-        const MOST: usize = 48;
-        let fleet = self.entries[entry].router.fleet();
-        fleet.limit_updates(told, MOST, self.now)
+    fn known_limits(&self, node: usize, scope: LimitScope) -> Vec<LimitUpdate> {
+        const MAX_LIMITS: usize = 48;
+        let fleet = self.nodes[node].router.fleet();
+        fleet.limit_updates(scope, MAX_LIMITS, self.now)
     }
 
-    fn beat(&mut self, entry: usize) {
-        let pace = (self.plan.entries as f64 / 12.0).clamp(1.0, 4.0);
-        self.later(HEARTBEAT.mul_f64(pace), Happening::Beat(entry));
-        if !self.entries[entry].up {
+    fn send_heartbeat(&mut self, node: usize) {
+        // Larger fleets send heartbeats less often.
+        let slowdown = (self.plan.nodes as f64 / 12.0).clamp(1.0, 4.0);
+        self.schedule(HEARTBEAT.mul_f64(slowdown), Scheduled::Heartbeat(node));
+        if !self.nodes[node].is_running {
             return;
         }
-        let limits = self.known_limits(entry, LimitScope::Direct);
-        self.tell(entry, None, limits, true);
-        let since = self.now.before(HEARTBEAT.mul_f64(pace) * MISSED);
-        let heard = self.entries[entry].heard.iter();
-        let heard = heard.enumerate();
-        let lively = heard.filter(|(peer, at)| *peer != entry && **at >= since);
-        let count = lively.count() as u32 + 1;
-        let gone: Vec<usize> = (0..self.plan.entries)
+        let limits = self.known_limits(node, LimitScope::Direct);
+        self.send(node, None, limits, true);
+        let since = self
+            .now
+            .before(HEARTBEAT.mul_f64(slowdown) * MAX_MISSED_HEARTBEATS);
+        let last_received = self.nodes[node].last_received.iter();
+        let last_received = last_received.enumerate();
+        let reachable = last_received.filter(|(peer, at)| *peer != node && **at >= since);
+        let count = reachable.count() as u32 + 1;
+        let unreachable: Vec<usize> = (0..self.plan.nodes)
             .filter(|&peer| {
-                let at = self.entries[entry].heard[peer];
+                let at = self.nodes[node].last_received[peer];
                 at > Instant::ZERO && at < self.now.before(Duration::from_secs(3))
             })
             .collect();
-        for peer in gone {
-            self.entries[entry].heard[peer] = Instant::ZERO;
-            self.step(entry, Event::PeerUnreachable { peer: peer as u32 });
+        for peer in unreachable {
+            self.nodes[node].last_received[peer] = Instant::ZERO;
+            self.step(node, Event::PeerUnreachable { peer: peer as u32 });
         }
-        let sharing = LimitSharing::new(&name(entry), self.plan.entries as u32, count);
-        self.step(entry, Event::LimitSharing(sharing));
+        let sharing = LimitSharing::new(&node_name(node), self.plan.nodes as u32, count);
+        self.step(node, Event::LimitSharing(sharing));
     }
 
-    fn tell(&mut self, from: usize, to: Option<usize>, limits: Vec<LimitUpdate>, beat: bool) {
+    fn send(
+        &mut self,
+        from: usize,
+        to: Option<usize>,
+        limits: Vec<LimitUpdate>,
+        is_heartbeat: bool,
+    ) {
         if self.plan.silent {
             return;
         }
-        let all = 0..self.plan.entries;
+        let all = 0..self.plan.nodes;
         let targets: Vec<usize> = match to {
             Some(to) => vec![to],
             None => all.filter(|&to| to != from).collect(),
         };
         for to in targets {
             self.outcome.messages += 1;
-            let cut = |entry: usize| self.entries[entry].cut_until > self.now;
-            if cut(from) || cut(to) || self.rng.random_bool(self.plan.lost) {
+            let is_partitioned = |node: usize| self.nodes[node].partitioned_until > self.now;
+            if is_partitioned(from) || is_partitioned(to) || self.rng.random_bool(self.plan.lost) {
                 continue;
             }
-            let takes = self.one_way();
+            let latency = self.sample_latency();
             let limits = limits.clone();
-            self.later(
-                takes,
-                Happening::Told {
+            self.schedule(
+                latency,
+                Scheduled::Message {
                     to,
                     from,
                     limits,
-                    beat,
+                    is_heartbeat,
                 },
             );
         }
     }
 
-    fn hear(&mut self, to: usize, from: usize, limits: Vec<LimitUpdate>, beat: bool) {
-        if !self.entries[to].up {
+    fn receive(&mut self, to: usize, from: usize, limits: Vec<LimitUpdate>, is_heartbeat: bool) {
+        if !self.nodes[to].is_running {
             return;
         }
-        if beat || !limits.is_empty() {
-            self.entries[to].heard[from] = self.now;
+        if is_heartbeat || !limits.is_empty() {
+            self.nodes[to].last_received[from] = self.now;
         }
         if !limits.is_empty() {
             let peer = from as u32;
-            let name = name(from);
+            let name = node_name(from);
             let is_in_group = true;
-            let told = Event::LimitUpdates {
+            let event = Event::LimitUpdates {
                 peer,
                 name,
                 is_in_group,
                 updates: limits,
             };
-            self.step(to, told);
+            self.step(to, event);
         }
     }
 
-    fn arrive(&mut self) {
+    fn handle_arrival(&mut self) {
         let gap = -self.rng.random_range(1e-9f64..1.0).ln() / self.plan.asked_per_s;
-        self.later(Duration::from_secs_f64(gap), Happening::Arrive);
-        let entry = match self.plan.demand {
-            Demand::Even => self.rng.random_range(0..self.plan.entries),
+        self.schedule(Duration::from_secs_f64(gap), Scheduled::RequestArrives);
+        let node = match self.plan.demand {
+            Demand::Even => self.rng.random_range(0..self.plan.nodes),
             Demand::One => 0,
         };
-        if !self.entries[entry].up || self.entries[entry].resumes > self.now {
+        if !self.nodes[node].is_running || self.nodes[node].suspended_until > self.now {
             return;
         }
-        let router = &mut self.entries[entry].router;
+        let router = &mut self.nodes[node].router;
         let RouteLookup::Found { route, .. } = router.routes().lookup("a.example", "/", None)
         else {
             panic!("the site has one route");
         };
         let route: Arc<Route> = route;
-        self.number += 1;
-        let target = self.number.to_string();
+        self.sequence += 1;
+        let target = self.sequence.to_string();
         let content = FingerprintBuilder::new(&RequestHead {
             workspace: None,
             method: "POST",
@@ -411,99 +427,107 @@
             workspace: WorkspaceTag::default(),
             workspace_priority: 0,
             arrived: self.now,
-            caller_timeout: TIMEOUT,
-            deadline: self.now.after(TIMEOUT),
+            caller_timeout: REQUEST_TIMEOUT,
+            deadline: self.now.after(REQUEST_TIMEOUT),
             prompt_tokens: 0,
             answer_tokens: 0,
         };
         let request = router.new_request();
-        self.entries[entry].arrived.insert(request, self.now);
-        self.step(entry, Event::Arrived { request, facts });
+        self.nodes[node].arrived_at.insert(request, self.now);
+        self.step(node, Event::Arrived { request, facts });
     }
 
-    fn step(&mut self, entry: usize, event: Event) {
-        if !self.entries[entry].up {
+    fn step(&mut self, node: usize, event: Event) {
+        if !self.nodes[node].is_running {
             return;
         }
         let mut out = Vec::new();
-        let router = &mut self.entries[entry].router;
+        let router = &mut self.nodes[node].router;
         router.step(self.now, event, &mut out);
-        let news = match router.fleet().has_limit_updates() {
+        let updates = match router.fleet().has_limit_updates() {
             true => router.take_limit_updates(self.now),
             false => Vec::new(),
         };
-        if !news.is_empty() {
-            self.tell(entry, None, news, false);
+        if !updates.is_empty() {
+            self.send(node, None, updates, false);
         }
         for effect in out {
-            self.carry_out(entry, effect);
+            self.apply_effect(node, effect);
         }
     }
 
-    fn carry_out(&mut self, entry: usize, effect: Effect) {
+    fn apply_effect(&mut self, node: usize, effect: Effect) {
         match effect {
             Effect::Send { request, to } => {
-                let waited = self.entries[entry].arrived.get(&request);
+                let waited = self.nodes[node].arrived_at.get(&request);
                 let waited = waited.map(|&at| self.now.since(at)).unwrap_or_default();
                 self.outcome.waited += usize::from(waited >= Duration::from_millis(20));
                 let server = to.instance.trim_start_matches("i-").parse();
-                let server = server.expect("instances are numbered");
-                let (life, takes) = (self.entries[entry].life, self.one_way());
-                let reach = Happening::Reach(entry, life, request, server, self.now);
-                self.later(takes, reach);
+                let server = server.expect("instance names end in a server index");
+                let (incarnation, latency) = (self.nodes[node].incarnation, self.sample_latency());
+                let event =
+                    Scheduled::RequestReachesServer(node, incarnation, request, server, self.now);
+                self.schedule(latency, event);
             }
             Effect::Refuse { request, .. } => {
-                self.entries[entry].arrived.remove(&request);
+                self.nodes[node].arrived_at.remove(&request);
                 self.outcome.refused += 1;
             }
             Effect::NewNotice {
                 notice: ServerNotice::Limit { limit: None, .. },
                 ..
             } => {
-                self.outcome.heard_end[entry].get_or_insert(self.now);
+                self.outcome.heard_end[node].get_or_insert(self.now);
             }
             _ => {}
         }
     }
 
-    fn reach(&mut self, entry: usize, life: u64, key: RequestKey, server: usize, asked: Instant) {
+    fn handle_request_at_server(
+        &mut self,
+        node: usize,
+        incarnation: u64,
+        key: RequestKey,
+        server: usize,
+        sent_at: Instant,
+    ) {
         let limits = &self.plan.limits;
         if let Some(reached) = self.outcome.reached.get_mut(server) {
-            reached.push((self.now, entry));
+            reached.push((self.now, node));
         }
         let ended = self.plan.ends_at;
-        let ended = ended.is_some_and(|at| self.now.after(WORK) >= BEGIN.after(at));
+        let ended = ended.is_some_and(|at| self.now.after(SERVICE_TIME) >= BEGIN.after(at));
         let limit = limits.get(server).filter(|_| !ended);
         let limit = limit.and_then(|&limit| RateLimit::per_second(limit));
-        let takes = WORK + self.one_way();
-        let answer = Happening::Answer(entry, life, key, server, asked, limit);
-        self.later(takes, answer);
+        let delay = SERVICE_TIME + self.sample_latency();
+        let event = Scheduled::ResponseArrives(node, incarnation, key, server, sent_at, limit);
+        self.schedule(delay, event);
     }
 
-    fn answer(
+    fn handle_response(
         &mut self,
-        entry: usize,
-        life: u64,
+        node: usize,
+        incarnation: u64,
         request: RequestKey,
         server: usize,
-        asked: Instant,
+        sent_at: Instant,
         limit: Option<RateLimit>,
     ) {
-        if self.entries[entry].life != life {
+        if self.nodes[node].incarnation != incarnation {
             return;
         }
-        let fleet = self.entries[entry].router.fleet();
-        let known = fleet.by_instance(&format!("i-{server}"));
-        if let Some(server) = known {
+        let fleet = self.nodes[node].router.fleet();
+        let server = fleet.by_instance(&format!("i-{server}"));
+        if let Some(server) = server {
             let notice = ServerNotice::Limit {
                 limit,
-                requested_at: asked,
+                requested_at: sent_at,
             };
-            self.step(entry, Event::NoticeReceived { server, notice });
+            self.step(node, Event::NoticeReceived { server, notice });
         }
-        self.entries[entry].arrived.remove(&request);
+        self.nodes[node].arrived_at.remove(&request);
         self.outcome.served += 1;
         let end = AttemptEnd::Delivered { is_success: true };
-        self.step(entry, Event::AttemptEnded { request, end });
+        self.step(node, Event::AttemptEnded { request, end });
     }
 }
--- a/crates/notchwalk_standin/src/routed/limits_plan.rs
+++ b/crates/notchwalk_standin/src/routed/limits_plan.rs
@@ -1,66 +1,66 @@
-//! What is played with servers that name limits, and what came of it.
+//! Input and outcome of a simulated run with servers that announce rate limits.
 
 use std::time::Duration;
 
 use notchwalk_core::Instant;
 
-/// Which entries callers ask.
+/// Distribution of requests over the nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Demand {
-    /// All alike.
+    /// Uniform over all nodes.
     Even,
-    /// One of them.
+    /// All to one node.
     One,
 }
 
-/// What happens to an entry.
+/// A fault of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trouble {
-    /// It is killed, and starts again after this time, knowing nothing.
+    /// The process crashes and restarts after this time, without its state.
     Kill(Duration),
-    /// Its machine is suspended for this time.
+    /// The machine is suspended for this time.
     Suspend(Duration),
-    /// No peer reaches it and it reaches none for this time; servers do.
+    /// The node is partitioned from its peers for this time, but not from servers.
     Cut(Duration),
 }
 
-/// One run.
+/// The parameters of a run.
 #[derive(Clone, Debug)]
 pub struct LimitsPlan {
-    /// Entries on record.
-    pub entries: usize,
-    /// Servers that name limits: requests a second.
+    /// Number of registered nodes.
+    pub nodes: usize,
+    /// The limit of each limited server, in requests per second.
     pub limits: Vec<f64>,
-    /// Whether there are servers without limits besides.
+    /// Whether there are also servers without a limit.
     pub others: bool,
-    /// Which entries callers ask.
+    /// Distribution of requests over the nodes.
     pub demand: Demand,
-    /// Requests a second, over all entries.
+    /// Requests per second to all nodes together.
     pub asked_per_s: f64,
-    /// Part of the messages between entries that get lost.
+    /// Probability that a message between nodes is lost.
     pub lost: f64,
-    /// Whether entries tell each other nothing at all: each has its equal share then.
+    /// Whether nodes send no messages to each other, so that each has an equal share.
     pub silent: bool,
-    /// What happens to which entry, and when.
+    /// Faults: time since the start, node, fault.
     pub troubles: Vec<(Duration, usize, Trouble)>,
-    /// When servers name no limit any more.
+    /// Time since the start from which servers announce that they have no limit.
     pub ends_at: Option<Duration>,
-    /// How long it lasts.
+    /// Duration of the run.
     pub lasts: Duration,
-    /// The seed of all that is drawn.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
 impl LimitsPlan {
-    /// Builds a plan without troubles.
-    pub fn new(entries: usize, limits: Vec<f64>, demand: Demand) -> Self {
-        let allowed: f64 = limits.iter().sum();
+    /// Creates a plan without faults, with more requests than the limits allow.
+    pub fn new(nodes: usize, limits: Vec<f64>, demand: Demand) -> Self {
+        let total_per_s: f64 = limits.iter().sum();
         Self {
-            entries,
+            nodes,
             limits,
             others: false,
             demand,
-            asked_per_s: (3.0 * allowed).max(20.0),
+            asked_per_s: (3.0 * total_per_s).max(20.0),
             lost: 0.0,
             silent: false,
             troubles: Vec::new(),
@@ -71,41 +71,41 @@
     }
 }
 
-/// What came of a run.
+/// The outcome of a run.
 #[derive(Clone, Debug, Default)]
 pub struct LimitsOutcome {
-    /// Requests that reached each limited server: when, and from which entry.
+    /// For each limited server, the time and the node of each request that reached it.
     pub reached: Vec<Vec<(Instant, usize)>>,
-    /// Callers' requests that were served, and those that were refused.
+    /// Number of requests served.
     pub served: usize,
-    /// Refused ones.
+    /// Number of requests refused.
     pub refused: usize,
-    /// Requests that had to wait for 20 ms or more before they were sent.
+    /// Number of requests that were sent to a server 20 ms or more after their arrival.
     pub waited: usize,
-    /// When each entry heard that the limits had ended.
+    /// When each node first received the end of a limit.
     pub heard_end: Vec<Option<Instant>>,
-    /// Entries that started again, and when.
-    pub starts: Vec<(usize, Instant)>,
-    /// Messages between entries.
+    /// Restarts: node and time.
+    pub restarts: Vec<(usize, Instant)>,
+    /// Number of messages between nodes.
     pub messages: u64,
 }
 
-/// How long an entry that started again is not bound by what servers said before: its own
-/// first answers tell it, if what peers tell is lost.
-const EXCUSED_AFTER_START: Duration = Duration::from_secs(1);
+/// Time after a restart in which the requests of a node don't count: it may not have received
+/// a limit yet, from peers or with its own first responses.
+const RESTART_GRACE_PERIOD: Duration = Duration::from_secs(1);
 
 impl LimitsOutcome {
-    /// Returns the most requests that reached a server within `window` from `since` on,
-    /// but for those of entries that had just started again.
+    /// Returns the maximum number of requests that reached a server in any `window` from
+    /// `since` on, without those of recently restarted nodes.
     pub fn most_within(&self, server: usize, window: Duration, since: Instant) -> usize {
-        let is_excused = |entry: usize, at: Instant| {
-            let mut starts = self.starts.iter();
-            starts.any(|&(started, from)| {
-                started == entry && at >= from && at < from.after(EXCUSED_AFTER_START)
+        let in_grace_period = |node: usize, at: Instant| {
+            let mut restarts = self.restarts.iter();
+            restarts.any(|&(restarted, from)| {
+                restarted == node && at >= from && at < from.after(RESTART_GRACE_PERIOD)
             })
         };
         let reached = self.reached[server].iter();
-        let counted = reached.filter(|&&(at, entry)| at >= since && !is_excused(entry, at));
+        let counted = reached.filter(|&&(at, node)| at >= since && !in_grace_period(node, at));
         let at: Vec<Instant> = counted.map(|(at, _)| *at).collect();
         let within = |(first, from): (usize, &Instant)| {
             at[first..]
@@ -116,7 +116,7 @@
         at.iter().enumerate().map(within).max().unwrap_or(0)
     }
 
-    /// Returns the requests a second that reached a server between two times.
+    /// Returns the rate of requests that reached a server between two times, per second.
     pub fn rate(&self, server: usize, since: Instant, until: Instant) -> f64 {
         let times = self.times(server, since);
         let count = times.iter().filter(|at| **at < until).count();
