--- a/crates/notchwalk_standin/src/routed/engine.rs
+++ b/crates/notchwalk_standin/src/routed/engine.rs
@@ -1,180 +1,188 @@
-//! A model engine in simulated time, as the users' pages describe theirs.
+//! A model of an engine in simulated time.
 //!
-//! It works in passes. A pass plays one token step, or
-//! [`EngineParameters::steps_per_pass`] while any request generates, and reads
-//! prompts within these steps: parts for other engines before prompts of its
-//! own, the newest part first (seen), prompts of its own in the order of their
-//! arrival. A pass ends with one event for each request that generates.
+//! An engine works in steps. An engine step covers one decode step, or
+//! [`EngineParameters::decode_steps_per_engine_step`] while any request decodes, and
+//! prefills prompts within them: first segments for other engines, newest first, then its
+//! own prompts in order of arrival. An engine step yields one event for each request that
+//! decodes.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use notchwalk_route::{EngineCost, EngineParameters};
 
-/// A request's number.
-pub type Number = usize;
+/// Index of a request.
+pub type RequestIndex = usize;
 
-/// A prompt, or a part of one, to be read.
+/// A prompt, or a segment of one, to prefill.
 #[derive(Clone, Copy, Debug)]
 pub struct Part {
     /// The request.
-    pub request: Number,
-    /// Tokens to read here.
+    pub request: RequestIndex,
+    /// Remaining tokens to prefill on this engine.
     pub tokens: f64,
     /// Tokens of the whole prompt.
     pub whole: f64,
-    /// Whether another engine generates.
+    /// Whether another engine decodes.
     pub helps: bool,
 }
 
-/// What a pass brought.
+/// Progress of a request in an engine step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// A part was read to its end.
-    Read(Number),
-    /// A generating request wrote an event.
-    Wrote(Number),
+    /// The prefill of a segment is complete.
+    Read(RequestIndex),
+    /// A decoding request produced an event.
+    Wrote(RequestIndex),
 }
 
-/// A pass that is being played.
+/// An engine step in progress.
 #[derive(Debug)]
-struct Pass {
-    read: Vec<Number>,
-    writers: Vec<Number>,
+struct EngineStep {
+    /// Requests whose segment is complete at the end of the step.
+    prefilled: Vec<RequestIndex>,
+    decoding: Vec<RequestIndex>,
 }
 
 /// One engine.
 #[derive(Debug)]
 pub struct SimulatedEngine {
     parameters: EngineParameters,
-    reads: VecDeque<Part>,
-    /// Prompts whose memory is not free yet, in the order of arrival.
+    /// Segments in the order in which they are prefilled.
+    prefill_queue: VecDeque<Part>,
+    /// Prompts that wait for a slot or memory, with the tokens of memory that they need, in
+    /// order of arrival.
     waiting: VecDeque<(Part, f64)>,
-    /// Context of each generating request, in tokens.
-    writers: BTreeMap<Number, f64>,
-    /// Memory of each request here, in tokens.
-    held: BTreeMap<Number, f64>,
-    pass: Option<Pass>,
+    /// Context of each decoding request, in tokens.
+    decoding: BTreeMap<RequestIndex, f64>,
+    /// Memory allocated to each request, in tokens.
+    memory: BTreeMap<RequestIndex, f64>,
+    step: Option<EngineStep>,
 }
 
 impl SimulatedEngine {
-    /// Builds an idle engine.
+    /// Creates an idle engine.
     pub fn new(parameters: EngineParameters) -> Self {
         Self {
             parameters,
-            reads: VecDeque::new(),
+            prefill_queue: VecDeque::new(),
             waiting: VecDeque::new(),
-            writers: BTreeMap::new(),
-            held: BTreeMap::new(),
-            pass: None,
+            decoding: BTreeMap::new(),
+            memory: BTreeMap::new(),
+            step: None,
         }
     }
 
-    /// Takes a part for a request that generates elsewhere.
-    pub fn help(&mut self, part: Part) {
-        self.reads.push_front(part);
+    /// Enqueues a segment of a request that decodes on another engine.
+    pub fn help(&mut self, segment: Part) {
+        self.prefill_queue.push_front(segment);
     }
 
-    /// Takes a prompt, or the own part of one, that will hold `memory` tokens
-    /// here and generate here.
-    pub fn take(&mut self, part: Part, memory: f64) {
-        self.waiting.push_back((part, memory));
+    /// Enqueues a prompt, or this engine's segment of one, that decodes on this engine and
+    /// needs `memory` tokens.
+    pub fn take(&mut self, segment: Part, memory: f64) {
+        self.waiting.push_back((segment, memory));
         self.admit();
     }
 
     fn admit(&mut self) {
-        while let Some(&(part, memory)) = self.waiting.front() {
-            let used: f64 = self.held.values().sum();
-            let reading = self.reads.iter().filter(|part| !part.helps).count();
-            let full = self.writers.len() + reading >= self.parameters.slots as usize;
+        while let Some(&(segment, memory)) = self.waiting.front() {
+            let used: f64 = self.memory.values().sum();
+            let prefilling = self
+                .prefill_queue
+                .iter()
+                .filter(|segment| !segment.helps)
+                .count();
+            let full = self.decoding.len() + prefilling >= self.parameters.slots as usize;
             if full || used + memory > self.parameters.memory_tokens as f64 {
                 return;
             }
             self.waiting.pop_front();
-            self.held.insert(part.request, memory);
-            self.reads.push_back(part);
+            self.memory.insert(segment.request, memory);
+            self.prefill_queue.push_back(segment);
         }
     }
 
-    /// Sets memory aside for a prompt that exceeds one engine; tells whether it
-    /// is free.
-    pub fn reserve(&mut self, request: Number, tokens: f64) -> bool {
-        let used: f64 = self.held.values().sum();
+    /// Reserves memory for a segment of an oversized prompt. Returns whether it was free.
+    pub fn reserve(&mut self, request: RequestIndex, tokens: f64) -> bool {
+        let used: f64 = self.memory.values().sum();
         let free = used + tokens <= self.parameters.memory_tokens as f64;
         if free {
-            self.held.insert(request, tokens);
+            self.memory.insert(request, tokens);
         }
         free
     }
 
-    /// Has a request whose whole prompt is read generate; its passes pay for
-    /// `context` tokens here.
-    pub fn generate(&mut self, request: Number, context: f64) {
-        self.writers.insert(request, context);
+    /// Starts to decode a request whose prefill is complete, with a context of `context`
+    /// tokens on this engine.
+    pub fn generate(&mut self, request: RequestIndex, context: f64) {
+        self.decoding.insert(request, context);
     }
 
-    /// Drops a request that ended, or whose caller left.
-    pub fn drop_request(&mut self, request: Number) {
-        self.reads.retain(|part| part.request != request);
-        self.waiting.retain(|(part, _)| part.request != request);
-        self.writers.remove(&request);
-        self.held.remove(&request);
+    /// Removes a request that ended or was abandoned by its caller.
+    pub fn drop_request(&mut self, request: RequestIndex) {
+        self.prefill_queue
+            .retain(|segment| segment.request != request);
+        self.waiting
+            .retain(|(segment, _)| segment.request != request);
+        self.decoding.remove(&request);
+        self.memory.remove(&request);
         self.admit();
     }
 
-    /// Begins the next pass, if there is anything to do and none is played;
-    /// returns how long it takes, in milliseconds.
+    /// Begins the next engine step if there is work and none is in progress. Returns its
+    /// duration in milliseconds.
     pub fn begin_pass(&mut self) -> Option<f64> {
-        if self.pass.is_some() || (self.writers.is_empty() && self.reads.is_empty()) {
+        if self.step.is_some() || (self.decoding.is_empty() && self.prefill_queue.is_empty()) {
             return None;
         }
         let p = &self.parameters;
-        let steps = match self.writers.is_empty() {
+        let steps = match self.decoding.is_empty() {
             true => 1.0,
             false => p.decode_steps_per_engine_step,
         };
-        let context: f64 = self.writers.values().sum();
+        let context: f64 = self.decoding.values().sum();
         let cost = EngineCost::new(p);
-        let steps_ms = cost.engine_step_ms(self.writers.len(), context) * steps
+        let decode_ms = cost.engine_step_ms(self.decoding.len(), context) * steps
             / p.decode_steps_per_engine_step;
         let budget = f64::from(p.chunk_tokens) * steps;
-        let (read, read_ms) = self.read_within(budget);
-        self.pass = Some(Pass {
-            read,
-            writers: self.writers.keys().copied().collect(),
+        let (prefilled, prefill_ms) = self.prefill_within(budget);
+        self.step = Some(EngineStep {
+            prefilled,
+            decoding: self.decoding.keys().copied().collect(),
         });
-        Some(steps_ms + read_ms)
+        Some(decode_ms + prefill_ms)
     }
 
-    /// Reads up to `budget` tokens; returns what was read to its end, and the
-    /// time it takes.
-    fn read_within(&mut self, mut budget: f64) -> (Vec<Number>, f64) {
+    /// Prefills up to `budget` tokens. Returns the requests whose segment is complete, and
+    /// the time taken in milliseconds.
+    fn prefill_within(&mut self, mut budget: f64) -> (Vec<RequestIndex>, f64) {
         let cost = EngineCost::new(&self.parameters);
-        let (mut read, mut ms) = (Vec::new(), 0.0);
-        while let Some(part) = self.reads.front_mut() {
-            let tokens = part.tokens.min(budget);
+        let (mut prefilled, mut ms) = (Vec::new(), 0.0);
+        while let Some(segment) = self.prefill_queue.front_mut() {
+            let tokens = segment.tokens.min(budget);
             if tokens <= 0.0 {
                 break;
             }
-            ms += cost.prefill_ms(tokens, part.whole);
+            ms += cost.prefill_ms(tokens, segment.whole);
             budget -= tokens;
-            part.tokens -= tokens;
-            if part.tokens <= 0.0 {
-                read.push(part.request);
-                self.reads.pop_front();
+            segment.tokens -= tokens;
+            if segment.tokens <= 0.0 {
+                prefilled.push(segment.request);
+                self.prefill_queue.pop_front();
             }
         }
-        (read, ms)
+        (prefilled, ms)
     }
 
-    /// Ends the pass; returns what it brought, for requests that are still
-    /// here.
+    /// Ends the engine step in progress. Returns its progress; events of requests that were
+    /// removed meanwhile are omitted.
     pub fn end_pass(&mut self) -> Vec<Progress> {
-        let Some(pass) = self.pass.take() else {
+        let Some(step) = self.step.take() else {
             return Vec::new();
         };
-        let read = pass.read.into_iter().map(Progress::Read);
-        let writers = pass.writers.into_iter();
-        let wrote = writers.filter(|request| self.writers.contains_key(request));
-        read.chain(wrote.map(Progress::Wrote)).collect()
+        let prefilled = step.prefilled.into_iter().map(Progress::Read);
+        let decoding = step.decoding.into_iter();
+        let decoded = decoding.filter(|request| self.decoding.contains_key(request));
+        prefilled.chain(decoded.map(Progress::Wrote)).collect()
     }
 }
--- a/crates/notchwalk_standin/src/routed/mod.rs
+++ b/crates/notchwalk_standin/src/routed/mod.rs
@@ -1,17 +1,16 @@
-//! An experiment in simulated time: the router's decisions over engines that
-//! cost what the users' pages say, on waves like those of their sites. Rounds of
-//! policy need neither the users' bench nor a guess.
+//! Simulation of the router's decisions over modelled engines, in simulated time, under
+//! bursty traffic. Compares routing policies without real engines.
 //!
-//! | file | what it holds |
+//! | module | content |
 //! |---|---|
-//! | `bound` | what no policy can pass |
-//! | `engine` | one engine: passes, parts, memory |
-//! | `limits` | servers that name limits, shared by many routers under faults |
-//! | `limits_plan` | what is played there, and what came of it |
-//! | `policy` | who decides on which knowledge, and the site |
+//! | `bound` | upper bound on the value that any policy can earn |
+//! | `engine` | one engine: steps, prompt segments, memory |
+//! | `limits` | routers that share the rate limits of servers, under faults |
+//! | `limits_plan` | input and outcome of a run of `limits` |
+//! | `policy` | routing policies and the site configuration |
 //! | `traffic` | kinds of requests, waves, arrivals |
-//! | `world` | routers, engines and what arrivals come to |
-//! | `report` | shares of worth by kind and wave, as a table and a plot |
+//! | `world` | routers and engines, and the outcome of each arrival |
+//! | `report` | shares of value by kind and wave, as a table and a plot |
 
 pub mod bound;
 pub mod engine;
@@ -28,9 +27,9 @@
 use bound::Counted;
 use policy::Policy;
 use report::Report;
-use world::World;
+use world::Simulation;
 
-/// Returns what no policy can pass over the same seeds.
+/// Returns the upper bound on what any policy can earn over the same seeds.
 pub fn bound(counted: Counted, seeds: std::ops::Range<u64>, load: f64) -> Report {
     let name = match counted {
         Counted::Reading => "bound_reading",
@@ -39,19 +38,19 @@
     let mut report = Report::new(name);
     for seed in seeds {
         let arrivals = traffic::arrivals(&mut Pcg64Mcg::seed_from_u64(seed), load);
-        let parts = bound::in_time(&arrivals, counted);
-        report.add_parts(arrivals.iter().zip(parts));
+        let shares = bound::in_time(&arrivals, counted);
+        report.add_shares(arrivals.iter().zip(shares));
     }
     report
 }
 
-/// Plays one policy over several seeds, with `load` times the users' traffic.
+/// Simulates one policy over several seeds, with `load` times the reference traffic.
 pub fn play(policy: Policy, seeds: std::ops::Range<u64>, load: f64) -> Report {
     let mut report = Report::new(policy.name);
     for seed in seeds {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let arrivals = traffic::arrivals(&mut rng, load);
-        report.add(World::new(policy, arrivals).run());
+        report.add_run(Simulation::new(policy, arrivals).run());
     }
     report
 }
--- a/crates/notchwalk_standin/src/routed/policy.rs
+++ b/crates/notchwalk_standin/src/routed/policy.rs
@@ -1,4 +1,4 @@
-//! What is compared, and the site that all policies play on.
+//! The routing policies that are compared, and the site configuration they share.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -8,12 +8,13 @@
 
 use super::traffic::KINDS;
 
-/// Engines, as on the users' sites.
+/// Number of engines.
 pub(crate) const ENGINES: usize = 18;
 const SERVICE: &str = "engines";
-/// One way between an entry and an engine, or another entry.
-pub(crate) const TO_SERVER: Duration = Duration::from_millis(1);
-/// The figures of the users' engines.
+/// One-way latency between a node and an engine or a peer.
+pub(crate) const NETWORK_LATENCY: Duration = Duration::from_millis(1);
+
+/// Returns the parameters of the engines.
 pub fn parameters() -> EngineParameters {
     EngineParameters {
         slots: 16,
@@ -29,66 +30,65 @@
     }
 }
 
-/// Who decides, and on which knowledge.
+/// A routing policy: the number of nodes, and the updates that they exchange.
 #[derive(Clone, Copy, Debug)]
 pub struct Policy {
-    /// Its name.
+    /// Name, as reported and as selected on the command line.
     pub name: &'static str,
-    /// Entries that callers are spread over.
-    pub entries: usize,
-    /// How entries tell each other what they have on the engines; `None` for
-    /// not at all.
-    pub telling: Option<Telling>,
+    /// Number of nodes. Requests are distributed evenly over them.
+    pub nodes: usize,
+    /// How nodes publish their work on the engines to peers; `None` if they don't.
+    pub updates: Option<PeerUpdates>,
 }
 
-/// How entries tell each other.
+/// How nodes publish updates to peers.
 #[derive(Clone, Copy, Debug)]
-pub struct Telling {
-    /// Whether they tell at once, or on their ticks.
-    pub at_once: bool,
-    /// How long a message takes.
-    pub takes: Duration,
+pub struct PeerUpdates {
+    /// Whether changes are published immediately instead of on the next tick.
+    pub immediate: bool,
+    /// One-way latency of a message.
+    pub latency: Duration,
 }
 
 /// The policies that are compared.
 pub const POLICIES: [Policy; 5] = [
     Policy {
         name: "product",
-        entries: 6,
-        telling: Some(Telling {
-            at_once: true,
-            takes: TO_SERVER,
+        nodes: 6,
+        updates: Some(PeerUpdates {
+            immediate: true,
+            latency: NETWORK_LATENCY,
         }),
     },
     Policy {
         name: "one_entry",
-        entries: 1,
-        telling: None,
+        nodes: 1,
+        updates: None,
     },
     Policy {
         name: "told_on_ticks",
-        entries: 6,
-        telling: Some(Telling {
-            at_once: false,
-            takes: TO_SERVER,
+        nodes: 6,
+        updates: Some(PeerUpdates {
+            immediate: false,
+            latency: NETWORK_LATENCY,
         }),
     },
     Policy {
         name: "late_knowledge",
-        entries: 6,
-        telling: Some(Telling {
-            at_once: true,
-            takes: Duration::from_millis(250),
+        nodes: 6,
+        updates: Some(PeerUpdates {
+            immediate: true,
+            latency: Duration::from_millis(250),
         }),
     },
     Policy {
         name: "no_knowledge",
-        entries: 6,
-        telling: None,
+        nodes: 6,
+        updates: None,
     },
 ];
 
-/// Returns the configuration: a route for each kind.
+/// Returns the site configuration, with one route for each kind of request.
 pub(crate) fn site() -> SiteConfig {
     let routes = KINDS.iter().map(|kind| Route {
         name: kind.name.to_owned(),
@@ -96,9 +96,9 @@
         prefix: format!("/{}/", kind.name),
         streaming: true,
         repeatability: Repeatability::Resumable,
-        timeout: kind.patience,
+        timeout: kind.caller_timeout,
         objective: kind.objective,
-        inter_token_objective: Some(kind.pause),
+        inter_token_objective: Some(kind.inter_token_objective),
         priority: 1,
         max_attempts: 2,
         is_public: true,
@@ -119,13 +119,13 @@
     }
 }
 
-/// Returns the record of an engine.
-pub(crate) fn record(number: usize) -> ServerRecord {
+/// Returns the registration of an engine.
+pub(crate) fn record(engine: usize) -> ServerRecord {
     ServerRecord {
-        instance: format!("engine-{number}"),
+        instance: format!("engine-{engine}"),
         started_ms: None,
         service: SERVICE.to_owned(),
-        addr: SocketAddr::from(([10, 0, 0, number as u8], 80)),
+        addr: SocketAddr::from(([10, 0, 0, engine as u8], 80)),
         failure_domain: "a".to_owned(),
         slots: parameters().slots,
         stage: ServerStage::Ready,
--- a/crates/notchwalk_standin/src/routed/report.rs
+++ b/crates/notchwalk_standin/src/routed/report.rs
@@ -1,4 +1,4 @@
-//! What runs came to: shares of worth by kind and wave, and reasons of loss.
+//! Reports of runs: earned shares of value by kind and wave, and losses by outcome.
 
 use std::{collections::HashMap, path::Path};
 
@@ -9,139 +9,141 @@
     world::Outcome,
 };
 
-/// Part of the credit that a late answer earns, as on the users' sheets.
-const LATE_CREDIT: f64 = 0.25;
+/// Share of its value that a late answer earns.
+const LATE_VALUE_SHARE: f64 = 0.25;
 
-/// Sums of one group of arrivals.
+/// Total value of a group of arrivals.
 #[derive(Clone, Copy, Debug, Default)]
 struct Sum {
-    owed: f64,
+    /// Value if all arrivals meet their objectives.
+    offered: f64,
     earned: f64,
 }
 
 impl Sum {
     fn share(self) -> f64 {
-        match self.owed > 0.0 {
-            true => self.earned / self.owed,
+        match self.offered > 0.0 {
+            true => self.earned / self.offered,
             false => 0.0,
         }
     }
 }
 
-/// The runs of one policy.
+/// Totals over the runs of one policy.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// The policy's name.
+    /// Name of the policy.
     pub name: &'static str,
+    /// Totals by kind and wave.
     groups: HashMap<(usize, usize), Sum>,
-    lost: HashMap<Outcome, f64>,
-    owed: f64,
+    losses: HashMap<Outcome, f64>,
+    offered: f64,
 }
 
 impl Report {
-    /// Starts without runs.
+    /// Creates a report without runs.
     pub fn new(name: &'static str) -> Self {
         Self {
             name,
             groups: HashMap::new(),
-            lost: HashMap::new(),
-            owed: 0.0,
+            losses: HashMap::new(),
+            offered: 0.0,
         }
     }
 
-    /// Adds a run.
-    pub fn add(&mut self, run: Vec<(Arrival, Outcome)>) {
+    /// Adds the arrivals of a run with their outcomes.
+    pub fn add_run(&mut self, run: Vec<(Arrival, Outcome)>) {
         for (arrival, outcome) in run {
-            let worth = arrival.worth();
+            let value = arrival.value();
             let earned = match outcome {
-                Outcome::InTime => worth,
-                Outcome::FirstLate | Outcome::Paused => worth * LATE_CREDIT,
-                Outcome::Open | Outcome::Refused | Outcome::Left => 0.0,
+                Outcome::InTime => value,
+                Outcome::LateFirstEvent | Outcome::LongGap => value * LATE_VALUE_SHARE,
+                Outcome::Open | Outcome::Refused | Outcome::Abandoned => 0.0,
             };
             let sum = self.groups.entry((arrival.kind, arrival.wave)).or_default();
-            sum.owed += worth;
+            sum.offered += value;
             sum.earned += earned;
-            self.owed += worth;
-            *self.lost.entry(outcome).or_default() += worth - earned;
+            self.offered += value;
+            *self.losses.entry(outcome).or_default() += value - earned;
         }
     }
 
-    /// Adds arrivals with the part of their in-time credit that each earned; the rest
-    /// of it earned a late answer's.
-    pub fn add_parts<'a>(&mut self, run: impl Iterator<Item = (&'a Arrival, f64)>) {
-        for (arrival, part) in run {
-            let worth = arrival.worth();
-            let earned = worth * (LATE_CREDIT + (1.0 - LATE_CREDIT) * part);
+    /// Adds arrivals with the share of its value that each earned in time. The rest earns
+    /// the value of a late answer.
+    pub fn add_shares<'a>(&mut self, run: impl Iterator<Item = (&'a Arrival, f64)>) {
+        for (arrival, share) in run {
+            let value = arrival.value();
+            let earned = value * (LATE_VALUE_SHARE + (1.0 - LATE_VALUE_SHARE) * share);
             let sum = self.groups.entry((arrival.kind, arrival.wave)).or_default();
-            sum.owed += worth;
+            sum.offered += value;
             sum.earned += earned;
-            self.owed += worth;
-            *self.lost.entry(Outcome::FirstLate).or_default() += worth - earned;
+            self.offered += value;
+            *self.losses.entry(Outcome::LateFirstEvent).or_default() += value - earned;
         }
     }
 
-    /// Returns the share of all credit that was earned.
+    /// Returns the earned share of the total value.
     pub fn worth(&self) -> f64 {
-        self.sum(|_, _| true)
+        self.share_of(|_, _| true)
     }
 
-    /// Returns the share of a kind's credit, by place in [`KINDS`].
+    /// Returns the earned share of the value of a kind, by index in [`KINDS`].
     pub fn worth_of_kind(&self, kind: usize) -> f64 {
-        self.sum(|of, _| of == kind)
+        self.share_of(|of, _| of == kind)
     }
 
-    /// Returns the share of a wave's credit, by place in [`WAVES`].
+    /// Returns the earned share of the value of a wave, by index in [`WAVES`].
     pub fn worth_of_wave(&self, wave: usize) -> f64 {
-        self.sum(|_, of| of == wave)
+        self.share_of(|_, of| of == wave)
     }
 
-    fn sum(&self, counts: impl Fn(usize, usize) -> bool) -> f64 {
-        let mut all = Sum::default();
+    fn share_of(&self, includes: impl Fn(usize, usize) -> bool) -> f64 {
+        let mut total = Sum::default();
         for (&(kind, wave), sum) in &self.groups {
-            if counts(kind, wave) {
-                all.owed += sum.owed;
-                all.earned += sum.earned;
+            if includes(kind, wave) {
+                total.offered += sum.offered;
+                total.earned += sum.earned;
             }
         }
-        all.share()
+        total.share()
     }
 
-    /// Returns the share of all credit that was lost for a reason.
+    /// Returns the share of the total value that was lost with an outcome.
     pub fn lost_by(&self, outcome: Outcome) -> f64 {
-        self.lost.get(&outcome).copied().unwrap_or(0.0) / self.owed.max(1.0)
+        self.losses.get(&outcome).copied().unwrap_or(0.0) / self.offered.max(1.0)
     }
 }
 
-/// Lays reports out as a table.
+/// Returns the reports as a table with one row per policy.
 pub fn table(reports: &[Report]) -> comfy_table::Table {
     const LOSSES: [(&str, Outcome); 4] = [
-        ("first late", Outcome::FirstLate),
-        ("paused", Outcome::Paused),
+        ("first late", Outcome::LateFirstEvent),
+        ("paused", Outcome::LongGap),
         ("refused", Outcome::Refused),
-        ("left", Outcome::Left),
+        ("left", Outcome::Abandoned),
     ];
     let mut table = comfy_table::Table::new();
-    let mut head = vec!["policy".to_owned(), "worth".to_owned()];
-    head.extend(KINDS.iter().map(|kind| kind.name.to_owned()));
-    head.extend(WAVES.iter().map(|wave| format!("in {}", wave.name)));
-    head.extend(LOSSES.iter().map(|(name, _)| format!("lost: {name}")));
-    table.set_header(head);
+    let mut header = vec!["policy".to_owned(), "worth".to_owned()];
+    header.extend(KINDS.iter().map(|kind| kind.name.to_owned()));
+    header.extend(WAVES.iter().map(|wave| format!("in {}", wave.name)));
+    header.extend(LOSSES.iter().map(|(name, _)| format!("lost: {name}")));
+    table.set_header(header);
     for report in reports {
         let mut row = vec![report.name.to_owned(), format!("{:.3}", report.worth())];
         row.extend((0..KINDS.len()).map(|kind| format!("{:.3}", report.worth_of_kind(kind))));
         row.extend((0..WAVES.len()).map(|wave| format!("{:.3}", report.worth_of_wave(wave))));
-        let lost = LOSSES.iter().map(|&(_, outcome)| report.lost_by(outcome));
-        row.extend(lost.map(|share| format!("{share:.3}")));
+        let losses = LOSSES.iter().map(|&(_, outcome)| report.lost_by(outcome));
+        row.extend(losses.map(|share| format!("{share:.3}")));
         table.add_row(row);
     }
     table
 }
 
-/// Draws the shares by kind as bars into an SVG file.
+/// Writes a bar chart of the earned shares by kind to an SVG file.
 ///
 /// # Errors
 ///
-/// Fails if the file can't be written.
+/// Returns an error if the file can't be written.
 pub fn plot(reports: &[Report], path: &Path) -> Result<(), Box<dyn std::error::Error>> {
     const SIZE: (u32, u32) = (800, 400);
     const BARS: usize = KINDS.len() + 1;
@@ -168,12 +170,12 @@
         let style = Palette99::pick(bar).filled();
         let label = KINDS.get(bar).map_or("all", |kind| kind.name);
         let width = 0.8 / BARS as f64;
-        let bars = reports.iter().enumerate().map(|(place, report)| {
+        let bars = reports.iter().enumerate().map(|(index, report)| {
             let share = match bar < KINDS.len() {
                 true => report.worth_of_kind(bar),
                 false => report.worth(),
             };
-            let left = place as f64 + 0.1 + width * bar as f64;
+            let left = index as f64 + 0.1 + width * bar as f64;
             Rectangle::new([(left, 0.0), (left + width, share)], style)
         });
         let series = chart.draw_series(bars)?;
--- a/crates/notchwalk_standin/src/routed/traffic.rs
+++ b/crates/notchwalk_standin/src/routed/traffic.rs
@@ -1,5 +1,4 @@
-//! Arrivals like those of the users' sites: quick questions, checks and reviews
-//! in waves.
+//! Traffic of short questions, checks and long reviews that arrive in waves.
 
 use std::time::Duration;
 
@@ -11,29 +10,29 @@
 /// One kind of request.
 #[derive(Clone, Copy, Debug)]
 pub struct Kind {
-    /// Its name.
+    /// Name of the kind, and of its route.
     pub name: &'static str,
-    /// Requests a second in calm times.
+    /// Requests per second at a rate factor of 1.
     pub per_s: f64,
-    /// Tokens of a prompt: mean, spread over mean, most.
+    /// Tokens of a prompt: mean, coefficient of variation, maximum.
     pub prompt: (f64, f64, f64),
-    /// Events of an answer: the same.
+    /// Events of an answer: mean, coefficient of variation, maximum.
     pub events: (f64, f64, f64),
-    /// The latency objective, to the first event.
+    /// Latency objective for the first event.
     pub objective: Duration,
-    /// The longest pause in time.
-    pub pause: Duration,
-    /// How long a caller waits.
-    pub patience: Duration,
-    /// Credit of a request of mean size.
-    pub worth: f64,
+    /// Objective for the longest time between two events.
+    pub inter_token_objective: Duration,
+    /// Caller timeout.
+    pub caller_timeout: Duration,
+    /// Value of a request of mean size that meets its objectives.
+    pub value: f64,
 }
 
 const fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// The kinds of the users' sheets.
+/// The kinds of requests.
 pub const KINDS: [Kind; 3] = [
     Kind {
         name: "question",
@@ -41,9 +40,9 @@
         prompt: (4_960.0, 0.9, 23_800.0),
         events: (32.9, 0.7, 82.3),
         objective: ms(300),
-        pause: ms(250),
-        patience: ms(10_000),
-        worth: 1.3,
+        inter_token_objective: ms(250),
+        caller_timeout: ms(10_000),
+        value: 1.3,
     },
     Kind {
         name: "check",
@@ -51,9 +50,9 @@
         prompt: (45_000.0, 0.5, 110_000.0),
         events: (19.7, 0.6, 49.4),
         objective: ms(1_500),
-        pause: ms(600),
-        patience: ms(10_000),
-        worth: 4.2,
+        inter_token_objective: ms(600),
+        caller_timeout: ms(10_000),
+        value: 4.2,
     },
     Kind {
         name: "review",
@@ -61,27 +60,27 @@
         prompt: (154_000.0, 0.55, 700_000.0),
         events: (16.5, 0.5, 41.1),
         objective: ms(3_000),
-        pause: ms(1_000),
-        patience: ms(15_000),
-        worth: 21.0,
+        inter_token_objective: ms(1_000),
+        caller_timeout: ms(15_000),
+        value: 21.0,
     },
 ];
 
-/// Tokens that one event holds, as on the users' sites.
+/// Tokens per event.
 pub const TOKENS_PER_EVENT: f64 = 51.0;
 
-/// A span of time in which kinds come more or less often.
+/// A span of time with its own arrival rates.
 #[derive(Clone, Copy, Debug)]
 pub struct Wave {
-    /// Its name.
+    /// Name of the wave.
     pub name: &'static str,
-    /// When it ends, in seconds.
+    /// End of the wave, in seconds.
     pub until_s: f64,
-    /// Factors on the kinds' rates.
+    /// Factors on the arrival rates of the kinds.
     pub factors: [f64; 3],
 }
 
-/// The waves of the users' quiet days.
+/// The waves of a run, in order of time.
 pub const WAVES: [Wave; 4] = [
     Wave {
         name: "calm",
@@ -108,52 +107,52 @@
 /// A request of a caller.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
-    /// When.
+    /// Time of arrival.
     pub at: Instant,
-    /// Its kind, by place in [`KINDS`].
+    /// Index of its kind in [`KINDS`].
     pub kind: usize,
-    /// The wave it comes in, by place in [`WAVES`].
+    /// Index of its wave in [`WAVES`].
     pub wave: usize,
-    /// Tokens of its prompt.
+    /// Tokens of the prompt.
     pub prompt: f64,
-    /// Events of its answer.
+    /// Events of the answer.
     pub events: u32,
 }
 
 impl Arrival {
-    /// Returns its credit if it is in time: 0.3 and 0.7 of its size over the
-    /// mean, four times the kind's at most, as the users count.
-    pub fn worth(&self) -> f64 {
+    /// Returns its value if it meets its objectives. It grows with the size relative to the
+    /// mean size of the kind, up to four times the value of the kind.
+    pub fn value(&self) -> f64 {
         let kind = &KINDS[self.kind];
         let size = |prompt: f64, events: f64| prompt + 10.0 * TOKENS_PER_EVENT * events;
         let own = size(self.prompt, f64::from(self.events));
         let mean = size(kind.prompt.0, kind.events.0);
-        kind.worth * (0.3 + 0.7 * own / mean).min(4.0)
+        kind.value * (0.3 + 0.7 * own / mean).min(4.0)
     }
 }
 
-fn drawn((mean, spread, most): (f64, f64, f64), rng: &mut Pcg64Mcg) -> f64 {
-    let of_mean = LogNormal::from_mean_cv(mean, spread).expect("a positive mean and spread");
-    of_mean.sample(rng).clamp(1.0, most)
+fn sample_size((mean, variation, max): (f64, f64, f64), rng: &mut Pcg64Mcg) -> f64 {
+    let distribution =
+        LogNormal::from_mean_cv(mean, variation).expect("the mean and variation are positive");
+    distribution.sample(rng).clamp(1.0, max)
 }
 
-/// Draws all arrivals of the waves, in the order of time, `load` times as many as on
-/// the users' sheets.
+/// Draws the arrivals of all waves, in order of time, at `load` times the reference rates.
 ///
 /// # Panics
 ///
-/// Panics if a kind's rate or size is not positive, which none is.
+/// Panics if the rate or mean size of a kind is not positive.
 pub fn arrivals(rng: &mut Pcg64Mcg, load: f64) -> Vec<Arrival> {
     let mut all = Vec::new();
-    for (kind, facts) in KINDS.iter().enumerate() {
+    for (kind, spec) in KINDS.iter().enumerate() {
         let mut at_s = 0.0;
         for (wave, span) in WAVES.iter().enumerate() {
-            let rate = facts.per_s * span.factors[kind] * load;
-            let gap = Exp::new(rate).expect("a positive rate");
+            let rate = spec.per_s * span.factors[kind] * load;
+            let gap = Exp::new(rate).expect("the rate is positive");
             loop {
                 let next = at_s + gap.sample(rng);
                 if next > span.until_s {
-                    // Gaps have no memory: the next wave draws anew.
+                    // Exponential gaps are memoryless, so the next wave draws a new one.
                     at_s = span.until_s;
                     break;
                 }
@@ -162,8 +161,8 @@
                     at: Instant::from_micros((at_s * 1e6) as u64 + rng.random_range(0..10)),
                     kind,
                     wave,
-                    prompt: drawn(facts.prompt, rng),
-                    events: drawn(facts.events, rng).round() as u32,
+                    prompt: sample_size(spec.prompt, rng),
+                    events: sample_size(spec.events, rng).round() as u32,
                 });
             }
         }
--- a/crates/notchwalk_standin/src/routed/world.rs
+++ b/crates/notchwalk_standin/src/routed/world.rs
@@ -1,4 +1,4 @@
-//! Routers and simulated engines in simulated time: what an arrival comes to.
+//! A simulation of routers and engines, and the outcome of each arrival.
 
 use std::{
     cmp::Reverse,
@@ -16,98 +16,103 @@
 };
 
 use super::{
-    engine::{Number, Part, Progress, SimulatedEngine},
-    policy::{parameters, record, site, Policy, ENGINES, TO_SERVER},
+    engine::{Part, Progress, RequestIndex, SimulatedEngine},
+    policy::{parameters, record, site, Policy, ENGINES, NETWORK_LATENCY},
     traffic::{Arrival, KINDS, TOKENS_PER_EVENT},
 };
 
-/// One way between a caller and an entry.
-const TO_CALLER: Duration = Duration::from_millis(3);
-/// How often a router hears that time passed, as the daemon has it.
+/// One-way latency between a caller and a node.
+const CALLER_LATENCY: Duration = Duration::from_millis(3);
+/// Interval of a router's ticks, as in the daemon.
 const TICK: Duration = Duration::from_millis(15);
-/// Ticks between two whole tellings to peers, about a second.
-const WHOLE_EVERY: u64 = 67;
+/// Ticks of all nodes between two full updates to peers. With six nodes, each publishes one
+/// about every second.
+const FULL_UPDATE_TICKS: u64 = 67;
 
-/// What an arrival came to.
+/// The outcome of an arrival.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// Nothing yet.
+    /// Not finished.
     #[default]
     Open,
-    /// Whole and in time.
+    /// Complete and within its objectives.
     InTime,
-    /// Whole, its first event too late.
-    FirstLate,
-    /// Whole, with a pause that was too long.
-    Paused,
-    /// Refused, twice if its caller came back.
+    /// Complete, but the first event was late.
+    LateFirstEvent,
+    /// Complete, but a gap between two events was too long.
+    LongGap,
+    /// Refused, also on a retry if the caller made one.
     Refused,
-    /// Its caller left.
-    Left,
+    /// Abandoned by its caller.
+    Abandoned,
 }
 
+/// A scheduled event.
 #[derive(Debug)]
-enum Happening {
-    Arrive(Number),
+enum Scheduled {
+    RequestArrives(RequestIndex),
     Tick(usize),
-    Told {
+    PeerUpdate {
         to: usize,
         from: usize,
         servers: Vec<u32>,
         work: Vec<PeerWork>,
     },
-    Reach(Number, Box<Assignment>),
-    Reserved(Number, Vec<FailedReservation>),
-    PassEnds(usize),
-    GiveUp(Number),
+    RequestReachesEngine(RequestIndex, Box<Assignment>),
+    ReservationsAnswered(RequestIndex, Vec<FailedReservation>),
+    StepEnds(usize),
+    CallerTimeout(RequestIndex),
 }
 
-/// A request on its way.
+/// The state of a request.
 #[derive(Debug, Default)]
 struct Request {
-    entry: usize,
+    node: usize,
     key: RequestKey,
-    came_back: bool,
+    has_retried: bool,
+    /// Engines that hold the request. Once assigned, the first one is the decoding engine.
     engines: Vec<usize>,
+    /// Whether memory is reserved on all its engines.
     reserved: bool,
-    parts_left: usize,
+    segments_left: usize,
     events_left: u32,
-    first_at: Option<Instant>,
-    last_at: Option<Instant>,
-    longest_pause: Duration,
+    first_event_at: Option<Instant>,
+    last_event_at: Option<Instant>,
+    longest_gap: Duration,
     outcome: Outcome,
 }
 
-/// A run of one policy.
-pub struct World {
+/// A simulated run of one policy.
+pub struct Simulation {
     policy: Policy,
     arrivals: Vec<Arrival>,
     requests: Vec<Request>,
-    by_key: HashMap<(usize, RequestKey), Number>,
+    by_key: HashMap<(usize, RequestKey), RequestIndex>,
     routers: Vec<Router>,
     routes: Vec<Arc<Route>>,
     engines: Vec<SimulatedEngine>,
     by_addr: HashMap<SocketAddr, usize>,
     queue: BinaryHeap<Reverse<(Instant, u64)>>,
-    happenings: HashMap<u64, Happening>,
-    number: u64,
+    events: HashMap<u64, Scheduled>,
+    sequence: u64,
     now: Instant,
     ticks: u64,
 }
 
-impl World {
-    /// Builds a world that plays these arrivals under a policy.
+impl Simulation {
+    /// Creates a simulation of these arrivals under a policy.
     ///
     /// # Panics
     ///
-    /// Panics if the routes of its own configuration can't be found.
+    /// Panics if a route of the site configuration is not found.
     pub fn new(policy: Policy, arrivals: Vec<Arrival>) -> Self {
-        /// Long enough for routers to know that peers told all they have.
-        const STARTED_BEFORE: Duration = Duration::from_secs(5);
+        /// Time from the start of the routers to the first event, after which they treat the
+        /// updates of their peers as complete.
+        const ROUTER_UPTIME: Duration = Duration::from_secs(5);
         let start = Instant::from_millis(10_000);
-        let routers = (0..policy.entries).map(|entry| {
+        let routers = (0..policy.nodes).map(|node| {
             let mut router = Router::new(RouterConfig {
-                name: format!("entry-{entry}"),
+                name: format!("entry-{node}"),
                 failure_domain: "a".to_owned(),
                 retry_ratio: 0.2,
                 retry_slack: 100.0,
@@ -115,11 +120,11 @@
                 seed: 7,
             });
             let mut out = Vec::new();
-            let before = start.before(STARTED_BEFORE);
-            router.step(before, Event::Configured(site()), &mut out);
+            let router_start = start.before(ROUTER_UPTIME);
+            router.step(router_start, Event::Configured(site()), &mut out);
             let all = (0..ENGINES).map(record).collect();
             let change = Event::Servers(ServerChange::All(all));
-            router.step(before, change, &mut out);
+            router.step(router_start, change, &mut out);
             router
         });
         let routers: Vec<Router> = routers.collect();
@@ -132,15 +137,15 @@
         };
         let routes = KINDS.iter().map(route).collect();
         let engines = (0..ENGINES).map(|_| SimulatedEngine::new(parameters()));
-        let by_addr = (0..ENGINES).map(|number| (record(number).addr, number));
-        let mut world = Self {
+        let by_addr = (0..ENGINES).map(|engine| (record(engine).addr, engine));
+        let mut simulation = Self {
             requests: (0..arrivals.len()).map(|_| Request::default()).collect(),
             engines: engines.collect(),
             by_addr: by_addr.collect(),
             by_key: HashMap::new(),
             queue: BinaryHeap::new(),
-            happenings: HashMap::new(),
-            number: 0,
+            events: HashMap::new(),
+            sequence: 0,
             now: start,
             ticks: 0,
             policy,
@@ -148,35 +153,35 @@
             routers,
             routes,
         };
-        for number in 0..world.arrivals.len() {
-            let at = world.arrivals[number].at.since(Instant::ZERO) + TO_CALLER;
-            world.later(at, Happening::Arrive(number));
+        for index in 0..simulation.arrivals.len() {
+            let at = simulation.arrivals[index].at.since(Instant::ZERO) + CALLER_LATENCY;
+            simulation.schedule(at, Scheduled::RequestArrives(index));
         }
-        for entry in 0..policy.entries {
-            let offset = TICK / policy.entries as u32 * entry as u32;
-            world.later(offset, Happening::Tick(entry));
+        for node in 0..policy.nodes {
+            let offset = TICK / policy.nodes as u32 * node as u32;
+            simulation.schedule(offset, Scheduled::Tick(node));
         }
-        world
+        simulation
     }
 
-    fn later(&mut self, after: Duration, happening: Happening) {
-        self.number += 1;
+    fn schedule(&mut self, after: Duration, event: Scheduled) {
+        self.sequence += 1;
         self.queue
-            .push(Reverse((self.now.after(after), self.number)));
-        self.happenings.insert(self.number, happening);
+            .push(Reverse((self.now.after(after), self.sequence)));
+        self.events.insert(self.sequence, event);
     }
 
-    /// Plays all arrivals to their ends; returns what each came to.
+    /// Runs until no request is open. Returns each arrival with its outcome.
     pub fn run(mut self) -> Vec<(Arrival, Outcome)> {
         let mut open = self.arrivals.len();
-        while let Some(Reverse((at, number))) = self.queue.pop() {
+        while let Some(Reverse((at, sequence))) = self.queue.pop() {
             self.now = at;
-            let Some(happening) = self.happenings.remove(&number) else {
+            let Some(event) = self.events.remove(&sequence) else {
                 continue;
             };
-            let ticks = matches!(happening, Happening::Tick(_));
-            self.handle(happening);
-            if ticks {
+            let is_tick = matches!(event, Scheduled::Tick(_));
+            self.handle(event);
+            if is_tick {
                 continue;
             }
             let requests = self.requests.iter();
@@ -194,11 +199,11 @@
         self.arrivals.iter().copied().zip(outcomes).collect()
     }
 
-    fn handle(&mut self, happening: Happening) {
-        match happening {
-            Happening::Arrive(number) => self.arrive(number),
-            Happening::Tick(entry) => self.tick(entry),
-            Happening::Told {
+    fn handle(&mut self, event: Scheduled) {
+        match event {
+            Scheduled::RequestArrives(index) => self.handle_arrival(index),
+            Scheduled::Tick(node) => self.tick(node),
+            Scheduled::PeerUpdate {
                 to,
                 from,
                 servers,
@@ -212,38 +217,38 @@
                 };
                 self.step(to, event);
             }
-            Happening::Reach(number, to) => self.reach(number, &to),
-            Happening::Reserved(number, failed) => {
-                let request = &self.requests[number];
-                let (entry, key) = (request.entry, request.key);
+            Scheduled::RequestReachesEngine(index, to) => self.handle_assignment(index, &to),
+            Scheduled::ReservationsAnswered(index, failed) => {
+                let request = &self.requests[index];
+                let (node, key) = (request.node, request.key);
                 let event = Event::Reserved {
                     request: key,
                     failed,
                 };
-                self.step(entry, event);
+                self.step(node, event);
             }
-            Happening::PassEnds(engine) => self.pass_ends(engine),
-            Happening::GiveUp(number) => self.give_up(number),
+            Scheduled::StepEnds(engine) => self.end_step(engine),
+            Scheduled::CallerTimeout(index) => self.handle_caller_timeout(index),
         }
     }
 
-    fn arrive(&mut self, number: Number) {
-        let arrival = self.arrivals[number];
-        let entry = number % self.policy.entries;
-        let key = self.routers[entry].new_request();
+    fn handle_arrival(&mut self, index: RequestIndex) {
+        let arrival = self.arrivals[index];
+        let node = index % self.policy.nodes;
+        let key = self.routers[node].new_request();
         let kind = &KINDS[arrival.kind];
-        let request = &mut self.requests[number];
-        (request.entry, request.key) = (entry, key);
+        let request = &mut self.requests[index];
+        (request.node, request.key) = (node, key);
         request.events_left = arrival.events.max(1);
-        self.by_key.insert((entry, key), number);
+        self.by_key.insert((node, key), index);
         let facts = RequestFacts {
             route: self.routes[arrival.kind].clone(),
-            content: content_of(number),
+            content: content_of(index),
             workspace: WorkspaceTag::default(),
             workspace_priority: 0,
             arrived: self.now,
-            caller_timeout: kind.patience,
-            deadline: self.now.after(kind.patience),
+            caller_timeout: kind.caller_timeout,
+            deadline: self.now.after(kind.caller_timeout),
             prompt_tokens: arrival.prompt as u32,
             answer_tokens: (f64::from(arrival.events) * TOKENS_PER_EVENT) as u32,
         };
@@ -251,57 +256,61 @@
             request: key,
             facts,
         };
-        // Callers leave after two seconds, four objectives or eight pauses.
-        let patience = (kind.objective * 4).max(kind.pause * 8);
-        let patience = patience.max(Duration::from_secs(2));
-        self.later(patience, Happening::GiveUp(number));
-        self.step(entry, event);
+        // Callers wait for the first event for two seconds, four latency objectives or eight
+        // inter-token objectives, whichever is longest.
+        let abort_after = (kind.objective * 4).max(kind.inter_token_objective * 8);
+        let abort_after = abort_after.max(Duration::from_secs(2));
+        self.schedule(abort_after, Scheduled::CallerTimeout(index));
+        self.step(node, event);
     }
 
-    fn tick(&mut self, entry: usize) {
-        self.step(entry, Event::Tick);
+    fn tick(&mut self, node: usize) {
+        self.step(node, Event::Tick);
         self.ticks += 1;
-        let told = match self.ticks % WHOLE_EVERY {
-            0 => self.routers[entry].all_own_work(self.now),
-            _ => self.routers[entry].take_changed_work(self.now),
+        let work = match self.ticks % FULL_UPDATE_TICKS {
+            0 => self.routers[node].all_own_work(self.now),
+            _ => self.routers[node].take_changed_work(self.now),
         };
-        self.tell(entry, told);
-        self.later(TICK, Happening::Tick(entry));
+        self.publish(node, work);
+        self.schedule(TICK, Scheduled::Tick(node));
     }
 
-    fn tell(&mut self, entry: usize, (servers, work): (Vec<u32>, Vec<PeerWork>)) {
-        let Some(telling) = self.policy.telling.filter(|_| !servers.is_empty()) else {
+    fn publish(&mut self, node: usize, (servers, work): (Vec<u32>, Vec<PeerWork>)) {
+        let Some(updates) = self.policy.updates.filter(|_| !servers.is_empty()) else {
             return;
         };
-        for to in (0..self.policy.entries).filter(|&to| to != entry) {
-            let told = Happening::Told {
+        for to in (0..self.policy.nodes).filter(|&to| to != node) {
+            let event = Scheduled::PeerUpdate {
                 to,
-                from: entry,
+                from: node,
                 servers: servers.clone(),
                 work: work.clone(),
             };
-            self.later(telling.takes, told);
+            self.schedule(updates.latency, event);
         }
     }
 
-    fn step(&mut self, entry: usize, event: Event) {
+    fn step(&mut self, node: usize, event: Event) {
         let mut effects = Vec::new();
-        self.routers[entry].step(self.now, event, &mut effects);
+        self.routers[node].step(self.now, event, &mut effects);
         for effect in effects {
-            self.carry_out(entry, effect);
+            self.apply_effect(node, effect);
         }
-        if self.policy.telling.is_some_and(|telling| telling.at_once) {
-            let told = self.routers[entry].take_changed_work(self.now);
-            self.tell(entry, told);
+        if self.policy.updates.is_some_and(|updates| updates.immediate) {
+            let work = self.routers[node].take_changed_work(self.now);
+            self.publish(node, work);
         }
     }
 
-    fn carry_out(&mut self, entry: usize, effect: Effect) {
-        let number = |key| self.by_key.get(&(entry, key)).copied();
+    fn apply_effect(&mut self, node: usize, effect: Effect) {
+        let index_of = |key| self.by_key.get(&(node, key)).copied();
         match effect {
             Effect::Send { request, to } => {
-                if let Some(number) = number(request) {
-                    self.later(TO_SERVER, Happening::Reach(number, Box::new(to)));
+                if let Some(index) = index_of(request) {
+                    self.schedule(
+                        NETWORK_LATENCY,
+                        Scheduled::RequestReachesEngine(index, Box::new(to)),
+                    );
                 }
             }
             Effect::Refuse {
@@ -309,33 +318,36 @@
                 retry_after,
                 ..
             } => {
-                if let Some(number) = number(request) {
-                    self.refused(number, retry_after);
+                if let Some(index) = index_of(request) {
+                    self.handle_refusal(index, retry_after);
                 }
             }
             Effect::Reserve { request, orders } => {
-                let Some(number) = number(request) else {
+                let Some(index) = index_of(request) else {
                     return;
                 };
                 let mut failed = Vec::new();
                 for order in &orders {
                     let engine = self.by_addr[&order.addr];
                     let tokens = f64::from(order.tokens.unwrap_or(0));
-                    if !self.engines[engine].reserve(number, tokens) {
+                    if !self.engines[engine].reserve(index, tokens) {
                         failed.push(FailedReservation {
                             addr: order.addr,
                             unreachable: false,
                         });
                     }
-                    self.requests[number].engines.push(engine);
+                    self.requests[index].engines.push(engine);
                 }
-                self.requests[number].reserved = failed.is_empty();
+                self.requests[index].reserved = failed.is_empty();
                 if !failed.is_empty() {
-                    self.drop_request(number);
+                    self.drop_request(index);
                 }
-                self.later(TO_SERVER * 2, Happening::Reserved(number, failed));
+                self.schedule(
+                    NETWORK_LATENCY * 2,
+                    Scheduled::ReservationsAnswered(index, failed),
+                );
             }
-            // Memory is given back when the request is dropped here.
+            // `drop_request` releases the memory.
             Effect::Order(_)
             | Effect::Ejected { .. }
             | Effect::NewNotice { .. }
@@ -346,153 +358,162 @@
         }
     }
 
-    fn refused(&mut self, number: Number, retry_after: Option<Duration>) {
-        let request = &mut self.requests[number];
-        self.by_key.remove(&(request.entry, request.key));
-        let patience = KINDS[self.arrivals[number].kind].patience;
-        match retry_after.filter(|after| !request.came_back && *after < patience / 3) {
+    fn handle_refusal(&mut self, index: RequestIndex, retry_after: Option<Duration>) {
+        let request = &mut self.requests[index];
+        self.by_key.remove(&(request.node, request.key));
+        let caller_timeout = KINDS[self.arrivals[index].kind].caller_timeout;
+        match retry_after.filter(|after| !request.has_retried && *after < caller_timeout / 3) {
             Some(after) => {
-                request.came_back = true;
-                self.later(after, Happening::Arrive(number));
+                request.has_retried = true;
+                self.schedule(after, Scheduled::RequestArrives(index));
             }
             None => request.outcome = Outcome::Refused,
         }
     }
 
-    fn reach(&mut self, number: Number, to: &Assignment) {
-        let arrival = self.arrivals[number];
-        let generating = self.by_addr[&to.addr];
-        let others = to
+    fn handle_assignment(&mut self, index: RequestIndex, to: &Assignment) {
+        let arrival = self.arrivals[index];
+        let decoding_engine = self.by_addr[&to.addr];
+        let workers = to
             .prefill_workers
             .iter()
-            .map(|helper| self.by_addr[&helper.addr]);
-        let others: Vec<usize> = others.filter(|&engine| engine != generating).collect();
-        let k = others.len() + 1;
-        let part = Part {
-            request: number,
-            tokens: arrival.prompt / k as f64,
+            .map(|worker| self.by_addr[&worker.addr]);
+        let workers: Vec<usize> = workers
+            .filter(|&engine| engine != decoding_engine)
+            .collect();
+        let segments = workers.len() + 1;
+        let segment = Part {
+            request: index,
+            tokens: arrival.prompt / segments as f64,
             whole: arrival.prompt,
             helps: false,
         };
-        let request = &mut self.requests[number];
-        request.parts_left = k;
+        let request = &mut self.requests[index];
+        request.segments_left = segments;
         let memory = match request.reserved {
             true => 0.0,
             false => arrival.prompt + f64::from(arrival.events) * TOKENS_PER_EVENT,
         };
-        request.engines = std::iter::once(generating).chain(others.clone()).collect();
-        self.engines[generating].take(part, memory);
-        for engine in others {
+        request.engines = std::iter::once(decoding_engine)
+            .chain(workers.clone())
+            .collect();
+        self.engines[decoding_engine].take(segment, memory);
+        for engine in workers {
             self.engines[engine].help(Part {
                 helps: true,
-                ..part
+                ..segment
             });
-            self.begin_pass(engine);
+            self.begin_step(engine);
         }
-        self.begin_pass(generating);
+        self.begin_step(decoding_engine);
     }
 
-    fn begin_pass(&mut self, engine: usize) {
+    fn begin_step(&mut self, engine: usize) {
         if let Some(ms) = self.engines[engine].begin_pass() {
             let after = Duration::from_secs_f64(ms / 1e3);
-            self.later(after, Happening::PassEnds(engine));
+            self.schedule(after, Scheduled::StepEnds(engine));
         }
     }
 
-    fn pass_ends(&mut self, engine: usize) {
+    fn end_step(&mut self, engine: usize) {
         for progress in self.engines[engine].end_pass() {
             match progress {
-                Progress::Read(number) => self.part_read(number, engine),
-                Progress::Wrote(number) => self.wrote(number),
+                Progress::Read(index) => self.segment_prefilled(index, engine),
+                Progress::Wrote(index) => self.event_decoded(index),
             }
         }
-        self.begin_pass(engine);
+        self.begin_step(engine);
     }
 
-    fn part_read(&mut self, number: Number, engine: usize) {
-        let prompt = self.arrivals[number].prompt;
-        let request = &mut self.requests[number];
+    fn segment_prefilled(&mut self, index: RequestIndex, engine: usize) {
+        let prompt = self.arrivals[index].prompt;
+        let request = &mut self.requests[index];
         if request.engines.is_empty() || request.outcome != Outcome::Open {
             return;
         }
-        request.parts_left -= 1;
-        if request.parts_left > 0 {
+        request.segments_left -= 1;
+        if request.segments_left > 0 {
             return;
         }
-        let generating = request.engines[0];
+        let decoding_engine = request.engines[0];
         let context = prompt / request.engines.len() as f64;
-        self.engines[generating].generate(number, context);
-        match generating == engine {
-            // The first event comes with the end of the reading.
-            true => self.wrote(number),
-            false => self.begin_pass(generating),
+        self.engines[decoding_engine].generate(index, context);
+        match decoding_engine == engine {
+            // The step that completes the prefill also yields the first event.
+            true => self.event_decoded(index),
+            false => self.begin_step(decoding_engine),
         }
     }
 
-    fn wrote(&mut self, number: Number) {
-        let now = self.now.after(TO_SERVER + TO_CALLER);
-        let request = &mut self.requests[number];
+    fn event_decoded(&mut self, index: RequestIndex) {
+        let now = self.now.after(NETWORK_LATENCY + CALLER_LATENCY);
+        let request = &mut self.requests[index];
         if request.outcome != Outcome::Open {
             return;
         }
-        if let Some(last) = request.last_at {
-            request.longest_pause = request.longest_pause.max(now.since(last));
+        if let Some(last) = request.last_event_at {
+            request.longest_gap = request.longest_gap.max(now.since(last));
         }
-        request.last_at = Some(now);
+        request.last_event_at = Some(now);
         request.events_left -= 1;
-        let (entry, key, ended) = (request.entry, request.key, request.events_left == 0);
-        if request.first_at.is_none() {
-            request.first_at = Some(now);
-            self.step(entry, Event::Started { request: key });
+        let (node, key, finished) = (request.node, request.key, request.events_left == 0);
+        if request.first_event_at.is_none() {
+            request.first_event_at = Some(now);
+            self.step(node, Event::Started { request: key });
         }
-        if ended {
-            self.ended(number);
+        if finished {
+            self.finish(index);
         }
     }
 
-    fn ended(&mut self, number: Number) {
-        let arrival = &self.arrivals[number];
+    fn finish(&mut self, index: RequestIndex) {
+        let arrival = &self.arrivals[index];
         let kind = &KINDS[arrival.kind];
-        let request = &mut self.requests[number];
-        let sent = Instant::from_millis(10_000).after(arrival.at.since(Instant::ZERO));
-        let first = request.first_at.map_or(Duration::MAX, |at| at.since(sent));
-        request.outcome = match (first <= kind.objective, request.longest_pause <= kind.pause) {
-            (false, _) => Outcome::FirstLate,
-            (true, false) => Outcome::Paused,
+        let request = &mut self.requests[index];
+        let sent_at = Instant::from_millis(10_000).after(arrival.at.since(Instant::ZERO));
+        let first = request
+            .first_event_at
+            .map_or(Duration::MAX, |at| at.since(sent_at));
+        request.outcome = match (
+            first <= kind.objective,
+            request.longest_gap <= kind.inter_token_objective,
+        ) {
+            (false, _) => Outcome::LateFirstEvent,
+            (true, false) => Outcome::LongGap,
             (true, true) => Outcome::InTime,
         };
-        let (entry, key) = (request.entry, request.key);
-        self.drop_request(number);
+        let (node, key) = (request.node, request.key);
+        self.drop_request(index);
         let end = AttemptEnd::Delivered { is_success: true };
-        self.step(entry, Event::AttemptEnded { request: key, end });
-        self.by_key.remove(&(entry, key));
+        self.step(node, Event::AttemptEnded { request: key, end });
+        self.by_key.remove(&(node, key));
     }
 
-    fn give_up(&mut self, number: Number) {
-        let request = &mut self.requests[number];
-        let waits = request.outcome == Outcome::Open && request.first_at.is_none();
-        let there = self.by_key.contains_key(&(request.entry, request.key));
-        if !waits || !there {
+    fn handle_caller_timeout(&mut self, index: RequestIndex) {
+        let request = &mut self.requests[index];
+        let is_waiting = request.outcome == Outcome::Open && request.first_event_at.is_none();
+        let is_registered = self.by_key.contains_key(&(request.node, request.key));
+        if !is_waiting || !is_registered {
             return;
         }
-        request.outcome = Outcome::Left;
-        let (entry, key) = (request.entry, request.key);
-        self.drop_request(number);
-        self.step(entry, Event::Abandoned { request: key });
-        self.by_key.remove(&(entry, key));
+        request.outcome = Outcome::Abandoned;
+        let (node, key) = (request.node, request.key);
+        self.drop_request(index);
+        self.step(node, Event::Abandoned { request: key });
+        self.by_key.remove(&(node, key));
     }
 
-    fn drop_request(&mut self, number: Number) {
-        for engine in std::mem::take(&mut self.requests[number].engines) {
-            self.engines[engine].drop_request(number);
-            self.begin_pass(engine);
+    fn drop_request(&mut self, index: RequestIndex) {
+        for engine in std::mem::take(&mut self.requests[index].engines) {
+            self.engines[engine].drop_request(index);
+            self.begin_step(engine);
         }
     }
 }
 
-/// Returns the fingerprint of a request: each of them is another one.
-fn content_of(number: Number) -> Fingerprint {
-    let target = number.to_string();
+/// Returns the fingerprint of a request, unique for each index.
+fn content_of(index: RequestIndex) -> Fingerprint {
+    let target = index.to_string();
     let content = RequestHead {
         workspace: None,
         method: "POST",
