--- a/crates/notchwalk_core/src/finding.rs
+++ b/crates/notchwalk_core/src/finding.rs
@@ -8,7 +8,7 @@
 /// A fault of an input and its location.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Finding {
-    /// The file or the part of a bundle.
+    /// The file, or the part of a bundle, that contains the fault.
     pub file: String,
     /// The section; empty if the fault concerns the whole file.
     pub section: String,
--- a/crates/notchwalk_core/src/id.rs
+++ b/crates/notchwalk_core/src/id.rs
@@ -8,8 +8,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct VmId(pub u32);
 
-/// The number of starts of a daemon on a VM, used as a fencing token: a higher number
-/// invalidates the operations of lower ones.
+/// Identifies a start of the daemon on a VM; increases with each start. Used as a fencing
+/// token: a higher number invalidates the operations of lower ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct BootNumber(pub u64);
 
@@ -29,7 +29,7 @@
 pub struct RequestId {
     /// The entry VM that admitted the request.
     pub vm: VmId,
-    /// The boot of that VM's daemon.
+    /// The boot number of the daemon on that VM.
     pub boot: BootNumber,
     /// The sequence number within the boot.
     pub seq: u64,
--- a/crates/notchwalk_core/src/time.rs
+++ b/crates/notchwalk_core/src/time.rs
@@ -51,11 +51,12 @@
 
 /// The time source of a [`Clock`].
 pub trait TimeSource: Send + Sync {
-    /// Returns the time since an arbitrary origin, including time in suspension.
+    /// Returns the time since an arbitrary origin, including the time that the
+    /// machine was suspended.
     fn boot_time(&self) -> Duration;
 
-    /// Returns the time since an arbitrary origin, excluding time in suspension. The
-    /// runtime's timers use this clock.
+    /// Returns the time since an arbitrary origin, excluding the time that the
+    /// machine was suspended. The runtime's timers use this clock.
     fn monotonic_time(&self) -> Duration;
 }
 
@@ -80,9 +81,9 @@
     }
 }
 
-/// A clock that returns [`Instant`]s. It includes time in suspension, since deadlines,
-/// leases and the age of data advance meanwhile. docs/DESIGN.md lists what includes it and
-/// what does not.
+/// A clock that returns [`Instant`]s. It includes the time that the machine was
+/// suspended, since deadlines, leases and the age of data advance meanwhile. docs/DESIGN.md
+/// lists which times include it.
 #[derive(Clone)]
 pub struct Clock {
     source: Arc<dyn TimeSource>,
--- a/crates/notchwalk_core/tests/event_catalogue.rs
+++ b/crates/notchwalk_core/tests/event_catalogue.rs
@@ -20,11 +20,11 @@
         .lines()
         .filter(|line| line.starts_with("| "))
         .count();
-    const HEADING: usize = 1;
+    const HEADING_ROWS: usize = 1;
     assert_eq!(
-        rows - HEADING,
+        rows - HEADING_ROWS,
         ALL_LOG_EVENTS.len(),
-        "docs/EVENTS.md lists other events too"
+        "docs/EVENTS.md lists events that the code lacks"
     );
 }
 
--- a/crates/notchwalk_daemon/src/backoff.rs
+++ b/crates/notchwalk_daemon/src/backoff.rs
@@ -15,7 +15,7 @@
 }
 
 impl Backoff {
-    /// Starts with delays around `first`.
+    /// Creates a backoff whose first delay is about `first`.
     pub fn new(first: Duration) -> Self {
         Self { first, next: first }
     }
@@ -30,12 +30,12 @@
         self.wait_since_start_of(Duration::ZERO).await;
     }
 
-    /// Waits for the next delay, counted from the start of a call that took `call`: a
+    /// Waits for the next delay, counted from the start of a call that took `elapsed`: a
     /// call that timed out has already used up the delay.
-    pub async fn wait_since_start_of(&mut self, call: Duration) {
+    pub async fn wait_since_start_of(&mut self, elapsed: Duration) {
         let jitter = rand::rng().random_range(0.5..1.5);
         let delay = self.next.mul_f64(jitter);
         self.next = (self.next * 2).min(MAX_DELAY);
-        monoio::time::sleep(delay.saturating_sub(call)).await;
+        monoio::time::sleep(delay.saturating_sub(elapsed)).await;
     }
 }
--- a/crates/notchwalk_daemon/src/lib.rs
+++ b/crates/notchwalk_daemon/src/lib.rs
@@ -13,7 +13,7 @@
 //! | `backoff` | retry delays with jitter |
 //! | `wake` | notification between tasks of one thread |
 //!
-//! Links between peers, the operators' interface and the following of tables are
+//! Connections between peers, the operators' interface and the polling of store tables are
 //! implemented by each daemon (see docs/DESIGN.md).
 
 mod backoff;
--- a/crates/notchwalk_daemon/src/log_sink.rs
+++ b/crates/notchwalk_daemon/src/log_sink.rs
@@ -72,7 +72,7 @@
     }
     match rustix::io::write(io::stdout(), &buffer.bytes) {
         Ok(written) => drop(buffer.bytes.drain(..written)),
-        // The reader is slow: the lines stay buffered.
+        // Standard output would block: the lines stay buffered.
         Err(rustix::io::Errno::AGAIN | rustix::io::Errno::INTR) => {}
         // Standard output is closed.
         Err(_) => buffer.bytes.clear(),
--- a/crates/notchwalk_daemon/src/metrics.rs
+++ b/crates/notchwalk_daemon/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics in the Prometheus text format. Components register their own.
+//! Metrics in the Prometheus text format. Components register their own metrics.
 
 use prometheus::{
     core::Collector, Encoder, Gauge, GaugeVec, HistogramOpts, HistogramVec, IntCounter,
--- a/crates/notchwalk_daemon/src/process.rs
+++ b/crates/notchwalk_daemon/src/process.rs
@@ -26,21 +26,21 @@
     runtime.block_on(daemon)
 }
 
-/// Returns a boot number that rises from boot to boot without persistent state:
+/// Returns a boot number that increases with each start without persistent state:
 /// microseconds since 1970.
 pub fn boot_number() -> u64 {
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     since.map_or(1, |since| since.as_micros() as u64)
 }
 
-/// Flags that stop or reload the process.
+/// Flags that request a stop of the daemon or a reload of its settings.
 #[derive(Clone, Debug, Default)]
 pub struct Signals {
     /// Requests a graceful shutdown.
     pub stop: Arc<AtomicBool>,
     /// Requests a reload of the settings file.
     pub reload: Arc<AtomicBool>,
-    /// Stops the daemon immediately, as a crash would; for tests.
+    /// Requests an immediate exit without cleanup, as in a crash; for tests.
     pub kill: Arc<AtomicBool>,
 }
 
--- a/crates/notchwalk_daemon/tests/parts.rs
+++ b/crates/notchwalk_daemon/tests/parts.rs
@@ -57,9 +57,9 @@
     let mut addr: SocketAddr = "127.0.0.1:0".parse().expect("an address");
     let listener = bind(&mut addr).expect("a free port");
     assert_eq!(listener.local_addr().expect("a bound socket"), addr);
-    let mut taken = addr;
-    let refused = bind(&mut taken).expect_err("the port is taken");
-    assert!(refused.to_string().contains(&addr.to_string()), "{refused}");
+    let mut bound_addr = addr;
+    let error = bind(&mut bound_addr).expect_err("the port is taken");
+    assert!(error.to_string().contains(&addr.to_string()), "{error}");
 }
 
 #[test]
@@ -72,10 +72,10 @@
     };
     let good = settings::parse("a.ini", "[daemon]\nport = 80\nname = x\n", read);
     assert_eq!(good.expect("no findings"), (80, "x".to_owned()));
-    let found = settings::parse("a.ini", "[daemon]\nport = many\nsurprise = 1\n", read);
-    let text = found.expect_err("three findings").to_string();
-    for part in ["a.ini", "port", "name", "surprise"] {
-        assert!(text.contains(part), "{part}: {text}");
+    let result = settings::parse("a.ini", "[daemon]\nport = many\nsurprise = 1\n", read);
+    let text = result.expect_err("three findings").to_string();
+    for expected in ["a.ini", "port", "name", "surprise"] {
+        assert!(text.contains(expected), "{expected}: {text}");
     }
     let missing = settings::load(std::path::Path::new("no/such/file.ini"), read);
     assert!(missing.is_err());
