--- a/crates/notchwalk_relay/src/active_request.rs
+++ b/crates/notchwalk_relay/src/active_request.rs
@@ -14,7 +14,7 @@
     pub key: RequestKey,
     /// The decoded request head.
     pub caller: CallerFacts,
-    /// Fingerprint of the content, equal for all attempts of the caller.
+    /// Fingerprint of the request, the same for all attempts of the caller.
     pub content: Fingerprint,
     /// The workspace of the API key.
     pub workspace: Option<Rc<str>>,
@@ -22,7 +22,7 @@
     pub route: Rc<str>,
     /// When the first byte arrived.
     pub arrived: Instant,
-    /// When the caller or the route stops waiting.
+    /// When the timeout of the caller or of the route ends, whichever is first.
     pub deadline: Instant,
     pub body: Bytes,
     /// Whether the response is a stream.
--- a/crates/notchwalk_relay/src/attempt.rs
+++ b/crates/notchwalk_relay/src/attempt.rs
@@ -18,10 +18,10 @@
 
 /// The largest response that is buffered before it is relayed, in bytes.
 const MAX_BUFFERED_RESPONSE_BYTES: usize = 1 << 20;
-/// Responses to other requests that are skipped on one connection.
+/// Maximum number of responses to other requests that are skipped on one connection.
 const MAX_SKIPPED_RESPONSES: usize = 3;
 /// How long to wait for a response after writing the request failed: a server may
-/// respond before it has read the body.
+/// respond and close the connection before it has read the body.
 const EARLY_RESPONSE_TIMEOUT: Duration = Duration::from_millis(50);
 
 pub(crate) enum AttemptOutcome {
@@ -32,7 +32,7 @@
     /// The caller disconnected.
     CallerDisconnected,
     /// The request's deadline passed.
-    TimedOut,
+    DeadlinePassed,
 }
 
 /// A server's own error, retained until it is certain that no other server serves the
@@ -43,7 +43,7 @@
     pub body: Bytes,
 }
 
-/// What has been delivered of a response.
+/// Progress of the delivery of a response to the caller.
 pub(crate) struct Delivery {
     /// Whether the response head was sent.
     pub head_sent: bool,
@@ -58,7 +58,7 @@
     /// Time from arrival to the first event, as predicted at the first attempt.
     pub predicted_first_event: Option<Duration>,
     /// Number of attempts.
-    pub sends: u32,
+    pub attempts: u32,
     /// The last error that a server returned.
     pub server_error: Option<RetainedError>,
     /// Splits the stream at event boundaries.
@@ -78,7 +78,7 @@
             max_event_gap: Duration::ZERO,
             event_writes: 0,
             predicted_first_event: None,
-            sends: 0,
+            attempts: 0,
             server_error: None,
             splitter: EventSplitter::default(),
             last_event,
@@ -113,26 +113,28 @@
     }
 }
 
-/// Result of waiting for a server.
+/// Result of a wait for a server.
 enum Awaited<T> {
     Done(T),
     CallerDisconnected,
-    TimedOut,
-    Silent,
+    /// The request's deadline passed.
+    DeadlinePassed,
+    /// The server's idle timeout passed.
+    ServerIdle,
 }
 
-/// Waits for the idle timeout of a server, forever without one. Time during which the
-/// machine was suspended does not count: nothing could be received then.
-async fn wait_idle_timeout(idle_timeout: Option<Duration>) {
+/// Sleeps for an idle timeout; forever if there is none. Time during which the machine
+/// is suspended does not count, since nothing can be received then.
+async fn sleep_idle_timeout(idle_timeout: Option<Duration>) {
     match idle_timeout {
         Some(idle_timeout) => monoio::time::sleep(idle_timeout).await,
         None => std::future::pending().await,
     }
 }
 
-/// Waits for `future`, for the caller to disconnect, for the request's deadline and for
-/// the server's idle timeout. The idle timeout ends the wait only if another server
-/// could be tried.
+/// Waits for `future`, until the caller disconnects, the request's deadline passes or
+/// the server's idle timeout passes. The idle timeout ends the wait only if the request
+/// may be sent to another server.
 async fn await_server<T>(
     shell: &Shell,
     exchange: &mut Exchange,
@@ -146,15 +148,15 @@
         monoio::select! {
             done = &mut future => return Awaited::Done(done),
             () = exchange.peer_closed() => return Awaited::CallerDisconnected,
-            () = shell.sleep_until(req.deadline) => return Awaited::TimedOut,
-            () = wait_idle_timeout(idle_timeout) => {}
+            () = shell.sleep_until(req.deadline) => return Awaited::DeadlinePassed,
+            () = sleep_idle_timeout(idle_timeout) => {}
         }
         if shell
             .router
             .borrow()
             .may_retry_elsewhere(req.key, shell.now())
         {
-            return Awaited::Silent;
+            return Awaited::ServerIdle;
         }
         idle_timeout = None;
     }
@@ -168,23 +170,23 @@
     delivery: &mut Delivery,
     to: &Assignment,
 ) -> AttemptOutcome {
-    delivery.sends += 1;
+    delivery.attempts += 1;
     let waited = shell.now().since(req.arrived);
     delivery
         .predicted_first_event
         .get_or_insert(waited + to.predicted_first_event);
-    let request = send_and_read_head(shell, req, delivery.last_event, to, exchange);
-    let request = request.await;
-    let response = match request {
+    let head = send_and_read_head(shell, req, delivery.last_event, to, exchange);
+    let head = head.await;
+    let response = match head {
         Awaited::Done(Ok(Some(response))) => response,
         Awaited::Done(Ok(None)) => return AttemptOutcome::Ended(AttemptEnd::NotSent),
         Awaited::Done(Err(e)) if e.nothing_sent() => {
             return AttemptOutcome::Ended(AttemptEnd::NotConnected);
         }
         Awaited::Done(Err(_)) => return AttemptOutcome::Ended(AttemptEnd::ConnectionLost),
-        Awaited::Silent => return AttemptOutcome::Ended(AttemptEnd::TimedOut),
+        Awaited::ServerIdle => return AttemptOutcome::Ended(AttemptEnd::TimedOut),
         Awaited::CallerDisconnected => return AttemptOutcome::CallerDisconnected,
-        Awaited::TimedOut => return AttemptOutcome::TimedOut,
+        Awaited::DeadlinePassed => return AttemptOutcome::DeadlinePassed,
     };
     let facts = shell
         .dialect
@@ -214,7 +216,7 @@
 /// Reads a short response to its end, so that the connection can be reused.
 async fn discard_body(response: StreamedResponse) {
     const TIMEOUT: Duration = Duration::from_millis(20);
-    // If the rest does not arrive in time, the connection is closed instead.
+    // If the rest does not arrive in time, the connection is closed.
     let _ = monoio::time::timeout(TIMEOUT, response.whole(MAX_BUFFERED_RESPONSE_BYTES)).await;
 }
 
@@ -276,7 +278,7 @@
     await_server(shell, exchange, req, to.first_output_timeout, send).await
 }
 
-/// Reads the response head of this request, skipping responses to others.
+/// Reads the head of the response to `req`; skips responses to other requests.
 async fn receive_response(
     shell: &Rc<Shell>,
     req: &ActiveRequest,
@@ -302,7 +304,7 @@
     Ok(response)
 }
 
-/// Returns the headers without the hop-by-hop ones.
+/// Takes the headers and removes the hop-by-hop ones.
 fn end_to_end_headers(headers: &mut HeaderMap) -> HeaderMap {
     let mut headers = std::mem::take(headers);
     for name in [
@@ -331,11 +333,11 @@
     let read = response.whole(MAX_BUFFERED_RESPONSE_BYTES);
     let body = match await_server(shell, exchange, req, None, read).await {
         Awaited::Done(Ok(whole)) => whole.body,
-        Awaited::Done(Err(_)) | Awaited::Silent => {
+        Awaited::Done(Err(_)) | Awaited::ServerIdle => {
             return AttemptOutcome::Ended(AttemptEnd::ConnectionLost)
         }
         Awaited::CallerDisconnected => return AttemptOutcome::CallerDisconnected,
-        Awaited::TimedOut => return AttemptOutcome::TimedOut,
+        Awaited::DeadlinePassed => return AttemptOutcome::DeadlinePassed,
     };
     if kind == ResponseKind::Failure && status.is_server_error() {
         delivery.server_error = Some(RetainedError {
@@ -376,12 +378,12 @@
                 delivery.splitter.drop_partial();
                 return AttemptOutcome::Ended(AttemptEnd::ConnectionLost);
             }
-            Awaited::Silent => {
+            Awaited::ServerIdle => {
                 delivery.splitter.drop_partial();
                 return AttemptOutcome::Ended(AttemptEnd::TimedOut);
             }
             Awaited::CallerDisconnected => return AttemptOutcome::CallerDisconnected,
-            Awaited::TimedOut => return AttemptOutcome::TimedOut,
+            Awaited::DeadlinePassed => return AttemptOutcome::DeadlinePassed,
         };
         let Some(chunk) = chunk else { break };
         let mut events = delivery.splitter.push(&chunk).to_vec();
--- a/crates/notchwalk_relay/src/config_watch.rs
+++ b/crates/notchwalk_relay/src/config_watch.rs
@@ -27,12 +27,12 @@
         };
         let site = match self.shell.dialect.config(value) {
             Ok(site) => site,
-            Err(reason) => return log_refused(row.version.rev, &reason),
+            Err(reason) => return log_rejected(row.version.rev, &reason),
         };
         let in_force = self.shell.router.borrow().version();
         if site.version <= in_force {
             if site.version < in_force {
-                log_refused(site.version, "older than the version in force");
+                log_rejected(site.version, "older than the version in force");
             }
             return;
         }
@@ -49,7 +49,7 @@
     }
 }
 
-fn log_refused(version: u64, reason: &str) {
+fn log_rejected(version: u64, reason: &str) {
     let facts = format!("version={version} reason={reason:?}");
     LogEvent::new(LogEventKind::ConfigRejected, facts).emit();
 }
--- a/crates/notchwalk_relay/src/daemon.rs
+++ b/crates/notchwalk_relay/src/daemon.rs
@@ -12,7 +12,7 @@
 use crate::{
     config_watch::ConfigReader,
     directory::Directory,
-    effects::Effects,
+    effects::EffectDispatcher,
     front::Front,
     operator::Operator,
     peer_link, presence,
@@ -31,7 +31,7 @@
 /// How long a stopping node still accepts requests: callers cache the directory's
 /// response, some beyond its TTL.
 const ACCEPT_WHILE_STOPPING: Duration = Duration::from_millis(3_000);
-/// How long before the process would be killed it exits by itself.
+/// How long before the end of the stop grace period the process exits.
 const EXIT_MARGIN: Duration = Duration::from_millis(400);
 /// Minimum time for which a stopping process stays reachable, for callers that hold its
 /// address from the directory.
@@ -87,7 +87,7 @@
 }
 
 impl Listeners {
-    /// Binds all addresses and writes the assigned ports back.
+    /// Binds all addresses and updates `settings` with the assigned ports.
     fn bind(settings: &mut RelaySettings) -> Result<Self, DaemonError> {
         let addr = settings.peer;
         let failed = |source| DaemonError::Listen { addr, source };
@@ -134,7 +134,7 @@
             dialect,
             store,
             client,
-            Box::new(Effects),
+            Box::new(EffectDispatcher),
         );
         let shell = Rc::new(shell.with_clock(environment.clock));
         let limits = ServerLimits {
--- a/crates/notchwalk_relay/src/dialect.rs
+++ b/crates/notchwalk_relay/src/dialect.rs
@@ -16,7 +16,7 @@
     pub id: HeaderValue,
     /// The caller's timeout, if given.
     pub timeout: Option<Duration>,
-    /// The API key, if given.
+    /// The caller's API key, if given.
     pub key: Option<String>,
     /// Number of prompt tokens; 0 if not given.
     pub prompt_tokens: u32,
@@ -24,7 +24,7 @@
     pub max_answer_tokens: u32,
     /// Number of response tokens that the caller estimates.
     pub estimated_answer_tokens: Option<u32>,
-    /// The last event received of an interrupted stream.
+    /// The id of the last event received of an interrupted stream.
     pub last_event: Option<u64>,
 }
 
@@ -39,7 +39,7 @@
     pub workspace: Option<&'a str>,
     /// The remaining time of the caller's timeout.
     pub timeout: Duration,
-    /// The last event that the caller has.
+    /// The id of the last event that the caller has.
     pub last_event: Option<u64>,
 }
 
@@ -52,7 +52,7 @@
     pub ttl: Duration,
 }
 
-/// A wire format of callers, servers and rows. Implementations only translate.
+/// The formats of callers, backend servers and rows. Implementations only translate.
 pub trait Dialect {
     /// Decodes the head of a caller's request.
     ///
@@ -78,8 +78,8 @@
     /// Returns whether a path is that of the readiness check.
     fn is_readiness_check(&self, path: &str) -> bool;
 
-    /// Returns the failure domain named by a directory query; `None` if the URI is not
-    /// one.
+    /// Returns the failure domain of a directory query; `None` if the URI is not that of
+    /// a directory query.
     fn directory_query(&self, uri: &Uri) -> Option<String>;
 
     /// Encodes the response to a directory query.
--- a/crates/notchwalk_relay/src/directory.rs
+++ b/crates/notchwalk_relay/src/directory.rs
@@ -22,7 +22,7 @@
 
     fn addresses(&self) -> Vec<std::net::SocketAddr> {
         let shell = &self.shell;
-        let mut addresses = shell.peers.borrow().ready(shell.now());
+        let mut addresses = shell.peers.borrow().ready_addrs(shell.now());
         if shell.is_ready() {
             addresses.push(shell.settings.caller);
         }
--- a/crates/notchwalk_relay/src/effects.rs
+++ b/crates/notchwalk_relay/src/effects.rs
@@ -10,10 +10,10 @@
     shell::{EffectDriver, Shell},
 };
 
-/// The dispatcher of all effects.
-pub(crate) struct Effects;
+/// Dispatches effects that don't belong to the task of one request.
+pub(crate) struct EffectDispatcher;
 
-impl EffectDriver for Effects {
+impl EffectDriver for EffectDispatcher {
     fn execute(&self, shell: &Rc<Shell>, effect: Effect) {
         match effect {
             Effect::Reserve { request, orders } => {
--- a/crates/notchwalk_relay/src/engine_orders.rs
+++ b/crates/notchwalk_relay/src/engine_orders.rs
@@ -12,7 +12,7 @@
     shell::Shell,
 };
 
-/// Timeout of an order; engines respond within a few milliseconds.
+/// Timeout of a reservation order; engines respond within a few milliseconds.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(400);
 /// The largest response, in bytes.
 const MAX_RESPONSE_BYTES: usize = 64 * 1024;
@@ -69,7 +69,8 @@
     shell.step(Event::Reserved { request, failed });
 }
 
-/// Renews or releases a reservation. Failures are logged; the router repeats the order.
+/// Sends an order that renews or releases a reservation. Failures are logged and
+/// reported to the router, which repeats the order.
 pub(crate) async fn send_once(shell: Rc<Shell>, order: ReservationOrder) {
     if let Err(e) = send(&shell, &order).await {
         let facts = format!("reservation={} addr={} reason={e:?}", order.id, order.addr);
--- a/crates/notchwalk_relay/src/front/accept.rs
+++ b/crates/notchwalk_relay/src/front/accept.rs
@@ -12,13 +12,13 @@
 use super::Front;
 use crate::{active_request::ActiveRequest, CallerFacts};
 
-/// Caller timeout if the request names none.
+/// Caller timeout of requests that give none.
 const DEFAULT_CALLER_TIMEOUT: Duration = Duration::from_secs(10);
 /// `Retry-After` while no configuration is in force yet; reading it takes a few
 /// milliseconds once the store responds.
 const NO_CONFIG_RETRY_AFTER: Duration = Duration::from_millis(300);
-/// How long before the route's timeout a request is given up, so that the final
-/// response arrives in time.
+/// How long before the route's timeout a request fails, so that the final response
+/// arrives in time.
 const TIMEOUT_MARGIN: Duration = Duration::from_millis(20);
 /// Assumed fraction of the maximum response tokens if the caller gives no estimate.
 const DEFAULT_ANSWER_FRACTION: f64 = 0.5;
@@ -150,7 +150,7 @@
         request_timeout: Duration,
         workspace: Option<&str>,
     ) -> Result<(Bytes, Fingerprint), Option<(StatusCode, &'static str)>> {
-        let mut content = fingerprinting(exchange, workspace);
+        let mut content = start_fingerprint(exchange, workspace);
         let read = exchange.body_bytes_seen(limit, |chunk| content.update(chunk));
         let read = monoio::time::timeout(request_timeout, read).await;
         match read {
@@ -172,14 +172,14 @@
     }
 }
 
-/// Returns the host that a request names, empty if none.
+/// Returns the host of a request; empty if it has none.
 fn host(exchange: &Exchange) -> &str {
     let named = exchange.header("host").or(exchange.head.uri.host());
     named.unwrap_or("")
 }
 
-/// Starts the fingerprint of a request from its head.
-fn fingerprinting(exchange: &Exchange, workspace: Option<&str>) -> FingerprintBuilder {
+/// Starts the fingerprint of a request with its head.
+fn start_fingerprint(exchange: &Exchange, workspace: Option<&str>) -> FingerprintBuilder {
     let head = &exchange.head;
     FingerprintBuilder::new(&RequestHead {
         workspace,
@@ -191,9 +191,9 @@
 
 /// Returns the approximate size of a request's head on the wire.
 fn head_bytes(exchange: &Exchange) -> usize {
-    const SEPARATORS: usize = 4;
+    const SEPARATOR_BYTES: usize = 4;
     let headers = exchange.head.headers.iter();
-    let headers = headers.map(|(name, value)| name.as_str().len() + value.len() + SEPARATORS);
+    let headers = headers.map(|(name, value)| name.as_str().len() + value.len() + SEPARATOR_BYTES);
     let line = exchange.head.method.as_str().len()
         + exchange
             .head
--- a/crates/notchwalk_relay/src/front/mod.rs
+++ b/crates/notchwalk_relay/src/front/mod.rs
@@ -40,12 +40,12 @@
     ) {
         let facts = format!("request={id} status={} reason={reason:?}", status.as_u16());
         LogEvent::new(LogEventKind::RequestRejected, facts).emit();
-        let outcome = self
+        let counter = self
             .shell
             .metrics
             .requests
             .with_label_values(&["", "rejected"]);
-        outcome.inc();
+        counter.inc();
         let mut headers = HeaderMap::new();
         if let Some(after) = retry_after {
             let (name, value) = self.shell.dialect.retry_after(after);
@@ -91,7 +91,7 @@
             .execute_effects(exchange, &req, inbox, &mut delivery)
             .await;
         self.shell.close_request(key);
-        self.record(&req, &delivery, outcome);
+        self.record_outcome(&req, &delivery, outcome);
     }
 
     /// Executes the router's effects until the request ends.
@@ -154,7 +154,7 @@
             AttemptOutcome::Ended(end) => (end, None),
             AttemptOutcome::Delivered(end) => (end, Some(Outcome::Delivered)),
             AttemptOutcome::CallerDisconnected => return Some(self.caller_disconnected(req)),
-            AttemptOutcome::TimedOut => {
+            AttemptOutcome::DeadlinePassed => {
                 return Some(self.time_out(exchange, req, delivery).await);
             }
         };
@@ -195,7 +195,7 @@
         req: &ActiveRequest,
         delivery: &Delivery,
     ) -> Outcome {
-        if delivery.first_at.is_none() && delivery.sends > 0 {
+        if delivery.first_at.is_none() && delivery.attempts > 0 {
             self.shell.client.forget_idle();
         }
         self.shell.step(Event::Abandoned { request: req.key });
@@ -203,7 +203,8 @@
             .await
     }
 
-    /// Responds to a request that no server has answered.
+    /// Responds to a request that no server has responded to; aborts the stream if the
+    /// head was already sent.
     async fn refuse(
         &self,
         exchange: &mut Exchange,
--- a/crates/notchwalk_relay/src/front/record.rs
+++ b/crates/notchwalk_relay/src/front/record.rs
@@ -57,7 +57,13 @@
         LogEvent::new(LogEventKind::RequestSent, facts).emit();
     }
 
-    pub(super) fn record(&self, req: &ActiveRequest, delivery: &Delivery, outcome: Outcome) {
+    /// Logs and counts the outcome of a request.
+    pub(super) fn record_outcome(
+        &self,
+        req: &ActiveRequest,
+        delivery: &Delivery,
+        outcome: Outcome,
+    ) {
         let label = outcome.label();
         let metrics = &self.shell.metrics;
         metrics
@@ -81,7 +87,7 @@
             req.content,
             req.route,
             req.caller.prompt_tokens,
-            delivery.sends,
+            delivery.attempts,
             first.map_or(-1, |first| first.as_millis() as i64),
             delivery.event_writes,
             delivery.max_event_gap.as_millis(),
--- a/crates/notchwalk_relay/src/lib.rs
+++ b/crates/notchwalk_relay/src/lib.rs
@@ -1,6 +1,6 @@
-//! Drivers of the daemon for routed requests: they turn sockets, timers and the
-//! platform's rows into events of [`notchwalk_route::Router`], and its effects into
-//! I/O. All decisions about requests are made by the router.
+//! I/O drivers around [`notchwalk_route::Router`]: input from sockets, timers and the
+//! platform's store is passed to the router as events, and the router's effects are
+//! executed. The router makes all decisions about requests.
 //!
 //! [`Dialect`] translates the formats of callers, backend servers and the platform;
 //! [`notchwalk_platform::RowStore`] gives access to the store.
--- a/crates/notchwalk_relay/src/metrics.rs
+++ b/crates/notchwalk_relay/src/metrics.rs
@@ -20,7 +20,7 @@
     pub store_up: prometheus::IntGaugeVec,
     /// Polls of the store for changes, by table and result.
     pub store_polls: IntCounterVec,
-    /// The epoch of the store; it rises with each restore from a snapshot.
+    /// The epoch of the store; it increases with each restore from a snapshot.
     pub store_epoch: IntGauge,
     /// The version of the configuration in force.
     pub config_version: IntGauge,
@@ -34,13 +34,14 @@
     pub suspected_crashes: IntCounter,
     /// Quarantines declared by this node.
     pub quarantines: IntCounter,
-    /// Contents currently in quarantine.
+    /// Request contents currently in quarantine.
     pub quarantined: IntGauge,
     /// Notices announced by servers in responses, by kind.
     pub server_notices: IntCounterVec,
     /// Rate limits that servers announce for all nodes together.
     pub server_limits: GaugeVec,
-    /// Requests, parts of them and orders sent by this node to servers with rate limits.
+    /// Requests, prompt segments and orders sent by this node to servers with rate
+    /// limits.
     pub limited_sends: IntCounter,
 }
 
@@ -52,64 +53,64 @@
     /// Panics if a name is registered twice.
     pub fn new() -> Self {
         let set = MetricSet::new();
-        let seconds = exponential_buckets(0.02, 1.7, 14).expect("the bounds rise");
+        let seconds = exponential_buckets(0.02, 1.7, 14).expect("valid bucket bounds");
         let ratios = vec![0.25, 0.5, 0.7, 0.85, 1.0, 1.2, 1.5, 2.0, 4.0];
         Self {
             limited_sends: set.counter(
                 "notchwalk_limited_sends_total",
-                "Requests, parts of them and orders that went to servers with limits",
+                "Requests, prompt segments and orders sent to servers with rate limits",
             ),
             server_limits: set.float_gauge_vec(
                 "notchwalk_server_limit_per_second",
-                "Requests a second that a server takes from all entries together",
+                "Requests per second that a server accepts from all nodes together",
                 &["server"],
             ),
             requests: set.counter_vec(
                 "notchwalk_requests_total",
-                "Requests that ended",
+                "Ended requests",
                 &["route", "outcome"],
             ),
             attempts: set.counter_vec(
                 "notchwalk_attempts_total",
-                "Sends to backend servers",
+                "Attempts at backend servers",
                 &["end"],
             ),
             store_polls: set.counter_vec(
                 "notchwalk_store_questions_total",
-                "Questions to the store for changes",
+                "Polls of the store for changes",
                 &["table", "end"],
             ),
             store_epoch: set.gauge(
                 "notchwalk_store_era",
-                "How often the store came back from an older copy",
+                "Epoch of the store; increases with each restore from a snapshot",
             ),
             config_version: set.gauge(
                 "notchwalk_config_version",
                 "Version of the configuration in force",
             ),
-            open_requests: set.gauge("notchwalk_open_requests", "Requests being served"),
-            peers_alive: set.gauge("notchwalk_peers_alive", "Peers that answer"),
+            open_requests: set.gauge("notchwalk_open_requests", "Requests in progress"),
+            peers_alive: set.gauge("notchwalk_peers_alive", "Reachable peers"),
             suspected_crashes: set.counter(
                 "notchwalk_suspected_crashes_total",
-                "Servers that seem to have ended under a request",
+                "Servers that seem to have crashed while executing a request",
             ),
             quarantines: set.counter(
                 "notchwalk_quarantines_total",
-                "Requests that crash their servers, found here",
+                "Quarantines declared by this node",
             ),
             quarantined: set.gauge(
                 "notchwalk_quarantined",
-                "Contents that are sent to no server for a while",
+                "Request contents currently in quarantine",
             ),
             server_notices: set.counter_vec(
                 "notchwalk_server_words_total",
-                "Answers in which servers say that they leave, want nothing, or name a limit",
+                "Responses in which a server announces draining, a backoff or a rate limit",
                 &["word"],
             ),
-            servers: set.gauge("notchwalk_backend_servers", "Backend servers on record"),
+            servers: set.gauge("notchwalk_backend_servers", "Registered backend servers"),
             first_byte: set.histogram_vec(
                 "notchwalk_first_byte_seconds",
-                "Time from arrival to the first event or the whole answer",
+                "Time from arrival to the first event or the complete response",
                 seconds,
                 &["route"],
             ),
@@ -121,7 +122,7 @@
             ),
             store_up: set.gauge_vec(
                 "notchwalk_store_up",
-                "Whether the store answers",
+                "Whether the store responds",
                 &["table"],
             ),
             set,
--- a/crates/notchwalk_relay/src/operator.rs
+++ b/crates/notchwalk_relay/src/operator.rs
@@ -40,7 +40,7 @@
         (StatusCode::OK, format!("released {content}\n"))
     }
 
-    /// Returns the numbers of open requests and of quarantined contents.
+    /// Returns the numbers of requests in progress and of quarantined contents.
     fn counts(&self) -> (usize, usize) {
         let router = self.shell.router.borrow();
         let quarantined = router.quarantine().quarantined_count(self.shell.now());
@@ -99,7 +99,7 @@
             "newest_change_of_servers_of_peers": shell.peers.borrow().newest_server_change().rev,
             "open_requests": router.open_requests(),
             "reservations": router.reservations(),
-            "peers_alive": shell.peers.borrow().alive(now),
+            "peers_alive": shell.peers.borrow().alive_count(now),
             "entries_sharing_limits": shell.peers.borrow().sharing_nodes(now),
             "servers_age_ms": now.since(shell.servers_refreshed_at.get()).as_millis() as u64,
             "servers": servers,
--- a/crates/notchwalk_relay/src/peer_link.rs
+++ b/crates/notchwalk_relay/src/peer_link.rs
@@ -1,9 +1,9 @@
 //! Messages between peers: liveness, readiness, work in progress on the servers, and
 //! notices of servers.
 //!
-//! Messages are CBOR datagrams. Each carries complete facts rather than differences, so
-//! a lost one only costs time and the newest always supersedes older ones; a stream
-//! would deliver stale facts late after a loss.
+//! Messages are CBOR datagrams. Each carries complete state rather than differences, so
+//! that the newest message supersedes older ones and the next makes up for a lost one.
+//! A stream would deliver outdated state late after a loss.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -20,14 +20,14 @@
     shell::{Shell, Stopping},
 };
 
-/// Every this many heartbeats, one carries all work in progress.
-const FULL_UPDATE_HEARTBEATS: u32 = 4;
+/// One in this many heartbeats carries all work in progress.
+const HEARTBEATS_PER_FULL_UPDATE: u32 = 4;
 /// Maximum number of work items per datagram, so that it fits one packet.
 const MAX_WORK_PER_DATAGRAM: usize = 60;
 /// Maximum number of suspect updates per datagram.
 const MAX_SUSPECTS_PER_DATAGRAM: usize = 12;
-/// Maximum number of draining servers per datagram. Rollouts drain a few at a time; the
-/// rest is learned from the servers' own responses.
+/// Maximum number of draining servers per datagram. Rollouts drain a few at a time;
+/// nodes detect any others by the servers' own responses.
 const MAX_DRAINING_PER_DATAGRAM: usize = 64;
 /// Maximum number of servers with rate limits per datagram.
 const MAX_LIMITS_PER_DATAGRAM: usize = 48;
@@ -40,7 +40,7 @@
     /// The sender's boot number.
     boot: u64,
     /// The sender's presence record, in heartbeats.
-    from: Option<PresenceRecord>,
+    record: Option<PresenceRecord>,
     /// Whether the sender accepts requests.
     ready: bool,
     /// Whether the store responds to the sender.
@@ -49,17 +49,17 @@
     config_version: u64,
     /// The newest change of the server table that the sender saw.
     newest_server_change: StoreVersion,
-    /// The servers whose work in progress is listed.
+    /// The short ids of the servers that `work` covers.
     servers: Vec<u32>,
-    /// The sender's work in progress on those servers.
+    /// The sender's work in progress on `servers`.
     work: Vec<PeerWork>,
-    /// Suspected contents.
+    /// Updates on suspected request contents.
     #[serde(default)]
     suspects: Vec<QuarantineUpdate>,
     /// Incarnations of servers that announced to the sender that they are draining.
     #[serde(default)]
     draining: Vec<u32>,
-    /// Servers with rate limits, and what the sender sends to them.
+    /// Updates on servers with rate limits: the limits, and the sender's use of them.
     #[serde(default)]
     limits: Vec<LimitUpdate>,
 }
@@ -67,7 +67,7 @@
 fn message(shell: &Shell, servers: Vec<u32>, work: Vec<PeerWork>) -> PeerMessage {
     PeerMessage {
         boot: shell.boot,
-        from: None,
+        record: None,
         ready: shell.is_ready(),
         store_up: shell.store_up.get(),
         config_version: shell.router.borrow().version(),
@@ -101,7 +101,7 @@
 }
 
 /// Appends suspect updates, in as many messages as necessary.
-fn with_suspects(
+fn add_suspects(
     shell: &Shell,
     mut messages: Vec<PeerMessage>,
     suspects: &[QuarantineUpdate],
@@ -139,7 +139,7 @@
         let (servers, work) = shell.router.borrow_mut().take_changed_work(now);
         let suspects = shell.router.borrow_mut().take_quarantine_updates();
         if shell.epoch_to_publish.take() {
-            // The message carries the version of the store.
+            // Every message carries the epoch, in its store version.
             let group = shell.peers.borrow().group_peers();
             let outgoing = message(&shell, Vec::new(), Vec::new());
             send(&socket, &group, vec![outgoing]).await;
@@ -154,20 +154,21 @@
         let limits = shell.router.borrow_mut().take_limit_updates(now);
         if !servers.is_empty() || !limits.is_empty() {
             let group = shell.peers.borrow().group_peers();
-            let outgoing = with_limits(&shell, messages(&shell, servers, work), limits);
+            let outgoing = add_limits(&shell, messages(&shell, servers, work), limits);
             send(&socket, &group, outgoing).await;
         }
         sync_new_peers(&shell, &socket).await;
         if !suspects.is_empty() {
             // Any node may receive such a request.
             let all = shell.peers.borrow().all_peers();
-            send(&socket, &all, with_suspects(&shell, Vec::new(), &suspects)).await;
+            send(&socket, &all, add_suspects(&shell, Vec::new(), &suspects)).await;
         }
     }
 }
 
-/// Adds servers with rate limits, to the first message as far as they fit.
-fn with_limits(
+/// Adds limit updates to the first message; those that don't fit go into further
+/// messages.
+fn add_limits(
     shell: &Shell,
     mut messages: Vec<PeerMessage>,
     mut limits: Vec<LimitUpdate>,
@@ -203,8 +204,8 @@
 ) -> Vec<PeerMessage> {
     let mut outgoing = messages(shell, servers, work);
     if let Some(first) = outgoing.first_mut() {
-        first.from = Some(shell.presence_record());
-        // Repeated since datagrams may be lost and nodes may have started since.
+        first.record = Some(shell.presence_record());
+        // Repeated, since datagrams may be lost and nodes may have started meanwhile.
         let router = shell.router.borrow();
         first.draining = router
             .fleet()
@@ -221,25 +222,25 @@
     let mut beat = 0u32;
     loop {
         let now = shell.now();
-        let (servers, work) = match beat % FULL_UPDATE_HEARTBEATS {
+        let (servers, work) = match beat % HEARTBEATS_PER_FULL_UPDATE {
             0 => shell.router.borrow().all_own_work(now),
             _ => (Vec::new(), Vec::new()),
         };
         let outgoing = heartbeat_messages(&shell, servers, work, LimitScope::Direct);
-        let whole = beat % FULL_UPDATE_HEARTBEATS == 0;
+        let is_full = beat % HEARTBEATS_PER_FULL_UPDATE == 0;
         let suspects = shell
             .router
             .borrow()
             .quarantine()
-            .updates_to_rebroadcast(whole, now);
+            .updates_to_rebroadcast(is_full, now);
         let to = shell.peers.borrow_mut().next_heartbeat_targets();
-        send(&socket, &to, with_suspects(&shell, outgoing, &suspects)).await;
+        send(&socket, &to, add_suspects(&shell, outgoing, &suspects)).await;
         shell.peers.borrow_mut().repeat_sync();
         sync_new_peers(&shell, &socket).await;
         beat = beat.wrapping_add(1);
         expire_peers(&shell);
-        let pause = shell.peers.borrow().heartbeat_interval();
-        monoio::time::sleep(pause).await;
+        let interval = shell.peers.borrow().heartbeat_interval();
+        monoio::time::sleep(interval).await;
     }
 }
 
@@ -247,7 +248,7 @@
 pub(crate) async fn publish_stopping(shell: &Shell, socket: &UdpSocket) {
     debug_assert!(shell.stopping.get() != Stopping::No);
     let mut outgoing = message(shell, Vec::new(), Vec::new());
-    outgoing.from = Some(shell.presence_record());
+    outgoing.record = Some(shell.presence_record());
     let all = shell.peers.borrow().all_peers();
     send(socket, &all, vec![outgoing]).await;
 }
@@ -266,7 +267,7 @@
         }
         shell.step(Event::PeerUnreachable { peer: peer.number });
     }
-    let alive = shell.peers.borrow().alive(now);
+    let alive = shell.peers.borrow().alive_count(now);
     shell.metrics.peers_alive.set(alive.into());
     update_node_count(shell);
 }
@@ -287,14 +288,14 @@
 
 /// Receives messages from peers forever.
 pub(crate) async fn receive_messages(shell: Rc<Shell>, socket: Rc<UdpSocket>) {
-    const PAUSE: Duration = Duration::from_millis(50);
+    const RETRY_DELAY: Duration = Duration::from_millis(50);
     let mut buf = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let (received, returned) = socket.recv_from(buf).await;
         buf = returned;
         let Ok((n, from)) = received else {
-            // A closed port at a peer is reported here.
-            monoio::time::sleep(PAUSE).await;
+            // The error may be that of an earlier datagram to a closed port of a peer.
+            monoio::time::sleep(RETRY_DELAY).await;
             continue;
         };
         match ciborium::from_reader::<PeerMessage, _>(&buf[..n]) {
@@ -320,7 +321,7 @@
     let (boot, now) = (message.boot, shell.now());
     let update = {
         let mut peers = shell.peers.borrow_mut();
-        peers.receive(from, boot, message.from, state, now)
+        peers.receive(from, boot, message.record, state, now)
     };
     let Some(update) = update else {
         return;
@@ -330,7 +331,7 @@
         shell.peers.borrow_mut().add_new_peer(from);
         shell.publish_wake.notify();
     }
-    if let Some(name) = update.appeared {
+    if let Some(name) = update.new_in_group {
         let facts = format!("entry={name} boot={boot}");
         LogEvent::new(LogEventKind::PeerReachable, facts).emit();
     }
--- a/crates/notchwalk_relay/src/peers.rs
+++ b/crates/notchwalk_relay/src/peers.rs
@@ -22,10 +22,10 @@
 const MAX_INTERVAL_FACTOR: f64 = 4.0;
 /// Missed heartbeats after which a peer counts as unreachable and is omitted from the
 /// directory.
-const MISSED_UNTIL_UNREACHABLE: u32 = 4;
+const MISSED_HEARTBEATS_UNTIL_UNREACHABLE: u32 = 4;
 /// Missed heartbeats after which a peer expires: its work is discarded and it no longer
 /// counts as alive.
-const MISSED_UNTIL_EXPIRY: u32 = 6;
+const MISSED_HEARTBEATS_UNTIL_EXPIRY: u32 = 6;
 /// Minimum time until a peer expires; exceeds that of a process restart.
 const MIN_TIME_TO_EXPIRY: Duration = Duration::from_secs(3);
 /// How long an unreachable node still counts towards shared limits: longer than network
@@ -67,7 +67,7 @@
     /// Whether it is in this node's group.
     pub in_same_group: bool,
     /// The peer's name, if it is new or restarted and in this node's group.
-    pub appeared: Option<String>,
+    pub new_in_group: Option<String>,
     /// Whether it restarted, which invalidates its earlier updates.
     pub restarted: bool,
 }
@@ -86,7 +86,7 @@
     number: u32,
     record: PresenceRecord,
     last_seen: Option<Instant>,
-    /// When the last message arrived, or else when the record was found.
+    /// When the last message arrived, or else when the presence record was found.
     last_known: Instant,
     state: PeerState,
 }
@@ -163,12 +163,14 @@
         order.push((node_order(&self.own_name), None));
         order.sort();
         let nodes = order.len();
-        let place = order.iter().position(|(_, addr)| addr.is_none());
-        let group = Group::for_node(place.unwrap_or(0), nodes, self.largest_service_size);
+        let own_position = order.iter().position(|(_, addr)| addr.is_none());
+        let group = Group::for_node(own_position.unwrap_or(0), nodes, self.largest_service_size);
         let (mut group_peers, mut other_peers) = (HashSet::new(), Vec::new());
-        for (place, (_, addr)) in order.into_iter().enumerate() {
+        for (position, (_, addr)) in order.into_iter().enumerate() {
             match addr {
-                Some(addr) if Group::for_node(place, nodes, self.largest_service_size) == group => {
+                Some(addr)
+                    if Group::for_node(position, nodes, self.largest_service_size) == group =>
+                {
                     group_peers.insert(addr);
                 }
                 Some(addr) => other_peers.push(addr),
@@ -193,7 +195,7 @@
 
     /// Returns the time without messages after which a peer expires.
     pub fn time_to_expiry(&self) -> Duration {
-        (self.heartbeat_interval() * MISSED_UNTIL_EXPIRY).max(MIN_TIME_TO_EXPIRY)
+        (self.heartbeat_interval() * MISSED_HEARTBEATS_UNTIL_EXPIRY).max(MIN_TIME_TO_EXPIRY)
     }
 
     fn seen_since(&self, since: Instant) -> impl Iterator<Item = &Peer> {
@@ -203,17 +205,17 @@
 
     /// Returns the peers with recent messages.
     fn reachable(&self, now: Instant) -> impl Iterator<Item = &Peer> {
-        self.seen_since(now.before(self.heartbeat_interval() * MISSED_UNTIL_UNREACHABLE))
+        self.seen_since(now.before(self.heartbeat_interval() * MISSED_HEARTBEATS_UNTIL_UNREACHABLE))
     }
 
     /// Returns the caller addresses of reachable peers that accept requests.
-    pub fn ready(&self, now: Instant) -> Vec<SocketAddr> {
+    pub fn ready_addrs(&self, now: Instant) -> Vec<SocketAddr> {
         let ready = self.reachable(now).filter(|peer| peer.state.ready);
         ready.map(|peer| peer.record.caller).collect()
     }
 
     /// Returns the number of peers that have not expired.
-    pub fn alive(&self, now: Instant) -> u32 {
+    pub fn alive_count(&self, now: Instant) -> u32 {
         self.seen_since(now.before(self.time_to_expiry())).count() as u32
     }
 
@@ -246,8 +248,8 @@
         versions.max().unwrap_or_default()
     }
 
-    /// Returns whether this node should follow the store's changes itself: it is among
-    /// the first of its group by name to which the store responds.
+    /// Returns whether this node should follow the store's changes itself: it does so if
+    /// it is, by name, among the first of its group to which the store responds.
     pub fn is_follower(&self, now: Instant) -> bool {
         let own_name = self.own_name.as_str();
         let in_group = |peer: &&Peer| self.group_peers.contains(&peer.record.peer);
@@ -287,7 +289,7 @@
     }
 
     /// Applies a message to the peer table. Returns `None` for messages of a former
-    /// boot and of unknown senders; the next heartbeat introduces those.
+    /// boot, and of unknown senders, which the next heartbeat introduces.
     pub fn receive(
         &mut self,
         from: SocketAddr,
@@ -304,7 +306,7 @@
             return None;
         }
         let restarted = boot > peer.record.boot;
-        let appeared = peer.last_seen.is_none() || restarted;
+        let is_new = peer.last_seen.is_none() || restarted;
         peer.record.boot = boot;
         if let Some(record) = record {
             peer.record = record;
@@ -316,9 +318,9 @@
         Some(PeerUpdate {
             number: peer.number,
             name: peer.record.name.clone(),
-            is_new: appeared,
+            is_new,
             in_same_group,
-            appeared: (appeared && in_same_group).then(|| peer.record.name.clone()),
+            new_in_group: (is_new && in_same_group).then(|| peer.record.name.clone()),
             restarted,
         })
     }
@@ -344,20 +346,20 @@
         self.pending_sync.extend(&self.group_peers);
     }
 
-    /// Takes the peers to send a state sync to.
+    /// Removes and returns the peers to send a state sync to.
     pub fn take_pending_sync(&mut self) -> Vec<SocketAddr> {
         std::mem::take(&mut self.pending_sync)
     }
 
-    /// Returns who shares the rate limits of servers: the registered nodes of this
-    /// group, and how many of them are reachable. Unreachable ones may still send.
+    /// Returns how the rate limits of servers are shared: among the registered nodes of
+    /// this group, with the number of reachable ones. Unreachable ones may still send.
     pub fn limit_sharing(&self, now: Instant) -> LimitSharing {
         let in_group = |peer: &&Peer| self.group_peers.contains(&peer.record.peer);
         let reachable = self.reachable(now).filter(in_group).count() as u32 + 1;
         LimitSharing::new(&self.own_name, self.group_size() as u32, reachable)
     }
 
-    /// Takes the peers that expired since the last call.
+    /// Returns the peers that expired since the last call.
     pub fn take_expired(&mut self, now: Instant) -> Vec<ExpiredPeer> {
         let since = now.before(self.time_to_expiry());
         let mut expired = Vec::new();
--- a/crates/notchwalk_relay/src/presence.rs
+++ b/crates/notchwalk_relay/src/presence.rs
@@ -16,14 +16,14 @@
 };
 
 /// Writes this node's record, retrying until it succeeds, and discovers peers
-/// meanwhile. Of two nodes that start together, one needs to find the other; heartbeats
-/// do the rest.
+/// meanwhile. If two nodes start together, it suffices that one finds the other's
+/// record: its heartbeat introduces it.
 pub(crate) async fn announce(shell: Rc<Shell>) {
     // Concurrent with the write, so that a slow store does not delay the discovery of
     // peers.
     monoio::spawn(discover_peers(shell.clone()));
     write_record(&shell).await;
-    // Of two nodes that start together, the later writer finds the earlier one.
+    // If two nodes start together, the later writer finds the record of the earlier.
     if let Err(e) = read_records(&shell).await {
         log::debug!("can't read the presence records: {e}");
     }
@@ -82,8 +82,8 @@
                 let is_first = shell.peers.borrow_mut().mark_records_read();
                 peer_link::update_node_count(&shell);
                 if is_first {
-                    // The peers respond with known server notices before callers
-                    // arrive.
+                    // The peers respond with the known server notices, before callers
+                    // send requests to this node.
                     shell.peers.borrow_mut().sync_group();
                     shell.publish_wake.notify();
                 }
@@ -115,13 +115,13 @@
     Ok(keys)
 }
 
-async fn for_each_row(shell: &Shell, mut take: impl FnMut(&Row)) -> Result<(), PlatformError> {
+async fn for_each_row(shell: &Shell, mut visit: impl FnMut(&Row)) -> Result<(), PlatformError> {
     let mut from = String::new();
     loop {
         let page = shell.store.read(PRESENCE_TABLE, &from).await?;
         shell.observe_store_clock(&page);
         shell.observe_store_version(page.version);
-        page.rows.iter().for_each(&mut take);
+        page.rows.iter().for_each(&mut visit);
         let Some(last) = page.rows.last().filter(|_| page.more) else {
             return Ok(());
         };
--- a/crates/notchwalk_relay/src/presence_record.rs
+++ b/crates/notchwalk_relay/src/presence_record.rs
@@ -12,7 +12,7 @@
 pub(crate) struct PresenceRecord {
     /// The name of the VM.
     pub name: String,
-    /// Boot number; rises with each start on that VM.
+    /// Boot number; increases with each start of the process on that VM.
     pub boot: u64,
     /// Address for messages from peers.
     pub peer: SocketAddr,
--- a/crates/notchwalk_relay/src/quarantine.rs
+++ b/crates/notchwalk_relay/src/quarantine.rs
@@ -2,8 +2,8 @@
 //!
 //! Quarantines are persisted in the platform's store: if all nodes restart together,
 //! each such request would otherwise crash further servers before it is quarantined
-//! again. They share the table of presence records, which each node reads when it
-//! starts.
+//! again. Quarantines are stored in the table of presence records, which each node
+//! reads when it starts.
 
 use std::{collections::HashSet, io::ErrorKind, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -31,7 +31,7 @@
 struct QuarantineRow {
     /// When it ends, by the store's clock, in milliseconds since its origin.
     until_ms: u64,
-    /// How often the content was quarantined.
+    /// How often the content was quarantined so far.
     times: u32,
 }
 
@@ -119,7 +119,8 @@
     LogEvent::new(LogEventKind::RequestQuarantined, facts).emit();
 }
 
-/// Returns a server's instance id, or the short id of a removed one.
+/// Returns the instance id of the server with this short id; the short id itself if
+/// the server was removed.
 fn server_name(fleet: &Fleet, tag: u32) -> String {
     let known = fleet.by_tag(tag).and_then(|key| fleet.get(key));
     known.map_or_else(
@@ -173,7 +174,8 @@
     }
 }
 
-/// Writes a quarantine's row; returns whether no retry is needed.
+/// Writes a quarantine's row, or removes it if `row` is `None`; returns whether no retry
+/// is needed.
 async fn write(shell: &Shell, content: Fingerprint, row: Option<&QuarantineRow>) -> bool {
     let mut value = None;
     if let Some(row) = row {
@@ -220,13 +222,13 @@
             quarantine_count: times,
         });
     }
-    let ended = Duration::from_millis(store_ms.saturating_sub(stored.until_ms));
-    if ended >= RETENTION_AFTER_END {
+    let ended_for = Duration::from_millis(store_ms.saturating_sub(stored.until_ms));
+    if ended_for >= RETENTION_AFTER_END {
         monoio::spawn(remove(shell.clone(), content));
     }
 }
 
-/// Returns the state of suspects for the state dump.
+/// Returns the suspected contents, for the state dump.
 pub(crate) fn state(shell: &Shell) -> Vec<serde_json::Value> {
     let (router, now) = (shell.router.borrow(), shell.now());
     let fleet = router.fleet();
--- a/crates/notchwalk_relay/src/response.rs
+++ b/crates/notchwalk_relay/src/response.rs
@@ -24,26 +24,26 @@
 /// The decoded head of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResponseFacts {
-    /// How it is to be treated.
+    /// How the response is to be treated.
     pub kind: ResponseKind,
-    /// The server at fault, if it is not the responding one.
+    /// The address of the server at fault, if not the responding one.
     pub at_fault: Option<SocketAddr>,
     /// The instance id of the responding server, if the response names it.
     pub instance: Option<String>,
     /// Whether the server announces that it is draining.
     pub draining: bool,
-    /// How long the server asks not to be sent requests.
+    /// The backoff that the server requests.
     pub retry_after: RetryAfter,
     /// The request rate that the server announces as its limit.
     pub limit: AnnouncedLimit,
 }
 
-/// The back-off time in a response that rejects a request.
+/// The backoff that a response requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RetryAfter {
     /// The header is absent.
     Absent,
-    /// The backoff that the server requests.
+    /// How long to back off.
     After(Duration),
     /// The header does not hold a valid duration.
     Invalid(String),
--- a/crates/notchwalk_relay/src/server_notices.rs
+++ b/crates/notchwalk_relay/src/server_notices.rs
@@ -7,7 +7,7 @@
 
 use crate::{shell::Shell, AnnouncedLimit, ResponseFacts, ResponseKind, RetryAfter};
 
-/// The longest back-off time that is accepted: a longer one is likely in another unit,
+/// The longest backoff that is accepted: a longer one is likely in another unit,
 /// and would exclude the server for too long.
 const MAX_BACKOFF: Duration = Duration::from_secs(3_600);
 
@@ -15,7 +15,7 @@
 /// one.
 const INVALID_NOTICE_LOG_INTERVAL: Duration = Duration::from_secs(60);
 
-/// The origin of a response, as known to the sender of the request.
+/// The origin of a response, from the view of the sender of the request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ResponseOrigin {
     /// The server that the request was for, if registered.
@@ -26,9 +26,8 @@
     pub sent_at: Instant,
 }
 
-/// Applies the notices in the head of any response: to a request, to an order, also to
-/// a different request on the same connection. Called before anything of the response
-/// is relayed.
+/// Applies the notices in the head of a response, whether to a request, to an order or
+/// to another request on the same connection. Called before the response is relayed.
 pub(crate) fn apply_notices(shell: &Rc<Shell>, origin: ResponseOrigin, facts: &ResponseFacts) {
     let Some(server) = notice_source(shell, origin, facts) else {
         return;
@@ -68,8 +67,9 @@
     shell.step(Event::NoticeReceived { server, notice });
 }
 
-/// Returns the server that a response speaks for: the one it names, else the one that
-/// the request was for, unless the address now belongs to another one.
+/// Returns the server that announces the notices of a response: the server that the
+/// response names, or else the server that the request was for, unless its address now
+/// belongs to another one.
 fn notice_source(
     shell: &Shell,
     origin: ResponseOrigin,
@@ -115,9 +115,9 @@
     match retry_after {
         RetryAfter::Absent => None,
         RetryAfter::After(time) if *time > MAX_BACKOFF => {
-            let reason = format!("{} s exceed the maximum", time.as_secs());
-            let taken = format!("taken_ms={}", MAX_BACKOFF.as_millis());
-            log_invalid(shell, server, &reason, &taken);
+            let reason = format!("{} s exceeds the maximum", time.as_secs());
+            let applied = format!("taken_ms={}", MAX_BACKOFF.as_millis());
+            log_invalid(shell, server, &reason, &applied);
             Some(MAX_BACKOFF)
         }
         RetryAfter::After(time) => Some(*time).filter(|time| !time.is_zero()),
--- a/crates/notchwalk_relay/src/server_watch.rs
+++ b/crates/notchwalk_relay/src/server_watch.rs
@@ -23,7 +23,8 @@
     shell: Rc<Shell>,
     /// Servers whose registrations lapsed during an outage, and when they are removed.
     missing: HashMap<String, Instant>,
-    /// Until when a missing registration may have lapsed due to an outage.
+    /// End of the period in which a missing registration may have lapsed due to an
+    /// outage or a restore of the store.
     grace_until: Instant,
     /// Whether the table is read for the first time since the store was restored from a
     /// snapshot: its rows may be of former incarnations.
@@ -49,9 +50,9 @@
         }
     }
 
-    /// Decodes a registration. One that lacks the start time that an earlier one had is
-    /// rejected, since it has another writer.
-    fn record(&self, row: &Row) -> Option<ServerRecord> {
+    /// Decodes a registration. Rejects a registration without a start time if an earlier
+    /// one of the server had one: the row then has a different writer.
+    fn decode_record(&self, row: &Row) -> Option<ServerRecord> {
         let record = self.shell.dialect.server(row);
         let known = self.known.get(&row.key);
         let had_start_time = known.is_some_and(|known| known.record.started_ms.is_some());
@@ -110,8 +111,8 @@
         self.reading_snapshot && started_ms > record.started_ms
     }
 
-    /// Closes idle connections to the former incarnation of a server; its end may not
-    /// have closed them.
+    /// Closes idle connections to the former incarnation of a server, which may have
+    /// ended without closing them.
     fn close_idle_connections(&self, record: &ServerRecord) {
         let Some(known) = self.known.get(&record.instance) else {
             return;
@@ -205,11 +206,11 @@
                 self.handle_lapsed(&row.key);
                 continue;
             }
-            match self.record(&row) {
-                // The server writes its current registration again.
+            match self.decode_record(&row) {
+                // The current incarnation will register again.
                 Some(record) if self.is_former_incarnation(&record) => self.handle_lapsed(&row.key),
                 Some(record) => self.upsert(record, row.version),
-                // An invalid row names no usable server, whatever it held before.
+                // An invalid row is treated as a removed one.
                 None => self.handle_lapsed(&row.key),
             }
         }
@@ -232,8 +233,8 @@
         self.grace_until = self.shell.now().after(RENEWAL_GRACE);
     }
 
-    /// Servers whose registrations are newer than the snapshot register again, with the
-    /// same grace period as after an outage, however short it was.
+    /// Servers whose registrations are newer than the snapshot register again, within
+    /// the same grace period as after an outage.
     fn store_restored(&mut self) {
         self.grace_until = self.shell.now().after(RENEWAL_GRACE);
         self.reading_snapshot = true;
--- a/crates/notchwalk_relay/src/shell.rs
+++ b/crates/notchwalk_relay/src/shell.rs
@@ -42,7 +42,7 @@
 pub(crate) struct Shell {
     pub settings: RelaySettings,
     pub clock: Clock,
-    /// Boot number; rises with each start on this VM.
+    /// Boot number; increases with each start of the process on this VM.
     pub boot: u64,
     pub router: RefCell<Router>,
     pub dialect: Rc<dyn Dialect>,
@@ -56,9 +56,9 @@
     pub store_up: std::cell::Cell<bool>,
     /// The newest change of the server table that was seen; published to peers.
     pub newest_server_change: std::cell::Cell<StoreVersion>,
-    /// The store version up to which the server table is known. Compared with the
-    /// newest change that peers saw: the removal of a row before the whole table was
-    /// read is never seen as a change.
+    /// The store version up to which the server table is known. This one is compared
+    /// with the newest change that peers saw, since a row removed before this node read
+    /// the whole table never appears here as a change.
     pub server_table_version: std::cell::Cell<StoreVersion>,
     /// When the server table was last known to be current.
     pub servers_refreshed_at: std::cell::Cell<Instant>,
@@ -131,8 +131,8 @@
     }
 
     /// Checks whether the machine was suspended. If so, idle connections are closed:
-    /// the other ends may have closed them unnoticed, and a request that must run at
-    /// most once would be lost on one.
+    /// the other ends may have closed them meanwhile, and a request that must run at
+    /// most once can't be retried after it failed on one.
     pub fn check_suspension(&self) {
         if self.suspension.check(&self.clock) {
             self.client.forget_idle();
@@ -154,13 +154,13 @@
         self.clock.now()
     }
 
-    /// Returns the newest epoch of the store that was seen.
+    /// Returns the newest epoch of the store that this node has seen; 0 if none.
     pub fn store_epoch(&self) -> u64 {
         self.store_epoch.get().unwrap_or(0)
     }
 
     /// Returns the newest epoch of the store that this node or a peer has seen. A
-    /// pending poll may not notice a restore until its wait ends.
+    /// peer may be first: a pending poll may detect a restore only when its wait ends.
     pub fn newest_epoch(&self) -> u64 {
         let peers = self.peers.borrow().newest_server_change().era;
         self.store_epoch().max(peers)
@@ -172,14 +172,14 @@
         self.store_restores.get()
     }
 
-    /// Updates the version of the newest change of the server table.
+    /// Records a version of the server table, if newer than those seen before.
     pub fn observe_server_change(&self, version: StoreVersion) {
         let before = self.newest_server_change.get();
         self.newest_server_change.set(before.max(version));
     }
 
-    /// Observes the version of a response of the store and detects a restore from a
-    /// snapshot by its epoch.
+    /// Records the epoch of a response of the store; a newer one means that the store
+    /// was restored from a snapshot.
     pub fn observe_store_version(&self, version: StoreVersion) {
         let former = self.store_epoch.get();
         if former.is_some_and(|former| version.era <= former) {
@@ -198,7 +198,7 @@
         LogEvent::new(LogEventKind::StoreRestored, facts).emit();
     }
 
-    /// Observes the store's clock.
+    /// Records the time of the store's clock, if the page has it.
     pub fn observe_store_clock(&self, page: &RowPage) {
         if let Some(ms) = page.now_ms {
             self.store_clock.set(Some((self.now(), ms)));
@@ -211,7 +211,7 @@
         Some(ms + self.now().since(at).as_millis() as u64)
     }
 
-    /// Waits until a time by the clock, which includes time suspended.
+    /// Waits until `at`. The clock advances also while the machine is suspended.
     pub async fn sleep_until(&self, at: Instant) {
         loop {
             let left = at.since(self.now());
--- a/crates/notchwalk_relay/src/store_repair.rs
+++ b/crates/notchwalk_relay/src/store_repair.rs
@@ -10,23 +10,23 @@
 
 use crate::{presence, quarantine, shell::Shell};
 
-/// How often the epoch is compared.
-const EPOCH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// How often to check whether the store was restored.
+const RESTORE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Spread of the presence record writes per live node, which bounds the total write
 /// rate.
 const RECORD_SPREAD_PER_NODE: Duration = Duration::from_millis(3);
-/// Delay per rank between nodes that write quarantines: all hold the same ones, so
-/// later nodes find them already written. Longer than a write takes while the store is
-/// busy.
-const DELAY_PER_RANK: Duration = Duration::from_millis(400);
-/// Maximum of that delay.
-const MAX_DELAY: Duration = Duration::from_secs(8);
+/// Delay between successive nodes, by rank, that write quarantines: all hold the same
+/// ones, so later nodes find them already written. Longer than a write takes while the
+/// store is busy.
+const QUARANTINE_DELAY_PER_RANK: Duration = Duration::from_millis(400);
+/// Maximum delay of the quarantine writes of a node.
+const MAX_QUARANTINE_DELAY: Duration = Duration::from_secs(8);
 
 /// Rewrites lost rows after each restore, forever.
 pub(crate) async fn rewrite_after_restores(shell: Rc<Shell>) {
     let mut restores = shell.store_restores();
     loop {
-        monoio::time::sleep(EPOCH_CHECK_INTERVAL).await;
+        monoio::time::sleep(RESTORE_CHECK_INTERVAL).await;
         if restores == shell.store_restores() {
             continue;
         }
@@ -36,7 +36,7 @@
 }
 
 async fn rewrite_all(shell: &Rc<Shell>) {
-    let alive = shell.peers.borrow().alive(shell.now());
+    let alive = shell.peers.borrow().alive_count(shell.now());
     let spread = RECORD_SPREAD_PER_NODE * (alive + 1);
     monoio::time::sleep(spread.mul_f64(rand::rng().random_range(0.0..1.0))).await;
     presence::write_record(shell).await;
@@ -57,7 +57,7 @@
         return 0;
     }
     let rank = shell.peers.borrow().rank(shell.now());
-    monoio::time::sleep((DELAY_PER_RANK * rank).min(MAX_DELAY)).await;
+    monoio::time::sleep((QUARANTINE_DELAY_PER_RANK * rank).min(MAX_QUARANTINE_DELAY)).await;
     let mut backoff = Backoff::new(Duration::from_millis(200));
     let stored: HashSet<String> = loop {
         match presence::keys(shell).await {
--- a/crates/notchwalk_relay/src/stream_events.rs
+++ b/crates/notchwalk_relay/src/stream_events.rs
@@ -1,11 +1,11 @@
 //! Splits a stream of server-sent events at event boundaries, so that only complete
-//! events are delivered and a stream can be resumed after the last one.
+//! events are delivered and a stream can be resumed after the last of them.
 
 use bytes::{Bytes, BytesMut};
 use memchr::memmem;
 
-/// Maximum buffered bytes of an incomplete event; larger ones are passed through as
-/// they arrive, to bound memory.
+/// Maximum buffered bytes of an incomplete event; the bytes of a larger one are passed
+/// through as they arrive, to bound memory.
 const MAX_EVENT_BYTES: usize = 256 * 1024;
 
 /// Buffers bytes and returns complete events.
@@ -50,7 +50,7 @@
         self.buf.clear();
     }
 
-    /// Takes the bytes after the last complete event.
+    /// Removes and returns the bytes after the last complete event.
     pub fn take_rest(&mut self) -> Bytes {
         self.buf.split().freeze()
     }
--- a/crates/notchwalk_relay/src/table_watch.rs
+++ b/crates/notchwalk_relay/src/table_watch.rs
@@ -11,11 +11,11 @@
 
 use crate::shell::Shell;
 
-/// How long a poll for changes waits at the store. Bounds how long a silently broken
-/// connection goes unnoticed if no peer has newer data: changes must be known within
-/// three seconds of the break.
+/// How long the store holds a poll until it responds without changes. Bounds how long
+/// a silently broken connection goes unnoticed if no peer has newer data: changes must
+/// be known within three seconds of the break.
 pub(crate) const POLL_WAIT: Duration = Duration::from_millis(1_700);
-/// How long the pages of an interrupted read are retained: longer than the pauses
+/// How long the pages of an interrupted read are retained: longer than the backoff
 /// between attempts, short enough that the changes since then are still available.
 const PARTIAL_READ_RETENTION: Duration = Duration::from_secs(3);
 
@@ -28,8 +28,8 @@
     /// Returns the name of the table.
     fn table(&self) -> &str;
 
-    /// Returns how long a poll waits for a change. A lost response is noticed only
-    /// after that.
+    /// Returns how long a poll waits for a change. The loss of a response may not be
+    /// noticed before that.
     fn poll_wait(&self) -> Duration {
         POLL_WAIT
     }
@@ -52,12 +52,13 @@
         false
     }
 
-    /// Returns whether something is pending that needs further polls.
+    /// Returns whether the reader waits for lapsed rows to reappear; this node then polls
+    /// even if it is not a follower.
     fn has_pending(&self) -> bool {
         false
     }
 
-    /// Called when the table is known as of this version of the store.
+    /// Called when the contents are current as of this version of the store.
     fn set_current(&mut self, _version: StoreVersion) {}
 
     /// Called when the store was restored from a snapshot, before
@@ -72,6 +73,7 @@
 struct PendingPoll {
     /// The version after which changes were requested; `None` for the whole table.
     after: Option<StoreVersion>,
+    /// When the poll was sent.
     at: Instant,
     /// Bytes received from the store before the poll.
     received_before: u64,
@@ -119,7 +121,7 @@
     polled_at: Instant,
     /// An incomplete read of the whole table.
     partial: Option<PartialRead>,
-    /// The number of resumes when the table was last known.
+    /// The resume count of the machine when the last poll started.
     resume_count: u64,
 }
 
@@ -147,10 +149,10 @@
             let first = read.first_version;
             let is_last = !page.more || page.rows.is_empty();
             read.rows.extend(page.rows);
-            let taken = self.cursor.take_whole(first, page.version);
-            if taken != Taken::Rows {
+            let outcome = self.cursor.take_whole(first, page.version);
+            if outcome != Taken::Rows {
                 self.partial = None;
-                return self.handle_unusable(taken).await;
+                return self.handle_unusable(outcome).await;
             }
             if is_last {
                 break;
@@ -174,21 +176,21 @@
 
     /// Handles a response whose rows can't be used. After a restore all nodes read the
     /// whole table, at random delays to spread the load.
-    async fn handle_unusable(&mut self, taken: Taken) -> Result<bool, FeedError> {
+    async fn handle_unusable(&mut self, outcome: Taken) -> Result<bool, FeedError> {
         /// Delay per live node.
         const SPREAD_PER_NODE: Duration = Duration::from_millis(3);
-        if taken == Taken::FormerEra {
-            let reason = "the response is of a former epoch of the store".to_owned();
+        if outcome == Taken::FormerEra {
+            let reason = "the response is from a former epoch of the store".to_owned();
             return Err(PlatformError::NoAnswer(reason).into());
         }
-        let alive = self.shell.peers.borrow().alive(self.shell.now());
+        let alive = self.shell.peers.borrow().alive_count(self.shell.now());
         let spread = SPREAD_PER_NODE * (alive + 1);
         monoio::time::sleep(spread.mul_f64(rand::rng().random_range(0.0..1.0))).await;
         Ok(false)
     }
 
-    /// Reads a page; `None` if a peer is found to be ahead meanwhile. If one is ahead
-    /// from the start, the page takes all the time that it needs.
+    /// Reads a page; `None` if a peer sees a newer version while the read is pending. If
+    /// a peer had seen one before, the read is not abandoned.
     async fn read_page(&self, from: &str) -> Result<Option<RowPage>, FeedError> {
         let poll = PendingPoll::now(&self.shell, None);
         let was_behind = self.reader.is_behind();
@@ -205,10 +207,10 @@
 
     /// Polls for changes; returns whether the store responded.
     ///
-    /// An unanswered poll is followed by a read of the whole table. The pending changes
-    /// grow without bound, and could outgrow what a slow link transfers in the time
-    /// given to each attempt; the whole table is bounded, and its response does not
-    /// wait for a change.
+    /// An abandoned poll is followed by a read of the whole table. The pending changes
+    /// are unbounded, and may become larger than what a slow link transfers before the
+    /// poll is abandoned; the table is bounded, and its response does not wait for a
+    /// change.
     async fn read_changes(&mut self, after: StoreVersion) -> Result<bool, FeedError> {
         let poll = PendingPoll::now(&self.shell, Some(after));
         let (table, poll_wait) = (self.reader.table(), self.reader.poll_wait());
@@ -219,9 +221,9 @@
         };
         self.count_poll("answered");
         self.record_response(page.version);
-        let taken = self.cursor.take_changes(after, page.version);
-        if taken != Taken::Rows {
-            return self.handle_unusable(taken).await;
+        let outcome = self.cursor.take_changes(after, page.version);
+        if outcome != Taken::Rows {
+            return self.handle_unusable(outcome).await;
         }
         if !page.rows.is_empty() {
             self.reader.apply_changes(page.rows);
@@ -229,11 +231,12 @@
         Ok(true)
     }
 
-    /// Waits while other nodes follow the store and have seen nothing newer. Does not
-    /// wait after an outage: only its own poll shows that the store is available again.
+    /// Waits while other nodes follow the store and have seen nothing newer. Returns at
+    /// once after an outage: only a poll of this node shows whether it can reach the
+    /// store again.
     async fn wait_for_followers(&self) {
-        /// Delay after the first sign of a change, so that one poll covers closely
-        /// following ones.
+        /// Delay after a peer has seen a change, so that one poll covers changes in quick
+        /// succession.
         const COALESCE_DELAY: Duration = Duration::from_millis(300);
         /// Maximum wait, which bounds how long a missed change goes unnoticed.
         const MAX_WAIT: Duration = Duration::from_secs(30);
@@ -254,19 +257,19 @@
         }
     }
 
-    /// Returns whether the machine was suspended since the table was last known.
+    /// Returns whether the machine was suspended since the last poll started.
     fn was_suspended(&self) -> bool {
         self.shell.resume_count() != self.resume_count
     }
 
     async fn poll_once(&mut self) -> Result<(), FeedError> {
         self.wait_for_followers().await;
-        // The known version is stale, and no message of a peer may have arrived yet.
+        // The known version may be stale, and peers may not have sent newer ones yet.
         if self.was_suspended() {
             self.cursor.forget();
             self.resume_count = self.shell.resume_count();
         }
-        // Several changes may be pending, each replacing the row.
+        // Several changes may be pending; the current row replaces them all.
         if self.reader.is_behind() && self.reader.has_one_row() {
             self.cursor.forget();
         }
@@ -281,8 +284,8 @@
         Ok(())
     }
 
-    /// Records that the store responds, before the reader receives the response: the
-    /// reader needs to know of an outage to keep lapsed rows for a grace period.
+    /// Records that the store responds. Called before the rows are applied, so that rows
+    /// that lapsed during an outage are retained for the grace period.
     fn record_response(&mut self, version: StoreVersion) {
         self.shell.observe_store_version(version);
         self.shell.store_up.set(true);
@@ -297,7 +300,7 @@
             outage.as_millis()
         );
         LogEvent::new(LogEventKind::StoreRecovered, facts).emit();
-        self.set_up(1);
+        self.set_store_up(1);
     }
 
     fn abandon_poll(&self, poll: PendingPoll) {
@@ -333,17 +336,17 @@
             error.to_string()
         );
         LogEvent::new(LogEventKind::StoreUnavailable, facts).emit();
-        self.set_up(0);
+        self.set_store_up(0);
     }
 
-    fn set_up(&self, up: i64) {
+    fn set_store_up(&self, up: i64) {
         let gauge = &self.shell.metrics.store_up;
         gauge.with_label_values(&[self.reader.table()]).set(up);
     }
 }
 
 /// Waits for a response; `None` if a peer has seen a newer version, or if the machine
-/// was suspended meanwhile, since the response is lost then.
+/// was suspended: the response is probably lost then.
 async fn wait_unless_behind<T, E>(
     shell: &Shell,
     reader: &impl TableReader,
@@ -352,11 +355,11 @@
     /// How often the versions of peers are compared.
     const COMPARE_INTERVAL: Duration = Duration::from_millis(200);
     /// Consecutive comparisons that must find a peer ahead, so that a response in
-    /// transit still arrives.
-    const COMPARISONS: u32 = 2;
+    /// transit can still arrive.
+    const REQUIRED_COMPARISONS: u32 = 2;
     let mut response = std::pin::pin!(response);
     let resume_count = shell.resume_count();
-    let mut behind = 0;
+    let mut times_behind = 0;
     loop {
         monoio::select! {
             page = &mut response => return page.map(Some),
@@ -365,14 +368,18 @@
         if shell.resume_count() != resume_count {
             return Ok(None);
         }
-        behind = if reader.is_behind() { behind + 1 } else { 0 };
-        if behind >= COMPARISONS {
+        times_behind = if reader.is_behind() {
+            times_behind + 1
+        } else {
+            0
+        };
+        if times_behind >= REQUIRED_COMPARISONS {
             return Ok(None);
         }
     }
 }
 
-/// Waits until a peer has newly seen a newer version; forever if one has already.
+/// Waits until a peer sees a newer version; forever if one already has at the start.
 async fn wait_until_behind(reader: &impl TableReader) {
     if reader.is_behind() {
         return std::future::pending().await;
@@ -395,7 +402,7 @@
         partial: None,
         resume_count: 0,
     };
-    watch.set_up(1);
+    watch.set_store_up(1);
     loop {
         match watch.poll_once().await {
             Ok(()) => backoff.reset(),
