--- a/crates/notchwalk_quarantine/examples/query_of_death.rs
+++ b/crates/notchwalk_quarantine/examples/query_of_death.rs
@@ -1,5 +1,5 @@
-//! A request that repeatedly crashes its servers is quarantined; one that ran beside it is
-//! not. `cargo run -p notchwalk_quarantine --example query_of_death`
+//! Quarantines a request that repeatedly crashes its servers, but not a request that ran on
+//! the same server once. `cargo run -p notchwalk_quarantine --example query_of_death`
 
 use std::time::Duration;
 
@@ -17,23 +17,26 @@
 }
 
 fn main() {
-    let (crashing, beside) = (content("/review/7"), content("/question/1"));
+    let (crashing, concurrent) = (content("/review/7"), content("/question/1"));
     let mut quarantine = Quarantine::default();
     let mut now = Instant::from_millis(3_600_000);
     for server in 1..=3 {
-        // Both ran on the server when its connections broke. A refused connection confirms
-        // that it ended.
+        // The connections to the server break. A refused connection then confirms that it has
+        // ended.
         quarantine.record_broken_connection(crashing, &[server], 1, false, now);
         if server == 1 {
-            quarantine.record_broken_connection(beside, &[server], 1, false, now);
+            quarantine.record_broken_connection(concurrent, &[server], 1, false, now);
         }
         quarantine.record_server_ended(server, false, now);
         now = now.after(Duration::from_millis(400));
         quarantine.tick(now);
         println!(
-            "after server {server}: {:?}",
+            "verdict on the crashing request after the crash of server {server}: {:?}",
             quarantine.verdict(crashing, now)
         );
     }
-    println!("request beside it: {:?}", quarantine.verdict(beside, now));
+    println!(
+        "verdict on the concurrent request: {:?}",
+        quarantine.verdict(concurrent, now)
+    );
 }
--- a/crates/notchwalk_quarantine/src/fingerprint.rs
+++ b/crates/notchwalk_quarantine/src/fingerprint.rs
@@ -12,14 +12,14 @@
 
 /// Length of a fingerprint, long enough that no caller can construct a request with the
 /// fingerprint of another workspace's request.
-const BYTES: usize = 16;
+const FINGERPRINT_BYTES: usize = 16;
 
 /// Identifies a request's content across nodes (a truncated BLAKE3 hash).
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(from = "u128", into = "u128")]
-pub struct Fingerprint([u8; BYTES]);
+pub struct Fingerprint([u8; FINGERPRINT_BYTES]);
 
 impl fmt::Display for Fingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -43,7 +43,7 @@
     type Err = FingerprintError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let mut bytes = [0; BYTES];
+        let mut bytes = [0; FINGERPRINT_BYTES];
         hex::decode_to_slice(text, &mut bytes).map_err(|_| FingerprintError)?;
         Ok(Self(bytes))
     }
@@ -69,14 +69,14 @@
 impl FingerprintBuilder {
     /// Starts with the head. Each part is prefixed with its length, so that different
     /// heads never produce the same input.
-    pub fn new(content: &RequestHead<'_>) -> Self {
+    pub fn new(head: &RequestHead<'_>) -> Self {
         let mut hasher = blake3::Hasher::new();
-        hasher.update(&[u8::from(content.workspace.is_some())]);
+        hasher.update(&[u8::from(head.workspace.is_some())]);
         let parts = [
-            content.workspace.unwrap_or(""),
-            content.method,
-            content.host,
-            content.target,
+            head.workspace.unwrap_or(""),
+            head.method,
+            head.host,
+            head.target,
         ];
         for part in parts {
             hasher.update(&(part.len() as u64).to_le_bytes());
@@ -92,7 +92,7 @@
 
     /// Returns the fingerprint of the head and the body so far.
     pub fn finish(&self) -> Fingerprint {
-        let mut bytes = [0; BYTES];
+        let mut bytes = [0; FINGERPRINT_BYTES];
         self.0.finalize_xof().fill(&mut bytes);
         Fingerprint(bytes)
     }
--- a/crates/notchwalk_quarantine/src/lib.rs
+++ b/crates/notchwalk_quarantine/src/lib.rs
@@ -1,12 +1,13 @@
-//! Detects requests that crash the servers that run them ("queries of death") and keeps
-//! them away from further servers.
+//! Detects requests that crash the servers that run them ("queries of death") and decides
+//! which ones may no longer run.
 //!
-//! A retry limit does not bound the damage, since callers send such a request again, to any
-//! node. Evidence is therefore collected by request content, over all attempts, and nodes
-//! exchange it.
+//! A retry limit does not bound the number of crashes, since callers send such a request
+//! again, to any node. Evidence is therefore collected by request content over all attempts,
+//! and nodes exchange it. A content is the workspace, method, destination and body of a
+//! request; a suspect is a content with evidence against it.
 //!
-//! Requests that merely ran on a server when it failed must not be rejected. Servers also
-//! fail, connections are reset and racks lose power for other reasons. The rules:
+//! Servers also fail, connections are reset and racks lose power for other reasons. Requests
+//! that ran on the affected servers must not be rejected. The rules:
 //!
 //! - a successful run clears its content, on any node;
 //! - a server that answers a request sent before the suspected crash did not crash;
@@ -16,14 +17,14 @@
 //! - servers lost at the same time count as one incident, and as half an incident for
 //!   contents that did not run on all of them;
 //! - a crash attributed to a quarantined content does not count against other contents;
-//! - servers that are lost in the meantime without running the content raise the required
+//! - servers that are lost in the same period without running the content raise the required
 //!   evidence by up to two incidents.
 //!
-//! Limitations: two contents that took part in all three of each other's crashes are both
+//! Limitations: two contents that were running in the same three crashes are both
 //! quarantined; a content that crashes only some servers is cleared by each successful run;
 //! a body that is forwarded without being read has no fingerprint.
 //!
-//! | file | what it holds |
+//! | file | contents |
 //! |---|---|
 //! | `fingerprint` | the identity of a request's content |
 //! | `suspect` | the evidence against one content |
--- a/crates/notchwalk_quarantine/src/quarantine/evidence.rs
+++ b/crates/notchwalk_quarantine/src/quarantine/evidence.rs
@@ -12,21 +12,22 @@
 
 /// How long a crash is retained.
 pub(super) const CRASH_RETENTION: Duration = Duration::from_secs(600);
-/// How long before a crash the end of its server may be observed.
+/// Maximum time by which the observed end of a server may precede its crash.
 const MAX_END_LEAD: Duration = Duration::from_millis(100);
-/// By how much the times that two nodes give for one observation may differ.
+/// Maximum difference between the times that two nodes record for one observation.
 const TIMESTAMP_TOLERANCE: Duration = Duration::from_millis(20);
-/// How long after a crash a response must be read to disprove it: a busy node may read a
-/// response late that arrived before the crash.
+/// Minimum time between a crash and the reading of a response that refutes it. A busy node
+/// may read a response late that arrived before the crash.
 const MAX_READ_DELAY: Duration = Duration::from_millis(100);
-/// Limit on the retained contents: fifty lost servers with ten requests each, in about
-/// 100 KB.
+/// Maximum number of suspects.
 const MAX_SUSPECTS: usize = 512;
-/// Limit on the retained ends of servers.
+/// Maximum number of retained server ends.
 const MAX_ENDED_SERVERS: usize = 256;
 
 impl Quarantine {
-    pub(super) fn add(&mut self, content: Fingerprint, mut crash: Crash, now: Instant) {
+    /// Adds a crash to the evidence against a content, unless the crash is old or attributed
+    /// to another, quarantined content.
+    pub(super) fn add_crash(&mut self, content: Fingerprint, mut crash: Crash, now: Instant) {
         if now.since(crash.at) > CRASH_RETENTION || self.is_attributed(content, &crash, now) {
             return;
         }
@@ -50,8 +51,8 @@
         }
     }
 
-    /// Updates which crashes around `at` are correlated. If servers were lost on which a
-    /// content did not run, it is probably not their cause.
+    /// Updates which crashes around `at` are correlated. If servers on which a content did not
+    /// run were lost too, the content is probably not the cause.
     ///
     /// Servers that ran a content which is quarantined or had at least three incidents are
     /// excluded: two contents that crash servers often do so at the same time, without a
@@ -79,7 +80,7 @@
         }
     }
 
-    /// Tells whether a crash is attributed to another content that is quarantined.
+    /// Returns whether a crash is attributed to another content that is quarantined.
     pub(super) fn is_attributed(&self, content: Fingerprint, crash: &Crash, now: Instant) -> bool {
         let mut others = self.suspects.iter();
         others.any(|(&other, suspect)| {
@@ -87,8 +88,8 @@
         })
     }
 
-    /// Evicts a suspect if the table is full: the one with the oldest crash that is not
-    /// quarantined, or else the one whose quarantine ends first.
+    /// Evicts a suspect if the table is full: the unquarantined suspect whose last crash is
+    /// the oldest, or the suspect whose quarantine ends first if all are quarantined.
     pub(super) fn evict_if_full(&mut self, content: Fingerprint, now: Instant) {
         if self.suspects.len() < MAX_SUSPECTS || self.suspects.contains_key(&content) {
             return;
@@ -104,7 +105,7 @@
     }
 
     /// Confirms the crashes of a server that ended. Returns whether there are any.
-    pub(super) fn confirm(&mut self, server: u32, seen: Instant) -> bool {
+    pub(super) fn confirm_crashes(&mut self, server: u32, seen: Instant) -> bool {
         if self.ended_servers.len() < MAX_ENDED_SERVERS {
             self.ended_servers.insert(server, seen);
         }
@@ -121,7 +122,7 @@
 
     /// Removes the crashes of a server within an interval in which it was alive. Returns
     /// whether there were any.
-    pub(super) fn refute(&mut self, server: u32, since: Instant, until: Instant) -> bool {
+    pub(super) fn refute_crashes(&mut self, server: u32, since: Instant, until: Instant) -> bool {
         let (since, until) = (
             since.after(TIMESTAMP_TOLERANCE),
             until.before(MAX_READ_DELAY),
@@ -148,9 +149,9 @@
     }
 }
 
-/// Tells whether two reports are of the same crash of a server.
+/// Returns whether two reports are of the same crash of a server.
 pub(super) fn is_same(a: &Crash, b: &Crash) -> bool {
-    /// Nodes notice the broken connections of one server at slightly different times.
+    /// Nodes detect the broken connections of one server at slightly different times.
     const TOLERANCE: Duration = Duration::from_millis(100);
     a.server == b.server && a.at.since(b.at).max(b.at.since(a.at)) < TOLERANCE
 }
--- a/crates/notchwalk_quarantine/src/quarantine/mod.rs
+++ b/crates/notchwalk_quarantine/src/quarantine/mod.rs
@@ -1,6 +1,6 @@
-//! All suspects of one node, and the verdicts on their requests.
+//! The suspects of a node, and the verdicts on their requests.
 //!
-//! | file | what it holds |
+//! | file | contents |
 //! |---|---|
 //! | `unrelated_losses` | losses of unrelated servers, which raise the required evidence |
 //! | `evidence` | crashes: how they are confirmed, attributed and cleared |
@@ -22,9 +22,9 @@
     update::{age_ms, QuarantineUpdate},
     EndReason, Fingerprint, QuarantineFinding, SuspectView, Verdict,
 };
-use policy::{base_threshold, risk, HOLD_AFTER_EXTRA_RUN};
+use policy::{base_threshold, risk, HOLD_AFTER_CRASH};
 
-/// The suspects of one node.
+/// The request contents suspected of crashing servers, as known to one node.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     suspects: HashMap<Fingerprint, Suspect>,
@@ -35,7 +35,7 @@
     updates: Vec<QuarantineUpdate>,
     findings: Vec<QuarantineFinding>,
     last_tick: Instant,
-    /// Since when this node observes the ends of servers.
+    /// When this node started to observe the ends of servers.
     observing_since: Option<Instant>,
 }
 
@@ -55,7 +55,7 @@
             return Verdict::Allowed;
         }
         let score = incidents.score();
-        let is_on_hold = now.since(suspect.last_crash()) < HOLD_AFTER_EXTRA_RUN;
+        let is_on_hold = now.since(suspect.last_crash()) < HOLD_AFTER_CRASH;
         if score >= self.threshold(suspect) || (score >= base_threshold(suspect) && is_on_hold) {
             return Verdict::Held;
         }
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Records that a request was sent to a server.
+    /// Records that a request was sent to a server. Only runs of suspects are tracked.
     pub fn record_send(&mut self, content: Fingerprint, now: Instant) {
         let Some(suspect) = self.suspects.get_mut(&content) else {
             return;
@@ -90,8 +90,8 @@
     }
 
     /// Records that the connection to a server broke while it was running a request.
-    /// `servers` are the one that the request was sent to and its prefill workers: any of
-    /// them may have ended. `others` is the number of other requests on the first of them.
+    /// `servers` are the server that the request was sent to and its prefill workers, any of
+    /// which may have ended. `others` is the number of other requests on the first server.
     /// `silent` means that it stopped responding while the connection stayed open.
     pub fn record_broken_connection(
         &mut self,
@@ -113,7 +113,7 @@
                 probes: 0,
                 silent,
             };
-            self.add(content, crash, now);
+            self.add_crash(content, crash, now);
             self.updates.push(QuarantineUpdate::Crashed {
                 content,
                 server,
@@ -135,20 +135,20 @@
             .push(QuarantineUpdate::Succeeded { content, age_ms: 0 });
     }
 
-    /// Records that a server was observed to have ended. `publish` is set if peers may not
-    /// observe it themselves.
+    /// Records that a server was observed to have ended. `publish` is set if peers may
+    /// not observe the end themselves.
     pub fn record_server_ended(&mut self, server: u32, publish: bool, now: Instant) {
-        let is_relevant = self.confirm(server, now);
+        let is_relevant = self.confirm_crashes(server, now);
         if is_relevant && publish {
             self.updates
                 .push(QuarantineUpdate::ServerEnded { server, age_ms: 0 });
         }
     }
 
-    /// Records that a server answered now, on the same connection, a request sent at
-    /// `since`: it did not crash in between.
+    /// Records that a server answered a request that was sent at `since` on the same
+    /// connection, so it did not crash between `since` and `now`.
     pub fn record_server_alive(&mut self, server: u32, since: Instant, now: Instant) {
-        if !self.refute(server, since, now) {
+        if !self.refute_crashes(server, since, now) {
             return;
         }
         self.updates.push(QuarantineUpdate::ServerAlive {
@@ -184,7 +184,7 @@
         std::mem::take(&mut self.updates)
     }
 
-    /// Tells whether there are updates to be published at once.
+    /// Returns whether there are updates to be published at once.
     pub fn has_updates(&self) -> bool {
         !self.updates.is_empty()
     }
@@ -211,7 +211,7 @@
         suspects.filter(|s| s.is_quarantined(now)).count()
     }
 
-    /// Tells whether a content is tracked as a suspect.
+    /// Returns whether a content is tracked as a suspect.
     pub fn is_suspect(&self, content: Fingerprint) -> bool {
         self.suspects.contains_key(&content)
     }
--- a/crates/notchwalk_quarantine/src/quarantine/peers.rs
+++ b/crates/notchwalk_quarantine/src/quarantine/peers.rs
@@ -6,15 +6,14 @@
 
 use super::{policy::MAX_QUARANTINE, Quarantine};
 use crate::{
-    suspect::{Crash, Period, Runner},
+    suspect::{Crash, QuarantinePeriod, Runner},
     update::{age_ms, saturating_ms, time_of, QuarantineUpdate},
     EndReason, Fingerprint,
 };
 
-/// Limit on the updates in one rebroadcast, so that they fit into a datagram.
+/// Maximum number of updates in one rebroadcast, so that they fit into a datagram.
 const MAX_REBROADCAST: usize = 24;
-/// How long each heartbeat repeats a crash that this node observed, since datagrams may be
-/// lost.
+/// How long heartbeats repeat a crash that this node observed, since datagrams may be lost.
 const REBROADCAST_PERIOD: Duration = Duration::from_millis(1_200);
 
 impl Quarantine {
@@ -45,17 +44,17 @@
                     probes: 0,
                     silent,
                 };
-                self.add(content, crash, now);
+                self.add_crash(content, crash, now);
             }
             QuarantineUpdate::ServerEnded { server, age_ms } => {
-                self.confirm(server, time_of(age_ms, now));
+                self.confirm_crashes(server, time_of(age_ms, now));
             }
             QuarantineUpdate::ServerAlive {
                 server,
                 since_ms,
                 age_ms,
             } => {
-                self.refute(server, time_of(since_ms, now), time_of(age_ms, now));
+                self.refute_crashes(server, time_of(since_ms, now), time_of(age_ms, now));
             }
             QuarantineUpdate::Succeeded { content, age_ms }
             | QuarantineUpdate::Released { content, age_ms } => {
@@ -78,7 +77,7 @@
                 times,
             } => {
                 let left = Duration::from_millis(left_ms.into());
-                let period = Period {
+                let period = QuarantinePeriod {
                     since: time_of(age_ms, now),
                     until: now.after(left.min(MAX_QUARANTINE)),
                 };
@@ -96,7 +95,7 @@
 
     /// Restores a quarantine from the store.
     pub fn restore(&mut self, content: Fingerprint, left: Duration, times: u32, now: Instant) {
-        let period = Period {
+        let period = QuarantinePeriod {
             since: now,
             until: now.after(left.min(MAX_QUARANTINE)),
         };
@@ -104,8 +103,8 @@
     }
 
     /// Returns the updates to rebroadcast: crashes that this node observed a short time ago.
-    /// With `full`, also the quarantines, and older crashes of suspects with several
-    /// incidents, for nodes that just started.
+    /// With `full`, the result also contains the quarantines and the older crashes of
+    /// suspects with several incidents, for nodes that have just started.
     pub fn updates_to_rebroadcast(&self, full: bool, now: Instant) -> Vec<QuarantineUpdate> {
         let mut updates = Vec::new();
         for (&content, suspect) in &self.suspects {
--- a/crates/notchwalk_quarantine/src/quarantine/policy.rs
+++ b/crates/notchwalk_quarantine/src/quarantine/policy.rs
@@ -9,38 +9,37 @@
     Quarantine,
 };
 use crate::{
-    suspect::{Incidents, Period, Suspect},
+    suspect::{Incidents, QuarantinePeriod, Suspect},
     update::{age_ms, saturating_ms, QuarantineUpdate},
     EndReason, Fingerprint, QuarantineFinding, Quarantined,
 };
 
-/// The score from which on a content is quarantined: three isolated incidents. With two,
-/// requests that twice ran beside a crashing one would be rejected as well.
+/// Minimum score for a quarantine: three isolated incidents. With two, requests that twice ran
+/// beside a crashing one would be quarantined too.
 const QUARANTINE_SCORE: u32 = 2 * 3;
-/// How long a content is held after each run that a raised threshold allows. By then a
-/// concurrent run has completed, or its server has ended.
-pub(super) const HOLD_AFTER_EXTRA_RUN: Duration = Duration::from_millis(1_200);
-/// The score from which on a content is quarantined again.
+/// How long a content is held after each crash if only its raised threshold allows further
+/// runs. By then a concurrent run has completed, or its server has ended.
+pub(super) const HOLD_AFTER_CRASH: Duration = Duration::from_millis(1_200);
+/// Minimum score for a repeated quarantine.
 const REPEATED_QUARANTINE_SCORE: u32 = 2;
-/// Duration of the first quarantine; each further one lasts twice as long. Long compared
-/// with the restart of a server, since detecting the content again costs servers; short
-/// enough that a content whose cause was fixed is served again soon.
+/// Duration of the first quarantine; each further one lasts twice as long.
 const INITIAL_QUARANTINE: Duration = Duration::from_secs(600);
+/// Maximum duration of a quarantine.
 pub(super) const MAX_QUARANTINE: Duration = Duration::from_secs(3_600);
 /// How long a crash may stay unconfirmed. The registration of a server that ended expires
 /// after three missed heartbeats, about 3.5 s.
 const CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(6);
-/// Delay between the last crash and the quarantine. By then correlated losses are known;
-/// the content is held meanwhile.
+/// Delay between the last crash and the quarantine, in which correlated losses become known.
+/// The content is held until then.
 const DECLARATION_DELAY: Duration = Duration::from_millis(150);
-/// The same delay on nodes that observed none of the crashes. They declare the quarantine
-/// only if the nodes that did are unavailable.
+/// Delay between the last crash and the quarantine on nodes that observed none of the crashes.
+/// They declare the quarantine only if the nodes that observed a crash have not done so.
 const REMOTE_DECLARATION_DELAY: Duration = Duration::from_secs(2);
 /// How long the end of a server is retained, to confirm crashes that are reported later
 /// and to count unrelated losses.
 const SERVER_END_RETENTION: Duration = Duration::from_secs(30);
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Probability that the end of a server was caused by any of its requests.
+/// Probability that the end of a server was caused by one of its requests.
 const REQUEST_CAUSE_PROBABILITY: f64 = 0.5;
 
 impl Quarantine {
@@ -79,13 +78,16 @@
     /// of them is quarantined, since a quarantine removes crashes from other suspects.
     pub(super) fn declare_quarantines(&mut self, now: Instant) {
         let is_due = |suspect: &Suspect| {
-            let seen_here = suspect.crashes().iter().any(|crash| crash.observed_locally);
-            let delay = match seen_here {
+            let is_observed_locally = suspect.crashes().iter().any(|crash| crash.observed_locally);
+            let delay = match is_observed_locally {
                 true => DECLARATION_DELAY,
                 false => REMOTE_DECLARATION_DELAY,
             };
-            let is_proved = suspect.incidents().confirmed_score() >= self.threshold(suspect);
-            is_proved && suspect.period.is_none() && now.since(suspect.last_crash()) >= delay
+            let reaches_threshold =
+                suspect.incidents().confirmed_score() >= self.threshold(suspect);
+            reaches_threshold
+                && suspect.period.is_none()
+                && now.since(suspect.last_crash()) >= delay
         };
         let suspects = self.suspects.iter();
         let due = suspects.filter(|(_, suspect)| is_due(suspect));
@@ -98,7 +100,7 @@
                 + 1;
             let doublings = (times - 1).min(u32::BITS / 2);
             let duration = INITIAL_QUARANTINE.saturating_mul(1 << doublings);
-            let period = Period {
+            let period = QuarantinePeriod {
                 since: now,
                 until: now.after(duration.min(MAX_QUARANTINE)),
             };
@@ -109,7 +111,7 @@
     pub(super) fn put_in_quarantine(
         &mut self,
         content: Fingerprint,
-        period: Period,
+        period: QuarantinePeriod,
         times: u32,
         declared_locally: bool,
         now: Instant,
@@ -136,8 +138,8 @@
             });
         }
         for (&other, suspect) in &mut self.suspects {
-            let is_proved = suspect.incidents().score() >= base_threshold(suspect);
-            if other == content || suspect.is_quarantined(now) || is_proved {
+            let reaches_base_threshold = suspect.incidents().score() >= base_threshold(suspect);
+            if other == content || suspect.is_quarantined(now) || reaches_base_threshold {
                 continue;
             }
             suspect.retain(|crash| !crashes.iter().any(|known| is_same(known, crash)));
@@ -156,8 +158,8 @@
     }
 }
 
-/// Returns the threshold without regard to unrelated losses. It is lower for a content that
-/// was quarantined before.
+/// Returns the minimum score for a quarantine without the increase for unrelated server
+/// losses. It is lower for a content that was quarantined before.
 pub(super) fn base_threshold(suspect: &Suspect) -> u32 {
     match suspect.quarantine_count {
         0 => QUARANTINE_SCORE,
@@ -180,13 +182,13 @@
     REQUEST_CAUSE_PROBABILITY / f64::from(1 + others.unwrap_or(0))
 }
 
-/// Tells whether a suspect can be removed. One that was quarantined is retained until its
-/// quarantine count expires, and one that was cleared while older updates may still arrive.
+/// Returns whether a suspect can be removed. Its quarantine count is retained until the count
+/// expires, and the time of a clearance while older updates may still arrive.
 fn is_expired(suspect: &Suspect, now: Instant) -> bool {
-    /// Longer than crashes are rebroadcast.
+    /// Longer than the time for which crashes are rebroadcast.
     const CLEARED_RETENTION: Duration = Duration::from_secs(30);
     let is_idle = suspect.crashes().is_empty() && !suspect.is_quarantined(now);
     let since_clear = now.since(suspect.cleared_at);
-    let counts = suspect.quarantine_count > 0 && now < suspect.count_expires_at;
-    is_idle && !counts && since_clear >= CLEARED_RETENTION
+    let retains_count = suspect.quarantine_count > 0 && now < suspect.count_expires_at;
+    is_idle && !retains_count && since_clear >= CLEARED_RETENTION
 }
--- a/crates/notchwalk_quarantine/src/quarantine/unrelated_losses.rs
+++ b/crates/notchwalk_quarantine/src/quarantine/unrelated_losses.rs
@@ -1,28 +1,28 @@
 //! Raises the required evidence while servers are lost that did not run a content.
 //!
-//! Independent losses come in series: a rack whose power fails in parts, or a faulty
-//! rollout. A request that is retried may run on one of the lost servers each time and look
-//! like their cause. Each other server that was lost in the meantime, and that is not
-//! attributed to another suspect, therefore raises the threshold by half an incident.
+//! A power failure or a faulty rollout can end servers one after another. A request that is
+//! retried may run on one of them each time and appear to be the cause. Each other server
+//! that was lost in the same period, and that is not attributed to another suspect, therefore
+//! raises the threshold by half an incident.
 
 use std::{collections::HashSet, time::Duration};
 
 use super::{policy::base_threshold, Quarantine};
 use crate::suspect::Suspect;
 
-/// Limit on the extra score: two isolated incidents. A crashing content costs at most two
-/// servers more while unrelated servers are lost.
+/// Limit on the extra score: two isolated incidents. While unrelated servers are lost, a
+/// crashing content crashes at most two further servers.
 const MAX_EXTRA_SCORE: u32 = 4;
-/// Ratio of unrelated losses to confirmed crashes of a content from which on chance may
-/// explain the crashes. Below it, the unrelated losses may be due to a second crashing
-/// content, and two such contents must not shield each other.
+/// Minimum ratio of unrelated losses to confirmed crashes of a content that raises its
+/// threshold. Fewer losses may be due to a second crashing content, and two such contents
+/// must not raise each other's thresholds.
 const UNRELATED_PER_CRASH: usize = 2;
-/// How long before the first crash of a content unrelated losses count: the registration of
+/// How long before the first crash of a content unrelated losses count. The registration of
 /// an idle server expires 3.5 s after its end.
 const LOOKBACK: Duration = Duration::from_secs(4);
 
 impl Quarantine {
-    /// Returns the score from which on a content is quarantined.
+    /// Returns the minimum score for a quarantine.
     pub(super) fn threshold(&self, suspect: &Suspect) -> u32 {
         base_threshold(suspect) + self.extra_score(suspect)
     }
@@ -53,9 +53,9 @@
     /// incidents, and which may be the cause.
     fn attributed_servers(&self) -> HashSet<u32> {
         let suspects = self.suspects.values();
-        let at_fault =
+        let likely_causes =
             suspects.filter(|suspect| suspect.period.is_some() || suspect.incidents().count() > 1);
-        let crashes = at_fault.flat_map(|suspect| suspect.crashes());
+        let crashes = likely_causes.flat_map(|suspect| suspect.crashes());
         crashes.map(|crash| crash.server).collect()
     }
 }
--- a/crates/notchwalk_quarantine/src/recent.rs
+++ b/crates/notchwalk_quarantine/src/recent.rs
@@ -1,5 +1,5 @@
-//! Contents that completed successfully a short time ago. Popular contents are thus known
-//! to be harmless before a server crashes while running them.
+//! Contents that completed successfully a short time ago. If a server crashes while it runs
+//! one of them, the content may still run concurrently.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -10,10 +10,9 @@
 
 use crate::Fingerprint;
 
-/// Limit on the retained contents: 15 s of one node's traffic at 66 requests per second,
-/// in about 50 KB.
+/// Maximum number of retained successes.
 const CAPACITY: usize = 1_024;
-/// How long a success counts in favour of a content.
+/// How long a success is retained.
 const RETENTION: Duration = Duration::from_secs(15);
 
 /// A bounded set of the latest successes.
@@ -40,7 +39,7 @@
         }
     }
 
-    /// Tells whether a content succeeded within the retention period.
+    /// Returns whether a content succeeded within the retention period.
     pub fn contains(&self, content: Fingerprint, now: Instant) -> bool {
         let at = self.at.get(&content);
         at.is_some_and(|&at| now.since(at) < RETENTION)
--- a/crates/notchwalk_quarantine/src/suspect.rs
+++ b/crates/notchwalk_quarantine/src/suspect.rs
@@ -4,19 +4,19 @@
 
 use notchwalk_core::Instant;
 
-/// Crashes within this time belong to one incident: the loss of a rack or a reset of
-/// many connections is observed at slightly different times.
+/// Crashes within this time belong to one incident. The loss of a rack or a reset of many
+/// connections is observed at slightly different times.
 const INCIDENT_WINDOW: Duration = Duration::from_millis(50);
 /// Servers lost within this time may have a common cause. A longer window would merge
 /// independent crashes caused by two different requests.
 const CORRELATION_WINDOW: Duration = Duration::from_millis(25);
 /// Repeated or duplicate reports of one crash differ by less than this time.
 const DUPLICATE_REPORT_WINDOW: Duration = Duration::from_millis(60);
-/// Limit on the crashes retained for one content. A prompt may be spread over 17 engines,
-/// each of which may be the one that ended.
+/// Maximum number of crashes retained for one content. A prompt may be split over 17 engines,
+/// any of which may have ended.
 const MAX_CRASHES: usize = 24;
-/// Delays after a crash at which the server's port is probed. A restarted server may
-/// listen again soon, and the port of a dying one may close late.
+/// Delays after a crash at which the server's port is probed. A restarted server may listen
+/// again soon, and the port of a terminating server may close late.
 const PROBE_DELAYS: [Duration; 3] = [
     Duration::ZERO,
     Duration::from_millis(100),
@@ -63,19 +63,19 @@
 
 /// The period of a quarantine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Period {
+pub(crate) struct QuarantinePeriod {
     pub since: Instant,
     pub until: Instant,
 }
 
-/// The evidence against one content.
+/// The crash evidence against one content, its quarantine and its runs in flight.
 #[derive(Debug, Default)]
 pub(crate) struct Suspect {
     /// Ordered by time.
     crashes: Vec<Crash>,
     /// Crashes up to this time are ignored.
     pub cleared_at: Instant,
-    pub period: Option<Period>,
+    pub period: Option<QuarantinePeriod>,
     /// Number of quarantines so far.
     pub quarantine_count: u32,
     /// When `quarantine_count` expires.
@@ -83,7 +83,7 @@
     runs: Vec<Run>,
 }
 
-/// Tells whether two crashes may have a common cause.
+/// Returns whether two crashes may have a common cause.
 fn may_be_correlated(a: Instant, b: Instant) -> bool {
     a.since(b).max(b.since(a)) < CORRELATION_WINDOW
 }
@@ -132,9 +132,9 @@
         }
         let mut known = self.crashes.iter_mut();
         if let Some(known) = known.find(|known| known.server == crash.server) {
-            // An incarnation ends once: later broken connections were to a server that had
-            // already ended. An unconfirmed crash may have been a false alarm, for example
-            // of a prefill worker; then the later one is the crash.
+            // An incarnation ends once, so later broken connections are not further crashes.
+            // An unconfirmed crash may have been a false alarm, for example on a prefill
+            // worker; then the later broken connection is the crash.
             let is_later = !known.confirmed && crash.at.since(known.at) >= DUPLICATE_REPORT_WINDOW;
             if is_later {
                 known.at = crash.at;
@@ -158,7 +158,8 @@
         self.crashes.remove(unconfirmed.unwrap_or(0));
     }
 
-    /// Confirms the crash of a server if it is not later than `seen`. Returns its time.
+    /// Confirms the crash of a server if it is not later than `seen`. Returns the time of the
+    /// crash.
     pub fn confirm(&mut self, server: u32, seen: Instant) -> Option<Instant> {
         let mut crashes = self.crashes.iter_mut();
         let crash = crashes.find(|crash| crash.server == server && crash.at <= seen)?;
@@ -254,7 +255,7 @@
         self.runs.retain(|run| run.runner != runner);
     }
 
-    /// Tells whether any node is running a request of this content.
+    /// Returns whether any node is running a request of this content.
     pub fn is_running(&self, now: Instant) -> bool {
         let is_current =
             |run: &Run| run.runner == Runner::Local || now.since(run.since) < PEER_RUN_TIMEOUT;
--- a/crates/notchwalk_quarantine/src/verdict.rs
+++ b/crates/notchwalk_quarantine/src/verdict.rs
@@ -6,12 +6,12 @@
 
 use crate::{Crash, Fingerprint};
 
-/// Decides whether requests of a content may run.
+/// Whether requests of a content may run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
     /// There is no evidence against it.
     Allowed,
-    /// It may run, preferably where a crash affects the fewest requests.
+    /// It may run, preferably on a server where a crash affects the fewest requests.
     Suspected {
         /// The estimated probability that it crashes its server, 0 to 1.
         risk: f64,
@@ -32,7 +32,7 @@
 pub struct Quarantined {
     /// The quarantined content.
     pub content: Fingerprint,
-    /// The crashes known to this node for which it is quarantined.
+    /// The crashes for which it is quarantined, as known to this node.
     pub crashes: Vec<Crash>,
     /// The duration of the quarantine.
     pub duration: Duration,
--- a/crates/notchwalk_quarantine/tests/convergence.rs
+++ b/crates/notchwalk_quarantine/tests/convergence.rs
@@ -15,19 +15,19 @@
 /// An operation on the cluster.
 #[derive(Clone, Debug)]
 enum Op {
-    /// The connection to a server breaks while it runs a content, and its end may be
-    /// observed.
+    /// Breaks the connection to a server while it runs a content. With `confirmed`, all nodes
+    /// observe the end of the server.
     Crash {
         node: usize,
         content: u128,
         confirmed: bool,
     },
-    /// A run of a content succeeds.
+    /// Completes a run of a content successfully.
     Succeed {
         node: usize,
         content: u128,
     },
-    /// Delivers a node's pending updates to another, or loses them.
+    /// Delivers a node's pending updates to another node, or drops them.
     Deliver {
         from: usize,
         to: usize,
@@ -53,7 +53,7 @@
 struct Cluster {
     nodes: Vec<Quarantine>,
     now: Instant,
-    /// Servers that have crashed; each crash is of another one.
+    /// Number of servers that have crashed. Each crash is of a new server.
     servers: u32,
 }
 
@@ -145,7 +145,7 @@
     }
 }
 
-/// Guards against nodes that disagree for good. Content 0 never succeeds; the others may.
+/// Guards against nodes that disagree permanently. Content 0 never succeeds; the others may.
 #[test]
 fn nodes_agree_on_quarantines() {
     let config = Config {
--- a/crates/notchwalk_quarantine/tests/fingerprints.rs
+++ b/crates/notchwalk_quarantine/tests/fingerprints.rs
@@ -9,12 +9,12 @@
     target: "/short/1?page=2",
 };
 
-fn fingerprint(content: &RequestHead<'_>, chunks: &[&str]) -> Fingerprint {
-    let mut fingerprinting = FingerprintBuilder::new(content);
+fn fingerprint(head: &RequestHead<'_>, chunks: &[&str]) -> Fingerprint {
+    let mut builder = FingerprintBuilder::new(head);
     for chunk in chunks {
-        fingerprinting.update(chunk.as_bytes());
+        builder.update(chunk.as_bytes());
     }
-    fingerprinting.finish()
+    builder.finish()
 }
 
 #[test]
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn requests_that_differ_in_one_part_have_different_fingerprints() {
+fn requests_that_differ_in_one_property_have_different_fingerprints() {
     let others = [
         RequestHead {
             workspace: Some("booking"),
@@ -63,8 +63,8 @@
     assert_eq!(all.len(), count);
 }
 
-/// Guards against a caller that gets requests of another workspace quarantined, also on a
-/// route that requires no key.
+/// Guards against a caller without a workspace whose requests get those of another workspace
+/// quarantined.
 #[test]
 fn empty_workspace_name_differs_from_no_workspace() {
     let none = RequestHead {
--- a/crates/notchwalk_quarantine/tests/rules.rs
+++ b/crates/notchwalk_quarantine/tests/rules.rs
@@ -32,13 +32,13 @@
         self.quarantine.tick(self.now);
     }
 
-    /// The connection to a server breaks while it runs a content.
+    /// Breaks the connection to a server while it runs a content.
     fn break_connection(&mut self, content: Fingerprint, server: u32) {
         self.quarantine
             .record_broken_connection(content, &[server], 9, false, self.now);
     }
 
-    /// The same, and the server is observed to have ended.
+    /// Breaks the connection to a server, whose end is then observed.
     fn crash(&mut self, content: Fingerprint, server: u32) {
         self.break_connection(content, server);
         self.end_server(server);
@@ -60,7 +60,7 @@
         matches!(self.verdict(content), Verdict::Quarantined { .. })
     }
 
-    fn is_free(&self, content: Fingerprint) -> bool {
+    fn is_allowed(&self, content: Fingerprint) -> bool {
         self.verdict(content) == Verdict::Allowed
     }
 
@@ -89,7 +89,7 @@
 #[test]
 fn third_confirmed_crash_quarantines_content() {
     let (mut node, bad) = (Node::new(), content(1));
-    assert!(node.is_free(bad));
+    assert!(node.is_allowed(bad));
     node.crash(bad, 1);
     let first = risk(node.verdict(bad));
     node.advance(300);
@@ -101,7 +101,7 @@
     assert_eq!(node.verdict(bad), Verdict::Held);
     node.advance(200);
     assert!(node.is_quarantined(bad));
-    assert!(node.is_free(content(2)));
+    assert!(node.is_allowed(content(2)));
     let quarantined = node.quarantine.take_findings().into_iter();
     let quarantined: Vec<u32> = quarantined
         .filter_map(|finding| match finding {
@@ -128,7 +128,7 @@
     assert!(node.is_quarantined(bad));
 }
 
-/// Guards against quarantining a content for connection resets.
+/// Guards against quarantining a content because of connection resets.
 #[test]
 fn unconfirmed_crashes_do_not_quarantine() {
     let (mut node, good) = (Node::new(), content(1));
@@ -138,7 +138,7 @@
     }
     assert_eq!(node.verdict(good), Verdict::Held);
     node.advance(6_500);
-    assert!(node.is_free(good));
+    assert!(node.is_allowed(good));
 }
 
 #[test]
@@ -151,16 +151,16 @@
     // A response read right after the crash may have arrived before it.
     node.advance(50);
     node.quarantine.record_server_alive(1, sent, node.now);
-    assert!(!node.is_free(good));
+    assert!(!node.is_allowed(good));
     node.advance(100);
     node.quarantine.record_server_alive(1, sent, node.now);
-    assert!(node.is_free(good));
+    assert!(node.is_allowed(good));
     // A request sent after the crash may be answered by the server's next incarnation.
     node.crash(good, 1);
     let sent = node.now.after(Duration::from_millis(50));
     node.advance(500);
     node.quarantine.record_server_alive(1, sent, node.now);
-    assert!(!node.is_free(good));
+    assert!(!node.is_allowed(good));
 }
 
 /// Guards against quarantining a popular content when a rack is lost.
@@ -173,7 +173,7 @@
     }
     assert!(matches!(node.verdict(popular), Verdict::Suspected { .. }));
     node.succeed(popular);
-    assert!(node.is_free(popular));
+    assert!(node.is_allowed(popular));
 }
 
 #[test]
@@ -187,7 +187,7 @@
     other.succeed(good);
     node.now = other.now;
     other.send_updates(&mut node);
-    assert!(node.is_free(good) && other.is_free(good));
+    assert!(node.is_allowed(good) && other.is_allowed(good));
     let ended = |finding: &QuarantineFinding| matches!(finding, QuarantineFinding::Ended { reason, .. } if *reason == EndReason::Told);
     assert!(node.quarantine.take_findings().iter().any(ended));
 }
@@ -206,7 +206,7 @@
         node.advance(300);
     }
     assert!(node.is_quarantined(bad));
-    assert!(node.is_free(beside));
+    assert!(node.is_allowed(beside));
     // An update that arrives late does not count either.
     let late = QuarantineUpdate::Crashed {
         content: beside,
@@ -216,7 +216,7 @@
         silent: false,
     };
     node.quarantine.apply_updates(1, &[late], node.now);
-    assert!(node.is_free(beside));
+    assert!(node.is_allowed(beside));
 }
 
 #[test]
@@ -227,7 +227,7 @@
             .record_broken_connection(bad, &[server], 0, true, node.now);
         node.advance(300);
     }
-    assert!(node.is_free(bad));
+    assert!(node.is_allowed(bad));
     for server in 0..3 {
         node.end_server(server);
     }
@@ -295,7 +295,7 @@
     }
 }
 
-/// Guards against serializing a popular content after an unrelated crash.
+/// Guards against running a popular content one request at a time after an unrelated crash.
 #[test]
 fn recently_successful_content_may_run_concurrently() {
     let (mut node, popular) = (Node::new(), content(1));
@@ -311,7 +311,7 @@
     let (mut node, bad) = (Node::new(), content(1));
     node.crash_three_servers(bad);
     node.advance(601_000);
-    assert!(node.is_free(bad));
+    assert!(node.is_allowed(bad));
     node.crash(bad, 9);
     node.advance(200);
     let Verdict::Quarantined { until } = node.verdict(bad) else {
@@ -330,7 +330,7 @@
     other.advance(1_000);
     assert!(other.quarantine.release(bad, other.now));
     other.send_updates(&mut node);
-    assert!(node.is_free(bad) && other.is_free(bad));
+    assert!(node.is_allowed(bad) && other.is_allowed(bad));
     assert!(!node.quarantine.release(content(9), node.now));
     // A rebroadcast of the ended quarantine does not restore it.
     let old = QuarantineUpdate::Quarantined {
@@ -340,7 +340,7 @@
         times: 1,
     };
     node.quarantine.apply_updates(1, &[old], node.now);
-    assert!(node.is_free(bad));
+    assert!(node.is_allowed(bad));
 }
 
 #[test]
@@ -350,7 +350,7 @@
     node.quarantine.restore(bad, left, 1, node.now);
     assert!(node.is_quarantined(bad));
     node.advance(61_000);
-    assert!(node.is_free(bad));
+    assert!(node.is_allowed(bad));
 }
 
 /// Guards against unbounded memory, and against the eviction of quarantined contents.
@@ -415,12 +415,12 @@
         node.advance(300);
     }
     assert!(node.is_quarantined(bad));
-    assert!(node.is_free(beside));
+    assert!(node.is_allowed(beside));
 }
 
 /// Guards against counting each broken connection to one crashed server as a crash.
 #[test]
-fn incarnation_ends_once() {
+fn one_incarnation_counts_as_one_crash() {
     let (mut node, good) = (Node::new(), content(1));
     for _ in 0..5 {
         node.crash(good, 1);
@@ -447,11 +447,11 @@
     let verdict = node.verdict(harmless);
     assert!(matches!(verdict, Verdict::Suspected { .. }), "{verdict:?}");
     node.succeed(harmless);
-    assert!(node.is_free(harmless));
+    assert!(node.is_allowed(harmless));
 }
 
-/// Bounds the cost of the raised threshold: a crashing content gets two further servers at
-/// most, one after another.
+/// The raised threshold allows a crashing content at most two further crashes, one after
+/// another.
 #[test]
 fn losses_in_series_delay_quarantine_by_at_most_two_crashes() {
     let (mut node, bad) = (Node::new(), content(1));
@@ -465,7 +465,11 @@
             crashes += 1;
             node.crash(bad, round * 10);
             if crashes >= 3 {
-                assert_eq!(node.verdict(bad), Verdict::Held, "held after an extra run");
+                assert_eq!(
+                    node.verdict(bad),
+                    Verdict::Held,
+                    "must be held after a run that only the raised threshold allows"
+                );
             }
         }
         node.end_server(round * 10 + 1);
@@ -503,7 +507,7 @@
 /// Guards against counting the servers lost by one crashing content as unrelated losses of
 /// another.
 #[test]
-fn two_crashing_contents_do_not_shield_each_other() {
+fn two_crashing_contents_do_not_raise_each_others_thresholds() {
     let (mut node, one, other) = (Node::new(), content(1), content(2));
     for round in 0..3 {
         node.crash(one, round * 10);
