--- a/crates/notchwalk_route/src/effect.rs
+++ b/crates/notchwalk_route/src/effect.rs
@@ -7,7 +7,7 @@
 
 use crate::{RequestKey, ServerKey, ServerNotice};
 
-/// A prefill worker: another engine that prefills a part of a prompt.
+/// A prefill worker: an engine that prefills a segment of a prompt for the decoding engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PrefillWorker {
     /// Its address.
@@ -16,16 +16,18 @@
     pub reservation: Option<String>,
 }
 
-/// The reason for a placement, for logs.
+/// The reason for a placement, for logs. A loss is the expected value of requests that
+/// become late because of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlacementReason {
-    /// The server has the lowest expected penalty.
+    /// The server has the lowest expected loss.
     LeastLoss,
     /// The engines have free capacity, so no other request misses its objective.
     Room,
-    /// It cannot wait any longer, and its value exceeds the penalty for other requests.
+    /// The request cannot wait any longer, and its value exceeds the loss that it causes to
+    /// other requests.
     Urgent,
-    /// It misses its objective but meets its caller's timeout.
+    /// The request misses its objective but meets its caller's timeout.
     Late,
 }
 
@@ -38,7 +40,7 @@
     pub addr: SocketAddr,
     /// The instance id that is expected at the address.
     pub instance: String,
-    /// Engines that prefill parts of the prompt.
+    /// Engines that prefill segments of the prompt.
     pub prefill_workers: Vec<PrefillWorker>,
     /// The priority on the server; 0 is the highest.
     pub priority: u8,
@@ -67,19 +69,19 @@
     Draining,
     /// No server of the service is available.
     NoServer,
-    /// It cannot meet its objective or its deadline.
+    /// The request cannot meet its objective or its deadline.
     Overloaded,
     /// The rate limits of its servers do not allow it in time.
     Limited,
-    /// The servers did not run it and no further attempt is allowed.
+    /// The servers did not run the request, and no further attempt is allowed.
     NotRun,
-    /// It may have run; its outcome is unknown.
+    /// The request may have run; its outcome is unknown.
     Unknown,
-    /// It exceeded its deadline.
+    /// The request exceeded its deadline.
     TimedOut,
-    /// Servers crashed during requests with its content; the cause is not yet known.
+    /// Servers crashed during requests with the same content; the cause is not yet known.
     Suspected,
-    /// Requests with its content crash their servers: it is sent to none for some time.
+    /// Requests with the same content crash their servers and are refused for some time.
     Quarantined,
 }
 
--- a/crates/notchwalk_route/src/event.rs
+++ b/crates/notchwalk_route/src/event.rs
@@ -96,7 +96,7 @@
         /// The peer's work on these servers.
         work: Vec<PeerWork>,
     },
-    /// A peer became unreachable or restarted: its earlier updates no longer apply.
+    /// A peer became unreachable or restarted, so its earlier updates no longer apply.
     PeerUnreachable {
         /// The peer's number on this node.
         peer: u32,
--- a/crates/notchwalk_route/src/first_attempt.rs
+++ b/crates/notchwalk_route/src/first_attempt.rs
@@ -6,11 +6,11 @@
 
 use std::{collections::HashMap, time::Duration};
 
-/// Number of recent timeouts kept per route: enough to tolerate outliers, few enough to
-/// adapt within seconds.
+/// Number of recent timeouts retained per route.
 const MAX_TIMEOUTS: usize = 64;
-/// Rank of the usual timeout from the longest, as a fraction of the recent ones. After an
-/// outage most requests are retries, and a few callers have unusually long timeouts.
+/// Fraction of the recent timeouts that is longer than the usual one. It is small because
+/// after an outage most requests are retries with shorter timeouts, and above zero because a
+/// few callers have unusually long timeouts.
 const USUAL_RANK: f64 = 0.1;
 
 /// The recent caller timeouts of each route.
@@ -21,7 +21,7 @@
 
 #[derive(Debug, Default)]
 struct RecentTimeouts {
-    /// A ring buffer.
+    /// A ring buffer; `next` is the position of the oldest timeout once it is full.
     timeouts: Vec<Duration>,
     next: usize,
 }
--- a/crates/notchwalk_route/src/fleet/draining_incarnations.rs
+++ b/crates/notchwalk_route/src/fleet/draining_incarnations.rs
@@ -5,13 +5,13 @@
 /// Maximum number of incarnations; the oldest are evicted first.
 const CAPACITY: usize = 1_024;
 
-/// Why an incarnation is remembered.
+/// Why an incarnation is retained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Reason {
     /// A peer reported it as draining before its registration was read.
     Reported,
-    /// Its registration was removed, but may come back: it expires while the store is
-    /// unavailable, and an older snapshot still contains it.
+    /// Its registration was removed but may be restored: registrations expire while the store
+    /// is unavailable, and an older snapshot still contains them.
     Ended,
 }
 
@@ -19,7 +19,7 @@
 #[derive(Debug, Default)]
 pub(super) struct DrainingIncarnations {
     reasons: HashMap<u32, Reason>,
-    /// The newest last.
+    /// The short ids, oldest first.
     order: VecDeque<u32>,
 }
 
@@ -47,8 +47,9 @@
         }
     }
 
-    /// Removes an ended incarnation whose short id the next one shares.
-    pub fn forget_ended(&mut self, tag: u32) {
+    /// Removes an ended incarnation. The next incarnation has the same short id if servers
+    /// announce no start time.
+    pub fn remove_ended(&mut self, tag: u32) {
         if self.reasons.get(&tag) != Some(&Reason::Ended) {
             return;
         }
--- a/crates/notchwalk_route/src/fleet/limit.rs
+++ b/crates/notchwalk_route/src/fleet/limit.rs
@@ -7,17 +7,17 @@
 use super::shared_bucket::SharedBucket;
 use crate::RateLimit;
 
-/// Minimum rate at which a server is probed, in requests per second over all nodes: only a
-/// response can lift a limit of zero.
+/// Minimum rate of requests to a limited server, in requests per second over all nodes. Only
+/// a response can lift a limit of zero.
 const MIN_RATE: f64 = 0.2;
-/// Fraction of a limit that is used, so that nodes whose views differ for a moment stay
-/// within it.
+/// Fraction of a limit that is used. It keeps all nodes within the limit while their views
+/// differ.
 const USED_FRACTION: f64 = 0.95;
-/// How much newer than this node's own observation a peer's must be to replace it: clocks
-/// differ, and the age of an update excludes its time in transit.
+/// A limit from a peer is ignored unless its request was sent this much later than the newest
+/// one whose response announced no limit. The age in an update excludes the time in transit.
 const PEER_AGE_MARGIN: Duration = Duration::from_millis(50);
 /// How long the end of a limit is published to peers.
-const END_PUBLISHED_FOR: Duration = Duration::from_secs(3);
+const END_PUBLISH_TIME: Duration = Duration::from_secs(3);
 
 /// The limit that one response announced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,14 +30,14 @@
     pub is_direct: bool,
 }
 
-/// A limit in force.
+/// A limit that currently applies.
 #[derive(Clone, Debug)]
 pub(super) struct ActiveLimit {
     pub limit: RateLimit,
-    /// When the newest request was sent whose response announced it.
+    /// Send time of the newest request whose response announced this limit.
     requested_at: Instant,
-    /// Whether this node received a response that announced it. Only then is it published
-    /// to peers.
+    /// Whether this node received a response that announced a limit. Only then is the limit
+    /// published to peers.
     is_direct: bool,
     pub bucket: SharedBucket,
 }
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct ServerLimit {
     active: Option<ActiveLimit>,
-    /// When the newest request was sent whose response announced no limit.
+    /// Send time of the newest request whose response announced no limit.
     unlimited_at: Instant,
     /// Until when the end of the limit is published to peers.
     end_published_until: Instant,
@@ -63,9 +63,10 @@
 
     /// Applies an observation; returns whether it changes the limit.
     ///
-    /// Responses may arrive out of order, so the one with the newer request wins. A limit
-    /// where none is in force, or a lower one, applies even if it is older: exceeding a
-    /// server's limit costs more than keeping one until the next response lifts it.
+    /// Responses may arrive out of order, so the one with the newer request wins. If no
+    /// limit applies, or a higher one does, a limit from an older response to this node
+    /// applies too: exceeding a server's limit is worse than applying an outdated limit until
+    /// the next response.
     pub fn apply(&mut self, observed: LimitObservation, server: u32, now: Instant) -> bool {
         match (&mut self.active, observed.limit) {
             (None, None) => {
@@ -93,7 +94,7 @@
                 self.active = None;
                 self.unlimited_at = observed.requested_at;
                 if observed.is_direct {
-                    self.end_published_until = now.after(END_PUBLISHED_FOR);
+                    self.end_published_until = now.after(END_PUBLISH_TIME);
                 }
                 true
             }
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Returns the current limit, or its recent end, whoever observed it.
+    /// Returns the current limit, observed by this node or a peer, or its recent end.
     pub fn latest(&self, now: Instant) -> Option<LimitObservation> {
         match &self.active {
             Some(active) => Some(LimitObservation {
@@ -137,8 +138,9 @@
     }
 
     /// Sets the share of the limit that the reachable nodes of this group may use.
-    pub fn set_share(&mut self, own: u32, share: f64, now: Instant) {
+    pub fn set_share(&mut self, own_id: u32, share: f64, now: Instant) {
         let rate = self.limit.rate().max(MIN_RATE);
-        self.bucket.set_rate(own, rate * USED_FRACTION * share, now);
+        self.bucket
+            .set_rate(own_id, rate * USED_FRACTION * share, now);
     }
 }
--- a/crates/notchwalk_route/src/fleet/limit_update.rs
+++ b/crates/notchwalk_route/src/fleet/limit_update.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitSharing {
     /// This node's id.
-    pub(super) own: u32,
+    pub(super) own_id: u32,
     /// Number of registered nodes in this node's group, itself included.
     pub(super) registered: u32,
     /// Number of those that are reachable, itself included.
@@ -19,7 +19,7 @@
     /// Creates the sharing of the node with this name.
     pub fn new(name: &str, registered: u32, reachable: u32) -> Self {
         Self {
-            own: tag_of(name),
+            own_id: tag_of(name),
             registered,
             reachable: reachable.min(registered),
         }
@@ -35,7 +35,7 @@
     pub observed: Option<ObservedLimit>,
     /// Number of requests that the publishing node has sent to the server.
     pub sent: u32,
-    /// Whether the publishing node has demand for the server.
+    /// Whether the publishing node has requests for the server's service.
     pub has_demand: bool,
 }
 
@@ -44,17 +44,17 @@
 pub struct ObservedLimit {
     /// The limit; `None` once the server announces none.
     pub limit: Option<RateLimit>,
-    /// Time since the request was sent whose response announced it, in milliseconds.
+    /// Time since the send of the request whose response announced it, in milliseconds.
     pub age_ms: u32,
 }
 
 /// Which observed limits are published.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitScope {
-    /// Those from responses to this node. Limits received from peers are not rebroadcast:
-    /// each hop would add to their age, and they would never expire.
+    /// Limits from responses to this node. Limits received from peers are not rebroadcast,
+    /// since they would circulate without end.
     Direct,
-    /// All of them, for a node that has just started: it may have been the only one that
-    /// received a response before.
+    /// All limits, for a node that has just started. It may have been the only node that
+    /// received a response before it restarted.
     All,
 }
--- a/crates/notchwalk_route/src/fleet/mod.rs
+++ b/crates/notchwalk_route/src/fleet/mod.rs
@@ -1,5 +1,4 @@
-//! The backend servers: which are registered, which accept new work, and how they have
-//! responded.
+//! The backend servers: their registrations, availability, failures and rate limits.
 
 mod draining_incarnations;
 mod limit;
@@ -89,7 +88,7 @@
             ServerChange::Registered(record) => {
                 if record.started_ms.is_none() {
                     // Without a start time, a new registration counts as a new incarnation.
-                    self.draining.forget_ended(record.incarnation_tag());
+                    self.draining.remove_ended(record.incarnation_tag());
                 }
                 self.upsert(record, now).into_iter().collect()
             }
@@ -169,7 +168,7 @@
         if server.is_draining() {
             self.draining.add_ended(server.tag);
         }
-        self.limits.retain(&server);
+        self.limits.retain_limit(&server);
         if let Some(keys) = self.by_service.get_mut(&server.record.service) {
             keys.retain(|&other| other != key);
         }
@@ -204,7 +203,7 @@
     }
 
     /// Returns the servers of a service that this node uses: those of its group, or all of
-    /// them while none of its group accepts work.
+    /// them while no server of its group accepts work.
     pub fn servers_in_use(&self, service: &str, now: Instant) -> &[ServerKey] {
         let all = self.of_service(service);
         let own = self.group.subset(all);
@@ -286,8 +285,8 @@
     }
 
     /// Returns the short ids of at most `max` servers that announced to this node that they
-    /// are draining. Reports from peers are not rebroadcast: they would circulate after the
-    /// incarnation has ended.
+    /// are draining. Reports from peers are not rebroadcast, since they would circulate after
+    /// the incarnation has ended.
     pub fn draining_to_publish(&self, max: usize) -> Vec<u32> {
         let servers = self.servers.values();
         let draining = servers.filter(|server| server.announced_draining());
--- a/crates/notchwalk_route/src/fleet/server.rs
+++ b/crates/notchwalk_route/src/fleet/server.rs
@@ -13,19 +13,19 @@
 const MIN_EJECTION: Duration = Duration::from_millis(500);
 /// Maximum duration of an ejection.
 const MAX_EJECTION: Duration = Duration::from_secs(4);
-/// A server that responded within this time is alive: a busy engine emits events several
-/// times per second.
+/// A server that responded within this time counts as alive. A busy engine emits events
+/// several times per second.
 const ALIVE_WINDOW: Duration = Duration::from_millis(1_200);
 /// Weight of a new observation in the failure rate.
 const FAILURE_WEIGHT: f64 = 0.12;
-/// Half-life of the failure rate without observations: a server that is avoided for its
-/// failures gets no requests that could succeed.
+/// Half-life of the failure rate without observations. A server that is avoided because of
+/// its failures gets no requests that could succeed and lower its rate.
 const FAILURE_HALF_LIFE: Duration = Duration::from_secs(2);
-/// Time without observations after which the failure rate counts as zero: at light load
-/// even a small rate outweighs any difference in load.
+/// Time without observations after which the failure rate counts as zero. At light load even
+/// a small rate outweighs any difference in load.
 const FAILURE_RATE_TTL: Duration = MAX_EJECTION;
-/// Minimum interval between requests to a server after its ejection, until one succeeds:
-/// a server that hangs then delays one request at a time.
+/// Minimum interval between requests to a server after its ejection, until a request
+/// succeeds. A server that hangs then delays one request at a time.
 const PROBE_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Time without observations after which the count of consecutive failures is reset.
@@ -99,15 +99,15 @@
     probed_at: Instant,
     /// When it last responded successfully.
     responded_at: Instant,
-    /// Whether it is draining. This lasts for the whole incarnation: a registration that
-    /// says otherwise is older.
+    /// Whether it is draining. A server drains until its incarnation ends; a registration with
+    /// another stage is older.
     draining: Draining,
-    /// Until when it accepts no requests from this node, from its `Retry-After`.
+    /// End of the backoff that it requested with `Retry-After`.
     back_off_until: Instant,
     /// Its rate limit for all nodes together.
     pub(super) limit: ServerLimit,
-    /// Number of requests, parts of requests and reservation orders that this node has
-    /// sent to it.
+    /// Number of requests, prompt segments and reservation orders that this node has sent to
+    /// it.
     pub(super) sent: u32,
     /// Earliest time of the next report that its limit is used up.
     pub(super) next_used_up_report: Instant,
@@ -133,13 +133,13 @@
         }
     }
 
-    /// Returns whether the server may be given new work.
+    /// Returns whether this node may send new work to the server.
     pub fn is_available(&self, now: Instant) -> bool {
         self.time_until_available(now) == Some(Duration::ZERO)
             && self.time_until_allowed(now) == Some(Duration::ZERO)
     }
 
-    /// Returns whether a probe was sent to the server after an ejection and is recent.
+    /// Returns whether a probe was recently sent to the server after an ejection.
     fn is_being_probed(&self, now: Instant) -> bool {
         self.failures >= FAILURES_TO_EJECT && now < self.probed_at.after(PROBE_INTERVAL)
     }
@@ -179,7 +179,7 @@
     }
 
     /// Returns the time until its limit allows this node a request; `None` if this node
-    /// leaves the server to other nodes.
+    /// does not use the server because enough other nodes do.
     pub(super) fn time_until_allowed(&self, now: Instant) -> Option<Duration> {
         let Some(limited) = self.limit.active() else {
             return Some(Duration::ZERO);
@@ -217,9 +217,9 @@
         limited.map_or(0, |limited| limited.bucket.users(now))
     }
 
-    /// Returns whether its limit is too low for a prefill worker.
+    /// Returns whether its rate limit is too low for prompt segments.
     pub(crate) fn has_low_limit(&self) -> bool {
-        /// Minimum rate in requests per second; each part of a long prompt is a request.
+        /// Minimum rate in requests per second; each segment of a prompt is a request.
         const MIN_PREFILL_WORKER_RATE: f64 = 8.0;
         self.limit()
             .is_some_and(|limit| limit.rate() < MIN_PREFILL_WORKER_RATE)
@@ -230,7 +230,7 @@
         self.back_off_until.since(now)
     }
 
-    /// Returns its failure rate, 0 to 1, which decays with successes and with time.
+    /// Returns its failure rate, 0 to 1, which decreases with successes and with time.
     pub fn failure_rate(&self, now: Instant) -> f64 {
         let age = now.since(self.failure_rate_at);
         if age >= FAILURE_RATE_TTL {
--- a/crates/notchwalk_route/src/fleet/shared_bucket.rs
+++ b/crates/notchwalk_route/src/fleet/shared_bucket.rs
@@ -1,15 +1,15 @@
 //! A token bucket per limited server, replicated on every node.
 //!
 //! The bucket fills at the server's rate. Every send is deducted from it, a peer's as soon
-//! as its update arrives. No node asks another before a send. Three rules keep nodes from
-//! spending the same tokens more than once:
+//! as its update arrives. Sends need no coordination. Three rules prevent several nodes from
+//! using the same token:
 //!
-//! - Nodes with demand are ranked in an order that changes with every send. Each waits
-//!   [`TURN`] longer than the one before it, which gives that one's update time to arrive.
-//! - Nodes that send at the same moment overdraw the bucket, and all wait until it has
-//!   refilled.
-//! - The bucket fills only by the share of the reachable nodes. Registered nodes that are
-//!   unreachable keep their share, whether they have stopped or are partitioned.
+//! - Nodes with demand are ranked in an order that changes with every send. Each node waits
+//!   [`TURN_TIME`] longer than the preceding one, whose update arrives in that time.
+//! - Nodes that send at the same moment overdraw the bucket. All nodes then wait until it
+//!   has refilled.
+//! - The bucket fills only at the share of the reachable nodes. The share of registered nodes
+//!   that are unreachable is not used: they may be partitioned and still sending.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -17,20 +17,21 @@
 
 use crate::groups::mix_bits;
 
-/// How much longer than the one before it a node waits: longer than an update takes to
-/// arrive, and than the interval at which waiting requests are checked.
-const TURN: Duration = Duration::from_millis(25);
-/// Maximum wait of the node that is last in the order.
+/// Additional wait of a node per preceding node. It is longer than the delivery of an update
+/// and the interval at which waiting requests are checked.
+const TURN_TIME: Duration = Duration::from_millis(25);
+/// Maximum wait of the last node in the order.
 const MAX_TURN_WAIT: Duration = Duration::from_millis(300);
-/// Maximum number of nodes that use a server at a low rate: with more, turns would be too
-/// short, and several nodes would send before they receive each other's updates.
+/// Maximum number of nodes that use a server with a low rate. With more nodes, turns would be
+/// too short, and several nodes would send before they receive each other's updates.
 const BASE_MAX_USERS: usize = 12;
-/// The same per request per second. At a high rate an overdrawn bucket refills quickly.
+/// Maximum number of nodes that use a server, per request per second of its rate. At a high
+/// rate an overdrawn bucket refills quickly.
 const MAX_USERS_PER_RPS: f64 = 4.0;
-/// How long a peer's demand counts after its last update.
+/// How long a peer's demand counts after its last update that reported demand.
 const DEMAND_TTL: Duration = Duration::from_secs(2);
-/// A peer's counter that falls by more than this has been reset; by less, the peer rolled
-/// back sends that reached no server.
+/// Maximum decrease of a peer's counter that counts as a rollback of sends that reached no
+/// server. A larger decrease means that the counter has been reset.
 const MAX_ROLLBACK: i32 = 8;
 
 /// The sends of a peer to the server, from its last update.
@@ -48,7 +49,7 @@
     /// The server's short id.
     server: u32,
     /// The id of this node.
-    own: u32,
+    own_id: u32,
     /// Fill rate, in requests per second.
     rate: f64,
     /// Available tokens as of `at`, one per request; negative if overdrawn.
@@ -58,12 +59,12 @@
 }
 
 impl SharedBucket {
-    /// Creates an empty bucket: nodes that learn of a limit at the same moment would each
-    /// spend a full one.
+    /// Creates an empty bucket. With full buckets, all nodes would send at once when they
+    /// receive a new limit.
     pub fn new(server: u32, now: Instant) -> Self {
         Self {
             server,
-            own: 0,
+            own_id: 0,
             rate: 0.0,
             level: 0.0,
             at: now,
@@ -72,23 +73,23 @@
     }
 
     /// Sets the id of this node and the fill rate in requests per second.
-    pub fn set_rate(&mut self, own: u32, rate: f64, now: Instant) {
+    pub fn set_rate(&mut self, own_id: u32, rate: f64, now: Instant) {
         self.level = self.level(now);
         self.at = now;
-        (self.own, self.rate) = (own, rate);
+        (self.own_id, self.rate) = (own_id, rate);
     }
 
     /// Returns the number of requests that the reachable nodes may send now.
     pub fn level(&self, now: Instant) -> f64 {
         let filled = self.level + self.rate * now.since(self.at).as_secs_f64();
         let users = self.users(now);
-        let capacity = 1.0 + users as f64 * self.turn_level(users);
+        let capacity = 1.0 + users as f64 * self.tokens_per_turn(users);
         filled.min(capacity)
     }
 
     /// Returns the tokens added during one turn if there are `users` users.
-    fn turn_level(&self, users: usize) -> f64 {
-        self.rate * TURN.min(MAX_TURN_WAIT / users as u32).as_secs_f64()
+    fn tokens_per_turn(&self, users: usize) -> f64 {
+        self.rate * TURN_TIME.min(MAX_TURN_WAIT / users as u32).as_secs_f64()
     }
 
     fn max_users(&self) -> usize {
@@ -115,14 +116,14 @@
     /// Returns how many nodes with demand precede this one in the order of `round`.
     fn rank(&self, round: u32, now: Instant) -> usize {
         let key = |id: u32| mix_bits(self.server ^ mix_bits(id ^ round));
-        let own = key(self.own);
+        let own = key(self.own_id);
         self.peers_with_demand(now)
             .filter(|peer| key(peer.id) < own)
             .count()
     }
 
-    /// Returns how many turns this node waits before the next request; `None` if it leaves
-    /// the server to other nodes.
+    /// Returns how many turns this node waits before the next request; `None` if it does not
+    /// use the server because enough other nodes do.
     fn turn(&self, own_sent: u32, now: Instant) -> Option<usize> {
         if self.rank(0, now) >= self.max_users() {
             return None;
@@ -136,8 +137,8 @@
     /// may send another; `None` if it may send none.
     pub fn may_send_in(&self, own_sent: u32, now: Instant) -> Option<Duration> {
         let turn = self.turn(own_sent, now)?;
-        let turn_level = self.turn_level(self.users(now));
-        let missing = 1.0 + turn as f64 * turn_level - self.level(now);
+        let tokens_per_turn = self.tokens_per_turn(self.users(now));
+        let missing = 1.0 + turn as f64 * tokens_per_turn - self.level(now);
         if missing <= 0.0 {
             return Some(Duration::ZERO);
         }
@@ -151,7 +152,7 @@
         self.at = now;
     }
 
-    /// Applies a peer's send counter. The first one only sets the baseline.
+    /// Applies a peer's send counter. The first counter only sets the baseline.
     pub fn apply_peer(&mut self, peer: u32, id: u32, sent: u32, has_demand: bool, now: Instant) {
         let known = self.peers.get(&peer).copied();
         let demand_until = match has_demand {
@@ -170,9 +171,8 @@
         self.peers.insert(peer, sends);
     }
 
-    /// Removes a peer that became unreachable; what it sends from now on counts against
-    /// its own share.
-    pub fn forget(&mut self, peer: u32) {
+    /// Removes a peer that became unreachable. Its further sends count against its own share.
+    pub fn remove_peer(&mut self, peer: u32) {
         self.peers.remove(&peer);
     }
 }
--- a/crates/notchwalk_route/src/fleet/sharing.rs
+++ b/crates/notchwalk_route/src/fleet/sharing.rs
@@ -1,5 +1,5 @@
-//! Servers that announce a limit: the updates that nodes exchange about them, and when
-//! they accept a request.
+//! Servers that announce a rate limit: updates that nodes exchange about them, and the time
+//! until they accept a request.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -19,8 +19,8 @@
 const DEMAND_TTL: Duration = Duration::from_secs(1);
 /// Minimum interval between two reports that a server's limit is used up.
 const USED_UP_REPORT_INTERVAL: Duration = Duration::from_secs(5);
-/// Maximum number of limits retained of unregistered servers: registrations expire while
-/// the store is unavailable.
+/// Maximum number of retained limits of deregistered servers. Registrations expire while the
+/// store is unavailable.
 const MAX_RETAINED: usize = 64;
 
 /// When a service accepts another request.
@@ -32,7 +32,7 @@
     WithinLimits(Duration),
     /// After this time, when the first of its servers becomes available.
     Later(Duration),
-    /// At no known time: all servers are draining, or there is none.
+    /// At no known time: all servers are draining, or there are no servers.
     Never,
 }
 
@@ -42,9 +42,9 @@
     sharing: Option<LimitSharing>,
     /// Servers with a limit, or whose limit ended recently.
     servers: Vec<ServerKey>,
-    /// Those with an update that is to be published without delay.
+    /// Servers with an update that is to be published without delay.
     pending: Vec<ServerKey>,
-    /// Limits of unregistered servers by their short ids, oldest first.
+    /// Limits of deregistered servers by their short ids, oldest first.
     retained: VecDeque<(u32, ServerLimit)>,
     /// Time of the last request for each service.
     last_demand: HashMap<String, Instant>,
@@ -53,7 +53,8 @@
 }
 
 impl Limits {
-    pub fn retain(&mut self, server: &Server) {
+    /// Retains the limit of a server that is deregistered.
+    pub fn retain_limit(&mut self, server: &Server) {
         if server.limit().is_none() {
             return;
         }
@@ -97,19 +98,20 @@
         }
     }
 
-    /// Updates the share of its limit by which a server's bucket fills.
+    /// Updates the share of a server's limit at which its bucket fills.
     fn update_share(&mut self, key: ServerKey, now: Instant) {
-        let (own, share) = self.limits.sharing.map_or((0, 0.0), |sharing| {
-            (sharing.own, self.limit_share(key, sharing))
+        let (own_id, share) = self.limits.sharing.map_or((0, 0.0), |sharing| {
+            (sharing.own_id, self.limit_share(key, sharing))
         });
         let server = self.servers.get_mut(key);
         if let Some(limited) = server.and_then(|server| server.limit.active_mut()) {
-            limited.set_share(own, share, now);
+            limited.set_share(own_id, share, now);
         }
     }
 
     /// Returns the share of a server's limit that the reachable nodes of this group may use.
-    /// Other groups that use the server have a share each, as their updates arrive too late.
+    /// Each other group that uses the server has its own share, as updates from other groups
+    /// arrive too late.
     fn limit_share(&self, key: ServerKey, sharing: LimitSharing) -> f64 {
         let Some(server) = self.servers.get(key) else {
             return 0.0;
@@ -119,7 +121,7 @@
         f64::from(sharing.reachable) / f64::from(sharing.registered.max(1)) / groups as f64
     }
 
-    /// Adds a server to those with limits and sets its share.
+    /// Adds a server to the servers with limits and sets its share.
     fn track_limit(&mut self, key: ServerKey, now: Instant) {
         if !self.limits.servers.contains(&key) {
             self.limits.servers.push(key);
@@ -133,8 +135,8 @@
         }
     }
 
-    /// Applies the limit that a response to this node announced; returns whether that
-    /// changes the server's limit.
+    /// Applies the limit that a response to this node announced; returns whether it changed
+    /// the server's limit.
     pub(super) fn record_limit(
         &mut self,
         key: ServerKey,
@@ -212,7 +214,7 @@
         for &key in &self.limits.servers {
             let server = self.servers.get_mut(key);
             if let Some(limited) = server.and_then(|server| server.limit.active_mut()) {
-                limited.bucket.forget(peer);
+                limited.bucket.remove_peer(peer);
             }
         }
     }
@@ -254,8 +256,8 @@
         })
     }
 
-    /// Records demand for a service: a node with demand gets a share of the limits of its
-    /// servers.
+    /// Records a request for a service. A node with recent requests has demand and gets a
+    /// share of the limits of the service's servers.
     pub fn record_demand(&mut self, service: &str, now: Instant) {
         if self.limits.servers.is_empty() {
             return;
@@ -280,7 +282,7 @@
         }
     }
 
-    /// Counts a message to a server: a request, a part of one or a reservation order.
+    /// Counts a message to a server: a request, a prompt segment or a reservation order.
     pub fn count_message(&mut self, key: ServerKey, now: Instant) {
         self.count_sent(key, 1, now);
     }
@@ -333,10 +335,15 @@
     }
 
     /// Returns when the servers of a service accept another request, except those in
-    /// `tried`.
-    pub fn availability(&self, service: &str, tried: &[ServerKey], now: Instant) -> Availability {
+    /// `attempted`.
+    pub fn availability(
+        &self,
+        service: &str,
+        attempted: &[ServerKey],
+        now: Instant,
+    ) -> Availability {
         let servers = self.of_service(service).iter();
-        let servers = servers.filter(|key| !tried.contains(key));
+        let servers = servers.filter(|key| !attempted.contains(key));
         let (mut limited, mut later) = (None, None);
         for &key in servers {
             let server = &self.servers[key];
--- a/crates/notchwalk_route/src/groups.rs
+++ b/crates/notchwalk_route/src/groups.rs
@@ -7,9 +7,9 @@
 //!
 //! Groups need no coordination. Each node derives its group from the registered nodes and
 //! servers, both in an order that is the same on all nodes. Adding a node or a server moves
-//! each boundary by at most one position. Nodes whose views differ for a moment may use a
-//! server without seeing each other's load there, which can add latency but is otherwise
-//! harmless.
+//! each boundary by at most one position. While their views differ, two nodes of different
+//! groups may use the same server without receiving each other's load there. This can add
+//! latency but causes no errors.
 
 use crate::shares::tag_of;
 
@@ -18,7 +18,7 @@
 /// Maximum number of nodes per group where there are several.
 const MAX_NODES_PER_GROUP: usize = 24;
 /// Minimum number of servers per group for the largest service: a long prompt occupies
-/// many of them, and others are served at the same time.
+/// many servers, and other requests are served at the same time.
 const MIN_SERVERS_PER_GROUP: usize = 48;
 /// Minimum number of servers per group for any service; with fewer, neighboring groups
 /// share a subset.
--- a/crates/notchwalk_route/src/load_view.rs
+++ b/crates/notchwalk_route/src/load_view.rs
@@ -12,16 +12,16 @@
 /// The phase of a request on a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub enum WorkPhase {
-    /// Prefill of its prompt, or of a part of it; it will decode on this server.
+    /// Prefill of its prompt or of a segment; it will decode on this server.
     #[serde(rename = "Reading")]
     Prefill,
     /// Decode.
     #[serde(rename = "Writing")]
     Decode,
-    /// Prefill of a part of its prompt; it decodes on another server.
+    /// Prefill of a segment of its prompt; it decodes on another server.
     #[serde(rename = "Helping")]
     RemotePrefill,
-    /// Memory is reserved for a part of its prompt; it decodes on another server.
+    /// Memory is reserved for a segment of its prompt; it decodes on another server.
     #[serde(rename = "Holding")]
     RemoteCache,
     /// A call to a plain service.
@@ -106,20 +106,21 @@
     pub step_tokens: f64,
     /// Remaining prefill time, in milliseconds.
     pub remaining_prefill_ms: f64,
-    /// Requests without a tight latency objective that are in prefill and will decode here.
-    /// An engine prefills parts for other engines before them.
+    /// Requests without a tight inter-token latency objective that are in prefill and will
+    /// decode here. An engine prefills segments for other engines before them.
     pub own_long_prefills: usize,
     /// Requests with a tight inter-token latency objective.
     pub short: usize,
     /// The tightest inter-token latency objective in decode, in milliseconds; infinite if
     /// there is none.
     pub tightest_inter_token_ms: f64,
-    /// The same for decode and prefill.
+    /// The tightest inter-token latency objective in decode or prefill, in milliseconds;
+    /// infinite if there is none.
     pub tightest_upcoming_inter_token_ms: f64,
     /// Calls to a plain service.
     pub calls: usize,
-    /// Parts of prompts in prefill for other engines.
-    pub prefill_parts: usize,
+    /// Segments in prefill for other engines.
+    pub prefill_segments: usize,
 }
 
 impl ServerLoad {
@@ -141,8 +142,7 @@
 
 /// Maximum inter-token latency objective of short requests, in milliseconds.
 const SHORT_INTER_TOKEN_MS: f64 = 400.0;
-/// Remaining prefill time that counts as one fully used engine, in milliseconds: about the
-/// duration of a short response.
+/// Remaining prefill time of a request that counts as a load of one engine, in milliseconds.
 const FULL_PREFILL_MS: f64 = 1_000.0;
 /// Inter-token latency objective of requests without one, in milliseconds.
 pub(crate) const DEFAULT_INTER_TOKEN_MS: f64 = 60_000.0;
@@ -271,7 +271,7 @@
                     load.tightest_inter_token_ms =
                         load.tightest_inter_token_ms.min(work.inter_token_ms);
                 }
-                WorkPhase::RemotePrefill => load.prefill_parts += 1,
+                WorkPhase::RemotePrefill => load.prefill_segments += 1,
                 WorkPhase::RemoteCache => {}
                 WorkPhase::Call => load.calls += 1,
             }
@@ -298,8 +298,8 @@
         shares
     }
 
-    /// Returns whether the view has ever contained work on a server.
-    pub(crate) fn has_seen(&self, server: ServerKey) -> bool {
+    /// Returns whether there has ever been work on a server.
+    pub(crate) fn has_had_work(&self, server: ServerKey) -> bool {
         self.work.contains_key(server)
     }
 
@@ -308,7 +308,7 @@
         self.work.get(server).map_or(&[], Vec::as_slice)
     }
 
-    /// Returns whether one of this node's requests is on any server.
+    /// Returns whether one of this node's requests has work on any server.
     pub(crate) fn has_request(&self, request: RequestKey) -> bool {
         let mut works = self.work.iter().flat_map(|(_, works)| works);
         works.any(|work| work.owner == Owner::Own(request))
--- a/crates/notchwalk_route/src/placement/call.rs
+++ b/crates/notchwalk_route/src/placement/call.rs
@@ -6,8 +6,8 @@
 use crate::{Fleet, LoadView, PlacementReason, ServerKey};
 
 /// Chooses the server of a plain service with the lowest ratio of running requests to
-/// slots. Servers in the local failure domain win ties. A request that may crash its server
-/// also counts the requests that the crash would affect.
+/// slots. Servers in the local failure domain win ties. For a request that may crash its
+/// server, the requests that the crash would affect add to the cost.
 pub(crate) fn place_call(
     fleet: &Fleet,
     load_view: &LoadView,
@@ -17,9 +17,9 @@
     crash_risk: f64,
     now: Instant,
 ) -> Option<Plan> {
-    /// Load added at a failure rate of 1.
+    /// Cost of a failure rate of 1, as a ratio of running requests to slots.
     const FAILURE_RATE_COST: f64 = 3.0;
-    /// Load added for a server in another failure domain.
+    /// Cost of a server in another failure domain, as a ratio of running requests to slots.
     const REMOTE_DOMAIN_COST: f64 = 0.05;
     let mut best: Option<(f64, ServerKey)> = None;
     for &key in fleet.servers_in_use(service, now) {
--- a/crates/notchwalk_route/src/placement/long.rs
+++ b/crates/notchwalk_route/src/placement/long.rs
@@ -2,18 +2,18 @@
 //! misses its objective.
 
 use super::{
-    late_loss_fraction, short::LATENCY_WEIGHT, Candidate, Demand, EnginePlacement, Plan,
+    late_loss_fraction, short::LATENCY_WEIGHT, Candidate, EnginePlacement, Plan, RequestDemand,
     MAX_ENGINES_PER_REQUEST, RESERVATION_MARGIN,
 };
 use crate::{PlacementReason, ServerKey};
 
 /// Inter-token objective assumed for short requests that have not started decoding, in
 /// milliseconds.
-const DEFAULT_INTER_TOKEN_MS: f64 = 250.0;
+const ASSUMED_INTER_TOKEN_MS: f64 = 250.0;
 /// Fraction of an inter-token objective that a predicted engine step may take.
 const STEP_FRACTION: f64 = 0.85;
-/// The same for an engine without short requests, where segments of several prompts can
-/// share a step.
+/// Fraction of an inter-token objective that a predicted step may take on an engine without
+/// short requests, where segments of several prompts can share a step.
 const LONG_STEP_FRACTION: f64 = 0.75;
 /// Longest step planned on an engine without short requests, in milliseconds.
 const MAX_STEP_MS: f64 = 900.0;
@@ -24,14 +24,15 @@
 /// Longest segment of a long prompt on an engine with short requests, in milliseconds. It
 /// delays their first tokens.
 const MAX_SHARED_SEGMENT_MS: f64 = 60.0;
-/// Cost of opening another engine for long prompts, in milliseconds. That engine can't
-/// prefill for others in the meantime.
-const NEW_LONG_ENGINE_PENALTY_MS: f64 = 60.0;
-/// Cost of each further engine of a prompt, in milliseconds. Each one may fail, and starts
-/// only with its next step.
+/// Cost of decoding a long prompt on an engine outside the short pool, in milliseconds. That
+/// engine can't prefill segments for others in the meantime.
+const NEW_LONG_DECODER_PENALTY_MS: f64 = 60.0;
+/// Cost of each engine of a split prompt, in milliseconds. Each engine may fail, and starts
+/// the segment with its next step.
 const PER_ENGINE_PENALTY_MS: f64 = 15.0;
 
-/// Free engines assumed when deciding whether a queued prompt can still meet its objective.
+/// Number of free engines assumed when predicting whether a queued prompt can still meet its
+/// objective.
 const EXPECTED_FREE_ENGINES: usize = 6;
 
 /// The memory that a prompt takes, in tokens.
@@ -47,15 +48,15 @@
 impl EnginePlacement<'_> {
     /// Returns the memory that a prompt takes on each of `k` engines: all of it on the
     /// decoding engine, or equal reserved shares if the prompt exceeds one engine.
-    fn memory_demand(&self, demand: &Demand, k: usize) -> MemoryDemand {
+    fn memory_demand(&self, demand: &RequestDemand, k: usize) -> MemoryDemand {
         if !self.exceeds_engine(demand) {
             return MemoryDemand {
-                on_decoder: demand.prompt + demand.answer,
+                on_decoder: demand.prompt_tokens + demand.answer_tokens,
                 per_worker: 0.0,
                 reserve_tokens: None,
             };
         }
-        let share = (demand.prompt + demand.answer) / k as f64 * RESERVATION_MARGIN;
+        let share = (demand.prompt_tokens + demand.answer_tokens) / k as f64 * RESERVATION_MARGIN;
         MemoryDemand {
             on_decoder: share,
             per_worker: share,
@@ -71,7 +72,7 @@
     pub fn place_long(
         &self,
         service: &str,
-        demand: &Demand,
+        demand: &RequestDemand,
         excluded: &[ServerKey],
     ) -> Option<Plan> {
         if self.max_engines(demand) == 1 && demand.crash_risk > 0.0 {
@@ -93,8 +94,8 @@
         let limit = self.max_engines(demand).min(candidates.len());
         let mut best: Option<Plan> = None;
         for k in 1..=limit {
-            let segment_ms = cost.prefill_ms(demand.prompt / k as f64, demand.prompt);
-            let segment_tokens = demand.prompt / k as f64;
+            let segment_ms = cost.prefill_ms(demand.prompt_tokens / k as f64, demand.prompt_tokens);
+            let segment_tokens = demand.prompt_tokens / k as f64;
             let memory = self.memory_demand(demand, k);
             let Some(decoder) =
                 self.choose_decoder(&candidates, &memory, segment_tokens, segment_ms)
@@ -153,14 +154,14 @@
             {
                 continue;
             }
-            let new_engine_penalty_ms = if candidate.in_short_pool {
+            let pool_penalty_ms = if candidate.in_short_pool {
                 0.0
             } else {
-                NEW_LONG_ENGINE_PENALTY_MS
+                NEW_LONG_DECODER_PENALTY_MS
             };
             let ttft_ms = self.ttft_ms(candidate, segment_tokens, segment_ms);
             // Queued segments for other engines are prefilled first.
-            let cost_ms = ttft_ms + candidate.load.remaining_prefill_ms + new_engine_penalty_ms;
+            let cost_ms = ttft_ms + candidate.load.remaining_prefill_ms + pool_penalty_ms;
             if best.is_none_or(|(lowest, _)| cost_ms < lowest) {
                 best = Some((cost_ms, candidate));
             }
@@ -169,38 +170,40 @@
     }
 
     /// Returns the time to first token of a long prompt on idle engines, in milliseconds.
-    pub fn min_ttft_ms(&self, demand: &Demand) -> f64 {
+    pub fn min_ttft_ms(&self, demand: &RequestDemand) -> f64 {
         let limit = self.max_engines(demand).min(EXPECTED_FREE_ENGINES) as f64;
-        let segment_ms = self.cost().prefill_ms(demand.prompt / limit, demand.prompt);
-        segment_ms + self.cost().engine_step_ms(1, demand.prompt)
+        let segment_ms = self
+            .cost()
+            .prefill_ms(demand.prompt_tokens / limit, demand.prompt_tokens);
+        segment_ms + self.cost().engine_step_ms(1, demand.prompt_tokens)
     }
 
-    /// Chooses one engine that serves a late long prompt within `limit_ms`: the one with
-    /// the fewest short requests, then the least prefill.
+    /// Chooses one engine that serves a late long prompt within `limit_ms`: the engine with
+    /// the fewest short requests, then the fewest long ones, then the least prefill.
     ///
-    /// The prompt isn't split: engines prefill segments for others first, so a late prompt
-    /// on one engine yields to those that can still meet their objective.
+    /// The prompt isn't split. Engines prefill segments for other engines first, so an unsplit
+    /// late prompt doesn't delay split prompts that can still meet their objective.
     pub fn place_late(
         &self,
         service: &str,
-        demand: &Demand,
+        demand: &RequestDemand,
         excluded: &[ServerKey],
         limit_ms: f64,
     ) -> Option<Plan> {
         let segment_ms = self.prefill_ms(demand);
-        let tokens = demand.prompt + demand.answer;
+        let tokens = demand.prompt_tokens + demand.answer_tokens;
         let mut best: Option<((usize, usize), f64, Plan)> = None;
         for candidate in &self.candidates(service, excluded) {
-            let ttft_ms = self.ttft_ms(candidate, demand.prompt, segment_ms);
+            let ttft_ms = self.ttft_ms(candidate, demand.prompt_tokens, segment_ms);
             if ttft_ms > limit_ms || !self.has_memory(candidate, tokens) {
                 continue;
             }
             let long = candidate.load.decoding + candidate.load.own_long_prefills;
-            let disturbance = (candidate.load.short, long);
+            let affected = (candidate.load.short, long);
             let busy_ms = candidate.load.remaining_prefill_ms
                 + candidate.failure_penalty_ms
                 + self.crash_penalty_ms(candidate, demand);
-            let order = (disturbance, busy_ms);
+            let order = (affected, busy_ms);
             if best.as_ref().is_some_and(|best| (best.0, best.1) <= order) {
                 continue;
             }
@@ -209,7 +212,7 @@
                 reason: PlacementReason::Late,
                 ..self.single_engine_plan(candidate, demand, segment_ms, ttft_ms)
             };
-            best = Some((disturbance, busy_ms, plan));
+            best = Some((affected, busy_ms, plan));
         }
         best.map(|(_, _, plan)| plan)
     }
@@ -220,7 +223,7 @@
     pub fn place_oversized(
         &self,
         service: &str,
-        demand: &Demand,
+        demand: &RequestDemand,
         excluded: &[ServerKey],
         limit_ms: f64,
         max_segment_ms: f64,
@@ -229,8 +232,8 @@
         candidates.retain(|candidate| !candidate.in_short_pool && candidate.can_prefill());
         let cost = self.cost();
         let sample_segment_ms = cost.prefill_ms(
-            demand.prompt / MAX_ENGINES_PER_REQUEST as f64,
-            demand.prompt,
+            demand.prompt_tokens / MAX_ENGINES_PER_REQUEST as f64,
+            demand.prompt_tokens,
         );
         let penalty = |candidate: &Candidate| {
             self.penalty_ms(candidate, sample_segment_ms) + candidate.failure_penalty_ms
@@ -247,12 +250,12 @@
         let limit = self.max_engines(demand).min(candidates.len() - spare);
         let mut best: Option<Plan> = None;
         for k in 2..=limit {
-            let segment_ms = cost.prefill_ms(demand.prompt / k as f64, demand.prompt);
+            let segment_ms = cost.prefill_ms(demand.prompt_tokens / k as f64, demand.prompt_tokens);
             let memory = self.memory_demand(demand, k);
             let Some((decoder, chosen)) = self.select_with_memory(&candidates, &memory, k) else {
                 continue;
             };
-            let segment_tokens = demand.prompt / k as f64;
+            let segment_tokens = demand.prompt_tokens / k as f64;
             let ttfts = chosen.iter();
             let ttfts = ttfts.map(|candidate| self.ttft_ms(candidate, segment_tokens, segment_ms));
             let ttft_ms = ttfts.fold(0.0, f64::max);
@@ -302,7 +305,7 @@
             let inter_token_ms = candidate
                 .load
                 .tightest_inter_token_ms
-                .min(DEFAULT_INTER_TOKEN_MS);
+                .min(ASSUMED_INTER_TOKEN_MS);
             return (STEP_FRACTION * inter_token_ms - busy).min(MAX_SHARED_SEGMENT_MS);
         }
         if candidate.load.decoding == 0 && candidate.load.own_long_prefills == 0 {
--- a/crates/notchwalk_route/src/placement/mod.rs
+++ b/crates/notchwalk_route/src/placement/mod.rs
@@ -1,12 +1,20 @@
 //! Chooses the server of a request and, for a long prompt, the engines that prefill
 //! segments of it.
 //!
-//! Every choice minimises the expected loss. The value of a request is proportional to its
-//! prompt and output tokens, so that requests of all sizes are comparable. Engine time
-//! would overrate the longest prompts, as attention is quadratic in the prompt length.
+//! A long prompt may be split into equal segments, which several engines prefill at the same
+//! time. One of them decodes; the others are prefill workers.
+//!
+//! Every choice minimises the expected loss: the value of the requests that become late or
+//! are affected by a crash. The value of a request is proportional to its prompt and output
+//! tokens, so that requests of all sizes are comparable. Engine time would overrate the
+//! longest prompts, as attention is quadratic in the prompt length.
+//!
+//! Short requests are placed on as few engines as their number allows, the short pool. The
+//! other engines are free for long prompts.
 //!
 //! An engine prefills segments for other engines before its own prompts, newest segment
-//! first, so a segment added to an engine with unfinished prefill delays all of it.
+//! first. A segment added to an engine with unfinished prefill therefore delays all of that
+//! prefill.
 
 mod call;
 mod long;
@@ -27,17 +35,19 @@
 const POSSIBLY_LATE_RATIO: f64 = 0.75;
 /// Ratio of predicted to allowed time from which a miss is certain.
 const CERTAINLY_LATE_RATIO: f64 = 1.15;
-/// Fraction of an engine's slots filled by short requests before the short pool grows.
+/// Fraction of the slots in the short pool that short requests may occupy before the pool
+/// grows by an engine.
 const SHORT_SLOT_FRACTION: f64 = 0.875;
-/// Extra engines kept in the short pool.
+/// Number of engines in the short pool beyond those needed for the current short requests.
 const SPARE_SHORT_ENGINES: usize = 0;
-/// Prefill backlog that each short request outweighs when engines are ranked for the short
-/// pool, in milliseconds.
+/// Prefill time that weighs as much as one short request when engines are ranked for the
+/// short pool, in milliseconds.
 const SHORT_POOL_AFFINITY_MS: f64 = 40.0;
-/// Loss added for a segment of a long prompt on an engine of the short pool.
+/// Loss added for a segment of a long prompt on an engine of the short pool, in milliseconds
+/// of engine time.
 const SHORT_POOL_PENALTY_MS: f64 = 20.0;
 const MIN_SEGMENT_TOKENS: f64 = 2_500.0;
-/// Upper bound that engines set on the engines named in one request: prefill workers, plus
+/// Maximum number of engines that an engine accepts in one request: the prefill workers, and
 /// the decoding engine if it holds a reservation.
 const MAX_ENGINES_PER_REQUEST: usize = 16;
 /// Mean delay between the decision and the request's arrival at the engine, in
@@ -45,13 +55,13 @@
 const DISPATCH_LATENCY_MS: f64 = 3.0;
 /// Stream events of a typical short answer, used to estimate the wait for a slot.
 const TYPICAL_SHORT_ANSWER_EVENTS: f64 = 25.0;
-/// Value of an output token, in prompt tokens.
+/// Value of an output token as a multiple of the value of a prompt token.
 const OUTPUT_TOKEN_WEIGHT: f64 = 10.0;
-/// Token value equivalent to a millisecond of engine time.
+/// Number of prompt tokens whose value equals a millisecond of engine time.
 const VALUE_TOKENS_PER_MS: f64 = 100.0;
 /// Answer length assumed where it is unknown.
 const DEFAULT_ANSWER_TOKENS: f64 = 1_000.0;
-/// Factor of reserved over estimated memory.
+/// Ratio of reserved to estimated memory.
 const RESERVATION_MARGIN: f64 = 1.03;
 /// Fraction of an engine's memory that prompts may fill; the rest is left for output
 /// tokens.
@@ -86,10 +96,10 @@
     pub reason: PlacementReason,
 }
 
-/// What a request needs, in the units of the cost model.
-pub(crate) struct Demand {
-    pub prompt: f64,
-    pub answer: f64,
+/// The size and the time limits of a request, as inputs of the cost model.
+pub(crate) struct RequestDemand {
+    pub prompt_tokens: f64,
+    pub answer_tokens: f64,
     /// Time left until the first-token objective, in milliseconds.
     pub objective_ms: f64,
     /// Time left until the caller times out, in milliseconds.
@@ -104,17 +114,17 @@
     at.since(now).as_secs_f64() * 1e3
 }
 
-impl Demand {
+impl RequestDemand {
     /// Returns the value of the request, in milliseconds of engine time.
     pub fn value_ms(&self) -> f64 {
-        value_ms(self.prompt, self.answer)
+        value_ms(self.prompt_tokens, self.answer_tokens)
     }
 
     pub fn new(request: &Request, crash_risk: f64, now: Instant) -> Self {
         let facts = &request.facts;
         Self {
-            prompt: f64::from(facts.prompt_tokens),
-            answer: f64::from(facts.answer_tokens),
+            prompt_tokens: f64::from(facts.prompt_tokens),
+            answer_tokens: f64::from(facts.answer_tokens),
             objective_ms: ms_until(request.objective_at(), now).max(1.0),
             caller_timeout_ms: ms_until(request.caller_timeout_at(), now).max(1.0),
             worker_failures: request.prefill_worker_failures,
@@ -142,11 +152,11 @@
     /// Returns whether the engine may prefill a segment for another engine without delaying
     /// its own prompts.
     fn can_prefill(&self) -> bool {
-        /// Keeps the engine busy until its next segment, without delaying many requests.
-        const MAX_QUEUED_PREFILL_MS: f64 = 150.0;
+        /// Remaining prefill that leaves no idle time between segments and delays few requests.
+        const MAX_REMAINING_PREFILL_MS: f64 = 150.0;
         !self.has_low_limit
             && self.load.own_long_prefills == 0
-            && self.load.remaining_prefill_ms <= MAX_QUEUED_PREFILL_MS
+            && self.load.remaining_prefill_ms <= MAX_REMAINING_PREFILL_MS
     }
 }
 
@@ -180,19 +190,19 @@
         EngineCost::new(self.parameters)
     }
 
-    /// Returns over how many engines a prompt may be split.
+    /// Returns the maximum number of engines over which a prompt may be split.
     ///
-    /// Each failure of a prefill worker halves the number: when several engines crash at
-    /// once, a large set nearly always contains another crashed one.
-    fn max_engines(&self, demand: &Demand) -> usize {
-        /// Halvings that reduce any engine count to one.
+    /// Each failure of a prefill worker halves it: when several engines crash at once, a
+    /// large set probably contains another crashed engine.
+    fn max_engines(&self, demand: &RequestDemand) -> usize {
+        /// Number of halvings that reduce the maximum to one engine.
         const MAX_HALVINGS: u32 = usize::BITS - (MAX_ENGINES_PER_REQUEST + 1).leading_zeros();
         let exceeds = self.exceeds_engine(demand);
         // A crash must not affect more than one engine.
         if demand.crash_risk > 0.0 && !exceeds {
             return 1;
         }
-        let by_size = (demand.prompt / MIN_SEGMENT_TOKENS) as usize;
+        let by_size = (demand.prompt_tokens / MIN_SEGMENT_TOKENS) as usize;
         let limit = match exceeds {
             true => MAX_ENGINES_PER_REQUEST,
             false => MAX_ENGINES_PER_REQUEST + 1,
@@ -203,20 +213,21 @@
         )
     }
 
-    /// Returns how many short requests fill an engine before the short pool grows.
+    /// Returns the number of short requests per engine of the short pool.
     fn short_per_engine(&self) -> f64 {
         (f64::from(self.parameters.slots) * SHORT_SLOT_FRACTION).max(1.0)
     }
 
     /// Returns whether a prompt and its answer exceed the memory of one engine.
-    pub fn exceeds_engine(&self, demand: &Demand) -> bool {
-        demand.prompt + demand.answer
+    pub fn exceeds_engine(&self, demand: &RequestDemand) -> bool {
+        demand.prompt_tokens + demand.answer_tokens
             > USABLE_MEMORY_FRACTION * self.parameters.memory_tokens as f64
     }
 
     /// Returns the prefill time of a prompt on one engine, in milliseconds.
-    pub fn prefill_ms(&self, demand: &Demand) -> f64 {
-        self.cost().prefill_ms(demand.prompt, demand.prompt)
+    pub fn prefill_ms(&self, demand: &RequestDemand) -> f64 {
+        self.cost()
+            .prefill_ms(demand.prompt_tokens, demand.prompt_tokens)
     }
 
     fn candidates(&self, service: &str, excluded: &[ServerKey]) -> Vec<Candidate> {
@@ -253,8 +264,8 @@
         let pool =
             ((short + 1) as f64 / self.short_per_engine()).ceil() as usize + SPARE_SHORT_ENGINES;
         let mut order: Vec<usize> = (0..candidates.len()).collect();
-        // Engines with short requests stay in the pool; engines with a long prefill backlog
-        // join it last.
+        // Prefer engines that already run short requests, and engines with little remaining
+        // prefill.
         order.sort_by(|&a, &b| {
             let affinity = |candidate: &Candidate| {
                 candidate.load.short as f64 * SHORT_POOL_AFFINITY_MS
@@ -268,7 +279,7 @@
         candidates
     }
 
-    /// Returns the expected loss of an engine's other requests if its next step takes on
+    /// Returns the expected loss of an engine's other requests if its next step includes
     /// `segment_ms` more prefill.
     fn penalty_ms(&self, candidate: &Candidate, segment_ms: f64) -> f64 {
         let before = candidate.engine_step_ms + candidate.load.remaining_prefill_ms;
@@ -291,7 +302,7 @@
 
     /// Returns the expected loss of an engine's other requests from a crash caused by this
     /// one.
-    fn crash_penalty_ms(&self, candidate: &Candidate, demand: &Demand) -> f64 {
+    fn crash_penalty_ms(&self, candidate: &Candidate, demand: &RequestDemand) -> f64 {
         if demand.crash_risk <= 0.0 {
             return 0.0;
         }
@@ -318,8 +329,8 @@
             + queued
     }
 
-    fn memory_fits(&self, candidate: &Candidate, demand: &Demand) -> bool {
-        self.has_memory(candidate, demand.prompt + demand.answer)
+    fn memory_fits(&self, candidate: &Candidate, demand: &RequestDemand) -> bool {
+        self.has_memory(candidate, demand.prompt_tokens + demand.answer_tokens)
     }
 
     fn has_memory(&self, candidate: &Candidate, tokens: f64) -> bool {
@@ -341,7 +352,7 @@
     fn single_engine_plan(
         &self,
         candidate: &Candidate,
-        demand: &Demand,
+        demand: &RequestDemand,
         segment_ms: f64,
         ttft_ms: f64,
     ) -> Plan {
@@ -362,7 +373,7 @@
         &self,
         chosen: &[&Candidate],
         decoder: ServerKey,
-        demand: &Demand,
+        demand: &RequestDemand,
         segment_ms: f64,
         ttft_ms: f64,
     ) -> Plan {
@@ -404,12 +415,12 @@
     }
 
     /// Chooses the decoding engine: the least loaded one with memory for the whole prompt.
-    /// If there is none, also returns the memory to reserve on each engine, or `None` if
-    /// the shares don't fit either.
+    /// If no engine has enough memory, also returns the number of tokens to reserve on each
+    /// engine. Returns `None` if an engine has too little memory for its share.
     fn choose_split_decoder(
         &self,
         candidates: &[&Candidate],
-        demand: &Demand,
+        demand: &RequestDemand,
     ) -> Option<(ServerKey, Option<u32>)> {
         let order = |a: &&&Candidate, b: &&&Candidate| {
             let a = (a.in_short_pool, a.load.context_tokens);
@@ -425,10 +436,11 @@
         if candidates.len() > MAX_ENGINES_PER_REQUEST {
             return None;
         }
-        let share = (demand.prompt + demand.answer) / candidates.len() as f64 * RESERVATION_MARGIN;
+        let share = (demand.prompt_tokens + demand.answer_tokens) / candidates.len() as f64
+            * RESERVATION_MARGIN;
         let capacity = USABLE_MEMORY_FRACTION * self.parameters.memory_tokens as f64;
-        let mut unchecked = candidates.iter();
-        if !unchecked.all(|candidate| candidate.load.context_tokens + share <= capacity) {
+        let mut engines = candidates.iter();
+        if !engines.all(|candidate| candidate.load.context_tokens + share <= capacity) {
             return None;
         }
         let candidate = candidates.iter().min_by(order)?;
--- a/crates/notchwalk_route/src/placement/short.rs
+++ b/crates/notchwalk_route/src/placement/short.rs
@@ -1,6 +1,8 @@
 //! Placement by least expected loss: short requests, and long ones that can't wait.
 
-use super::{late_loss_fraction, Candidate, Demand, EnginePlacement, Plan, SHORT_POOL_PENALTY_MS};
+use super::{
+    late_loss_fraction, Candidate, EnginePlacement, Plan, RequestDemand, SHORT_POOL_PENALTY_MS,
+};
 use crate::{PlacementReason, ServerKey};
 
 /// Loss per millisecond of time to first token, also within the objective.
@@ -8,16 +10,16 @@
 /// Loss added for a short request on an engine outside the short pool, in milliseconds of
 /// engine time.
 const OUTSIDE_SHORT_POOL_PENALTY_MS: f64 = 40.0;
-/// Fraction of the tightest inter-token objective on an engine that its next step may take
-/// with a late request.
+/// Fraction of the tightest inter-token objective on an engine that its next step may take if
+/// a late request is added.
 const SPARE_STEP_FRACTION: f64 = 0.6;
-/// Longest prompt that is never split. A smaller segment isn't worth the message overhead.
+/// Maximum length of a prompt that is never split, in tokens.
 const MAX_UNSPLIT_TOKENS: f64 = 12_000.0;
 
 impl EnginePlacement<'_> {
-    /// Returns an offset that differs between nodes for the same engine.
+    /// Returns an offset in milliseconds that differs between nodes for the same engine.
     pub(super) fn tie_break_ms(&self, candidate: &Candidate) -> f64 {
-        /// About the step time that one short request adds.
+        /// About the time that one short request adds to an engine step.
         const TIE_BREAK_RANGE_MS: u32 = 30;
         let tag = self.fleet.get(candidate.key).map_or(0, |server| server.tag);
         let mixed = (tag ^ self.salt).wrapping_mul(0x9e37_79b1) >> 16;
@@ -25,10 +27,15 @@
     }
 
     /// Chooses servers for a request; `None` if no server is available.
-    pub fn place(&self, service: &str, demand: &Demand, excluded: &[ServerKey]) -> Option<Plan> {
+    pub fn place(
+        &self,
+        service: &str,
+        demand: &RequestDemand,
+        excluded: &[ServerKey],
+    ) -> Option<Plan> {
         let candidates = self.candidates(service, excluded);
         let single = self.place_on_one(&candidates, demand);
-        if demand.prompt <= MAX_UNSPLIT_TOKENS {
+        if demand.prompt_tokens <= MAX_UNSPLIT_TOKENS {
             return single;
         }
         let split = self.place_split(candidates, demand);
@@ -43,10 +50,12 @@
     pub fn place_spare(
         &self,
         service: &str,
-        demand: &Demand,
+        demand: &RequestDemand,
         excluded: &[ServerKey],
     ) -> Option<Plan> {
-        let segment_ms = self.cost().prefill_ms(demand.prompt, demand.prompt);
+        let segment_ms = self
+            .cost()
+            .prefill_ms(demand.prompt_tokens, demand.prompt_tokens);
         let mut best: Option<Plan> = None;
         for candidate in &self.candidates(service, excluded) {
             let load = &candidate.load;
@@ -58,7 +67,7 @@
             if is_unsuitable {
                 continue;
             }
-            let ttft_ms = self.ttft_ms(candidate, demand.prompt, segment_ms);
+            let ttft_ms = self.ttft_ms(candidate, demand.prompt_tokens, segment_ms);
             let loss_ms =
                 ttft_ms + candidate.failure_penalty_ms + self.crash_penalty_ms(candidate, demand);
             if best.as_ref().is_some_and(|best| best.loss_ms <= loss_ms) {
@@ -73,13 +82,19 @@
         best
     }
 
-    pub(super) fn place_on_one(&self, candidates: &[Candidate], demand: &Demand) -> Option<Plan> {
+    pub(super) fn place_on_one(
+        &self,
+        candidates: &[Candidate],
+        demand: &RequestDemand,
+    ) -> Option<Plan> {
         let value_ms = demand.value_ms();
-        let segment_ms = self.cost().prefill_ms(demand.prompt, demand.prompt);
-        let is_short = demand.prompt <= MAX_UNSPLIT_TOKENS * 2.0;
+        let segment_ms = self
+            .cost()
+            .prefill_ms(demand.prompt_tokens, demand.prompt_tokens);
+        let is_short = demand.prompt_tokens <= MAX_UNSPLIT_TOKENS * 2.0;
         let mut best: Option<Plan> = None;
         for candidate in candidates {
-            let ttft_ms = self.ttft_ms(candidate, demand.prompt, segment_ms);
+            let ttft_ms = self.ttft_ms(candidate, demand.prompt_tokens, segment_ms);
             let mut loss_ms = value_ms * late_loss_fraction(ttft_ms, demand.objective_ms);
             loss_ms += self.penalty_ms(candidate, segment_ms) + candidate.failure_penalty_ms;
             loss_ms += self.crash_penalty_ms(candidate, demand);
@@ -112,12 +127,12 @@
     pub(super) fn place_split(
         &self,
         mut candidates: Vec<Candidate>,
-        demand: &Demand,
+        demand: &RequestDemand,
     ) -> Option<Plan> {
         let cost = self.cost();
         let value_ms = demand.value_ms();
         // Prefer engines on which a long segment causes the least loss.
-        let sample_segment_ms = cost.prefill_ms(demand.prompt / 6.0, demand.prompt);
+        let sample_segment_ms = cost.prefill_ms(demand.prompt_tokens / 6.0, demand.prompt_tokens);
         let mut order: Vec<(f64, Candidate)> = Vec::with_capacity(candidates.len());
         candidates.retain(Candidate::can_prefill);
         for candidate in candidates {
@@ -133,7 +148,7 @@
         let limit = self.max_engines(demand).min(order.len());
         let mut best: Option<Plan> = None;
         for k in 2..=limit {
-            let segment_ms = cost.prefill_ms(demand.prompt / k as f64, demand.prompt);
+            let segment_ms = cost.prefill_ms(demand.prompt_tokens / k as f64, demand.prompt_tokens);
             let mut loss_ms = 0.0;
             let mut ttft_ms: f64 = 0.0;
             for (_, candidate) in &order[..k] {
@@ -145,8 +160,11 @@
                 loss_ms += self.penalty_ms(candidate, segment_ms)
                     + pool_penalty_ms
                     + candidate.failure_penalty_ms;
-                ttft_ms =
-                    ttft_ms.max(self.ttft_ms(candidate, demand.prompt / k as f64, segment_ms));
+                ttft_ms = ttft_ms.max(self.ttft_ms(
+                    candidate,
+                    demand.prompt_tokens / k as f64,
+                    segment_ms,
+                ));
             }
             loss_ms += value_ms * late_loss_fraction(ttft_ms, demand.objective_ms);
             loss_ms += ttft_ms * LATENCY_WEIGHT;
--- a/crates/notchwalk_route/src/request.rs
+++ b/crates/notchwalk_route/src/request.rs
@@ -13,12 +13,13 @@
     pub struct RequestKey;
 }
 
-/// Minimum time without output after which callers abort a stream. The longest of this and
-/// the two multiples below applies.
+/// Callers abort a stream after a time without output, which is at least this long. The
+/// longest of this and the two multiples below applies.
 const MIN_STREAM_TIMEOUT: Duration = Duration::from_secs(2);
-/// The same as a multiple of the latency objective.
+/// Time without output after which callers abort, as a multiple of the latency objective.
 const STREAM_TIMEOUT_PER_OBJECTIVE: u32 = 4;
-/// The same as a multiple of the inter-token latency objective.
+/// Time without output after which callers abort, as a multiple of the inter-token latency
+/// objective.
 const STREAM_TIMEOUT_PER_INTER_TOKEN: u32 = 8;
 
 /// The properties of a request on its arrival.
@@ -52,7 +53,8 @@
     pub first_attempt_at: Instant,
     /// Its service, chosen from those of the route.
     pub service: String,
-    /// Servers that it was sent to.
+    /// Servers that are excluded from further attempts: it was sent to them, they rejected
+    /// a segment or a reservation, or they are outside the subset for its suspected content.
     pub attempted: Vec<ServerKey>,
     /// Number of servers that may have started it.
     pub started_on: u32,
@@ -60,9 +62,9 @@
     pub sends: u32,
     /// Number of sends that failed because of a prefill worker.
     pub prefill_worker_failures: u32,
-    /// The server that it is on.
+    /// The server that it is assigned to.
     pub server: Option<ServerKey>,
-    /// Servers that prefill parts of its prompt.
+    /// Servers that prefill segments of its prompt.
     pub prefill_workers: Vec<ServerKey>,
     /// The assignment to send once its memory is reserved.
     pub pending_assignment: Option<Assignment>,
@@ -104,7 +106,7 @@
         self.facts.route.repeatability != Repeatability::AtMostOnce
     }
 
-    /// Returns when its latency objective ends, counted from the first attempt.
+    /// Returns the end of its latency objective, which starts with the caller's first attempt.
     pub fn objective_at(&self) -> Instant {
         self.first_attempt_at.after(self.facts.route.objective)
     }
--- a/crates/notchwalk_route/src/reservations.rs
+++ b/crates/notchwalk_route/src/reservations.rs
@@ -18,18 +18,18 @@
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(1_500);
 /// Interval between repeated releases.
 const RELEASE_INTERVAL: Duration = Duration::from_millis(1_500);
-/// How long a release is repeated: an order without a response can be carried out up to 12 s
-/// later.
-const RELEASE_FOR: Duration = Duration::from_secs(13);
+/// How long a release is repeated. An order without a response may be carried out up to
+/// 12 s later.
+const RELEASE_REPEAT_TIME: Duration = Duration::from_secs(13);
 
 #[derive(Debug)]
 struct Reservation {
     request: RequestKey,
     order: ReservationOrder,
     renew_at: Instant,
-    /// When the engine releases it unless it is renewed.
+    /// When the engine releases the memory unless the reservation is renewed.
     expires_at: Instant,
-    /// Whether an order for it had no response and may be carried out late.
+    /// Whether an order for this reservation had no response and may be carried out late.
     is_unanswered: bool,
 }
 
@@ -48,7 +48,7 @@
 }
 
 impl Reservations {
-    /// Adds reservations, which are renewed from now on.
+    /// Adds the reservations of a request. [`Self::due`] returns their renewals.
     pub fn add(&mut self, request: RequestKey, orders: &[ReservationOrder], now: Instant) {
         for order in orders {
             self.active.push(Reservation {
@@ -61,8 +61,9 @@
         }
     }
 
-    /// Records that an order had no response. A release is repeated from now on. A
-    /// reservation or renewal may still be carried out after the end of its request.
+    /// Records that an order had no response. A release is repeated. A reservation or
+    /// renewal may still be carried out after its request has ended, so the release at the
+    /// end of the request is repeated too.
     pub fn record_unanswered(&mut self, order: &ReservationOrder, now: Instant) {
         if order.tokens.is_none() {
             self.repeat_release(order.clone(), now);
@@ -96,7 +97,7 @@
         self.releases.push(PendingRelease {
             order,
             repeat_at: now.after(RELEASE_INTERVAL),
-            until: now.after(RELEASE_FOR),
+            until: now.after(RELEASE_REPEAT_TIME),
         });
     }
 
--- a/crates/notchwalk_route/src/retry_budget.rs
+++ b/crates/notchwalk_route/src/retry_budget.rs
@@ -22,12 +22,12 @@
     retries: u32,
 }
 
-/// Fraction of the allowed retries that is used, so that nodes that disagree on their
-/// number stay within the limit together.
+/// Fraction of the allowed retries that is used. It keeps all nodes within the limit while
+/// they have different counts of nodes.
 const USED_FRACTION: f64 = 0.7;
 
-/// Fraction of its slack that a node has at its start, so that the first requests that
-/// meet a failed server can be retried.
+/// Fraction of its slack that a node has at its start, so that the first requests can be
+/// retried if a server has failed.
 const INITIAL_SLACK_FRACTION: f64 = 0.2;
 
 impl RetryBudget {
--- a/crates/notchwalk_route/src/router/ending.rs
+++ b/crates/notchwalk_route/src/router/ending.rs
@@ -97,8 +97,8 @@
         });
     }
 
-    /// Returns the retry delay for a request that no server took: the time until the first
-    /// server accepts requests again.
+    /// Returns the retry delay for a request that no server accepted: the time until a server
+    /// accepts requests again.
     fn server_retry_after(&mut self, key: RequestKey, now: Instant) -> Duration {
         let Some(Some(request)) = self.requests.get(key) else {
             return RETRY_AFTER_NOT_RUN;
@@ -189,8 +189,8 @@
             } => {
                 let at_fault = self.fleet.by_addr(addr);
                 match at_fault.filter(|&at_fault| at_fault != server) {
-                    // A worker that rejects a segment is unreachable, draining or full, and
-                    // would fail the next prompt too.
+                    // A worker that rejects a segment is unreachable, draining or full. It
+                    // would reject the next segment too.
                     Some(worker) => {
                         self.fleet.record_unreachable(worker, now);
                         None
@@ -211,10 +211,10 @@
             }
             AttemptEnd::ConnectionLost | AttemptEnd::InvalidResponse => Some(server),
             AttemptEnd::TimedOut => {
-                if let Some(inter_token) = self.fleet.record_timeout(server, now) {
+                if let Some(ejection) = self.fleet.record_timeout(server, now) {
                     out.push(Effect::Ejected {
                         server,
-                        duration: inter_token,
+                        duration: ejection,
                     });
                 }
                 None
@@ -223,10 +223,10 @@
         let Some(at_fault) = at_fault else {
             return;
         };
-        if let Some(inter_token) = self.fleet.record_failure(at_fault, now) {
+        if let Some(ejection) = self.fleet.record_failure(at_fault, now) {
             out.push(Effect::Ejected {
                 server: at_fault,
-                duration: inter_token,
+                duration: ejection,
             });
         }
     }
--- a/crates/notchwalk_route/src/router/limits.rs
+++ b/crates/notchwalk_route/src/router/limits.rs
@@ -1,4 +1,4 @@
-//! Requests for services whose servers announce rate limits: which of them may be queued,
+//! Requests for services whose servers announce rate limits: which requests may be queued,
 //! and for how long.
 
 use std::time::Duration;
@@ -9,11 +9,11 @@
 use super::Router;
 use crate::{request::Request, Effect, LimitUpdate, RequestKey};
 
-/// Fraction of the caller's remaining timeout within which a late request must be sent to
-/// be queued. The rest is left for the answer.
+/// Fraction of the caller's remaining timeout that a late request may spend in the queue.
+/// The rest is left for the answer.
 const MAX_LATE_WAIT_FRACTION: f64 = 0.75;
-/// Random addition to retry delays, as a fraction, so that refused callers don't retry in
-/// step.
+/// Random addition to retry delays, as a fraction, so that refused callers don't all retry
+/// at the same time.
 const RETRY_JITTER: f64 = 0.25;
 
 /// Counts the requests queued ahead for each service during one scan of the queue.
--- a/crates/notchwalk_route/src/router/mod.rs
+++ b/crates/notchwalk_route/src/router/mod.rs
@@ -32,8 +32,8 @@
     ServerNotice, Service, SiteConfig,
 };
 
-/// Time after which the work reported by a silent peer expires, if the driver has not
-/// removed the peer before.
+/// Time without updates after which a peer's work expires, if the driver has not removed
+/// the peer before.
 const PEER_WORK_TTL: Duration = Duration::from_secs(10);
 /// Minimum time left to the deadline for another attempt.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(60);
@@ -68,7 +68,7 @@
     fleet: Fleet,
     load_view: LoadView,
     retry_budget: RetryBudget,
-    /// Number of nodes that share fleet-wide allowances, if known.
+    /// Number of nodes that share the retry slack, if known.
     node_count: Option<u32>,
     requests: SlotMap<RequestKey, Option<Request>>,
     reservations: Reservations,
@@ -139,7 +139,7 @@
         self.fleet.take_draining_updates()
     }
 
-    /// Returns the load view: the work on all servers, as far as it is known.
+    /// Returns the load view: the known work on all servers.
     pub fn load_view(&self) -> &LoadView {
         &self.load_view
     }
@@ -157,11 +157,11 @@
         self.own_work(changed.into_iter(), now)
     }
 
-    /// Returns this node's own work on all servers that ever had work. Servers without any
-    /// work are left out, since there is no state to correct.
+    /// Returns this node's own work on all servers that ever had work. Peers have no state to
+    /// correct about the others.
     pub fn all_own_work(&self, now: Instant) -> (Vec<u32>, Vec<crate::PeerWork>) {
         let servers = self.fleet.iter().map(|(key, _)| key);
-        self.own_work(servers.filter(|&key| self.load_view.has_seen(key)), now)
+        self.own_work(servers.filter(|&key| self.load_view.has_had_work(key)), now)
     }
 
     fn own_work(
@@ -303,7 +303,7 @@
             if let Some(ended) = self.fleet.ended_incarnation(removed.key) {
                 self.reservations.remove_at(ended.addr);
             }
-            // The end of a draining server is no evidence about a request.
+            // The end of a draining server is not a crash.
             if !removed.was_draining {
                 self.quarantine.record_server_ended(removed.tag, false, now);
             }
--- a/crates/notchwalk_route/src/router/reserving.rs
+++ b/crates/notchwalk_route/src/router/reserving.rs
@@ -23,7 +23,7 @@
             "{}-{}-{}",
             self.config.name, self.config.seed, self.reservation_number
         );
-        // The decoding engine holds a segment too.
+        // The decoding engine prefills a segment too.
         let decoder = PrefillWorker {
             addr: assignment.addr,
             reservation: None,
@@ -61,7 +61,7 @@
         out: &mut Vec<Effect>,
     ) {
         let Some(Some(request)) = self.requests.get_mut(key) else {
-            // The caller disconnected and the memory was released.
+            // The caller disconnected, and the memory was released.
             return;
         };
         let Some(assignment) = request.pending_assignment.take() else {
@@ -114,9 +114,9 @@
         });
     }
 
-    /// Releases the memory of requests that had not started decoding on a server that is no
-    /// longer registered. An unresponsive server is not detected otherwise, and the
-    /// reservations would be renewed past the end of the request.
+    /// Releases the memory of requests that have not started decoding on a server that was
+    /// deregistered. If the server is unresponsive but keeps its connections open, the
+    /// reservations would otherwise be renewed until the deadline of the request.
     pub(super) fn release_unstarted_reservations(
         &mut self,
         server: ServerKey,
@@ -145,8 +145,8 @@
         }
     }
 
-    /// Sends a reservation order, regardless of the engine's rate limit: an unreleased or
-    /// lapsed reservation costs more than one message.
+    /// Sends a reservation order, regardless of the engine's rate limit. A missed release
+    /// would block memory, and a missed renewal would abort the request.
     pub(super) fn send_order(
         &mut self,
         order: ReservationOrder,
--- a/crates/notchwalk_route/src/router/sending.rs
+++ b/crates/notchwalk_route/src/router/sending.rs
@@ -8,7 +8,7 @@
 use super::{after_ms, Router};
 use crate::{
     load_view::{Owner, Work, DEFAULT_INTER_TOKEN_MS},
-    placement::{place_call, Demand, Plan},
+    placement::{place_call, Plan, RequestDemand},
     request::Request,
     Assignment, Effect, PrefillWorker, Refusal, RequestFacts, RequestKey, WorkPhase,
 };
@@ -16,7 +16,7 @@
 /// Default priorities on the server, 0 first.
 const SHORT_PRIORITY: u8 = 2;
 const LONG_PRIORITY: u8 = 5;
-/// Prompts with more tokens than this get the priority of long requests.
+/// Maximum number of prompt tokens of a request with the priority of short requests.
 const LONG_PROMPT_TOKENS: u32 = 24_000;
 
 impl Router {
@@ -69,8 +69,8 @@
         String::new()
     }
 
-    pub(super) fn demand(&self, request: &Request, now: Instant) -> Demand {
-        Demand::new(request, self.crash_risk(request, now), now)
+    pub(super) fn demand(&self, request: &Request, now: Instant) -> RequestDemand {
+        RequestDemand::new(request, self.crash_risk(request, now), now)
     }
 
     pub(super) fn plan(&self, request: &Request, now: Instant) -> Option<Plan> {
@@ -158,9 +158,9 @@
         request.attempted.push(plan.primary.server);
         request.started = false;
         request.sends += 1;
-        let inter_token = request.facts.route.inter_token_objective;
-        let inter_token_ms = inter_token.map_or(DEFAULT_INTER_TOKEN_MS, |inter_token| {
-            inter_token.as_secs_f64() * 1e3
+        let objective = request.facts.route.inter_token_objective;
+        let inter_token_ms = objective.map_or(DEFAULT_INTER_TOKEN_MS, |objective| {
+            objective.as_secs_f64() * 1e3
         });
         let prompt = f64::from(request.facts.prompt_tokens);
         let reserved = plan.reserve_tokens.map(f64::from);
@@ -233,11 +233,11 @@
     (by_size + facts.workspace_priority.min(2)).min(9)
 }
 
-/// Returns how long a server may stay silent before the request is sent to another one;
-/// `None` if the request may run only once.
+/// Returns the timeout for the first event, after which the request is sent to another
+/// server; `None` if the request may run only once.
 fn first_event_timeout(request: &Request, now: Instant) -> Option<Duration> {
-    /// Stream callers time out after 2 s at the earliest. This leaves time for another
-    /// attempt.
+    /// Leaves time for another attempt: callers of streams time out after 2 s at the
+    /// earliest.
     const MIN_STREAM_TIMEOUT: Duration = Duration::from_millis(1_500);
     const MIN_CALL_TIMEOUT: Duration = Duration::from_millis(900);
     if !request.may_repeat() {
@@ -257,13 +257,15 @@
     Some((request.predicted_first_event.since(now) * 2).max(min_timeout))
 }
 
-/// Returns how long a stream may stall before it is resumed on another server.
+/// Returns the timeout between two events of a stream, after which it is resumed on another
+/// server; `None` if the route has no inter-token objective or the request may run only
+/// once.
 fn inter_token_timeout(request: &Request) -> Option<Duration> {
-    /// Stream callers time out after 2 s at the earliest.
+    /// Callers of streams time out after 2 s at the earliest.
     const MIN_TIMEOUT: Duration = Duration::from_millis(1_200);
     if !request.may_repeat() {
         return None;
     }
-    let inter_token = request.facts.route.inter_token_objective?;
-    Some((inter_token * 4).max(MIN_TIMEOUT))
+    let objective = request.facts.route.inter_token_objective?;
+    Some((objective * 4).max(MIN_TIMEOUT))
 }
--- a/crates/notchwalk_route/src/router/suspects.rs
+++ b/crates/notchwalk_route/src/router/suspects.rs
@@ -1,7 +1,7 @@
 //! Attributes server crashes to request contents and enforces quarantines.
 //!
-//! Guards against requests that crash every server they run on and are repeated at any
-//! node.
+//! Guards against a request that crashes every server it runs on, and that its caller
+//! repeats at any node.
 
 use std::time::Duration;
 
@@ -119,8 +119,8 @@
                 at_fault: Some(addr),
                 ..
             } => {
-                // The segment may have crashed the worker, if the worker was alive when it
-                // was sent.
+                // The segment may have crashed the worker, if the worker was alive when the
+                // segment was sent.
                 let worker = self.fleet.by_addr(addr).filter(|&key| key != server);
                 let was_alive = |&key: &ServerKey| self.fleet.has_responded_since(key, sent_at);
                 match worker.filter(was_alive).and_then(|key| self.tag(key)) {
@@ -165,10 +165,10 @@
     /// its content. Otherwise nodes that lose requests in the same crash would all retry on
     /// the same server, and harmless contents would be quarantined too.
     pub(super) fn restrict_suspect(&mut self, key: RequestKey, now: Instant) {
-        /// The subset holds one in this many servers, with a minimum that leaves a choice
-        /// by load.
+        /// Number of available servers per server of the subset.
         const SERVERS_PER_CANDIDATE: usize = 4;
-        const MIN_SERVERS: usize = 3;
+        /// Minimum size of the subset, so that the load can still be balanced.
+        const MIN_CANDIDATES: usize = 3;
         let Some(Some(request)) = self.requests.get(key) else {
             return;
         };
@@ -191,7 +191,7 @@
             tag_of(&format!("{content}/{tag}"))
         });
         let candidates = (servers.len() / SERVERS_PER_CANDIDATE)
-            .max(MIN_SERVERS)
+            .max(MIN_CANDIDATES)
             .min(servers.len());
         let others = servers.split_off(candidates);
         if let Some(Some(request)) = self.requests.get_mut(key) {
@@ -207,8 +207,8 @@
         now: Instant,
     ) {
         self.quarantine.apply_updates(peer, updates, now);
-        for item in updates {
-            let QuarantineUpdate::Crashed { content, .. } = *item else {
+        for update in updates {
+            let QuarantineUpdate::Crashed { content, .. } = *update else {
                 continue;
             };
             // The peer's count doesn't include runs on this node.
@@ -243,7 +243,7 @@
         self.remove_request(key, now, out);
     }
 
-    /// Requests probes of servers whose connections broke, to detect crashes.
+    /// Emits checks of servers whose connections broke, to detect crashes.
     pub(super) fn probe_servers(&mut self, now: Instant, out: &mut Vec<Effect>) {
         for server in self.quarantine.take_probes(now) {
             let server_key = self.fleet.by_tag(server);
--- a/crates/notchwalk_route/src/router/waiting.rs
+++ b/crates/notchwalk_route/src/router/waiting.rs
@@ -1,9 +1,9 @@
 //! Decides whether a request is sent now, queued or refused.
 //!
-//! Decisions compare the current values only. A request that can meet its objective is sent
-//! once its value exceeds the loss it causes to others. A late request is sent where it
-//! causes little loss, and at the latest before its caller times out. It is refused if no
-//! server can answer before then.
+//! Decisions depend on the current load only. A request that can meet its objective is sent
+//! once its value exceeds the loss that it causes to other requests. A late request is sent
+//! where it causes little loss, and at the latest before its caller times out. It is refused
+//! if no server can answer before then.
 
 use std::time::Duration;
 
@@ -11,19 +11,21 @@
 
 use super::{limits::QueuedAhead, suspects::ContentCheck, Router};
 use crate::{
-    placement::{Demand, EnginePlacement, Plan},
+    placement::{EnginePlacement, Plan, RequestDemand},
     request::Request,
     wait_queue::QueuedRequest,
     Availability, Effect, PlacementReason, Refusal, RequestKey,
 };
 
-/// Limit on the loss caused to others by a late long prompt, as a fraction of its value.
+/// Limit on the loss that a late long prompt causes to other requests, as a fraction of its
+/// value.
 const MAX_LATE_LOSS: f64 = 0.1;
 /// A late prompt may stay queued while its prefill takes less than this fraction of the
 /// caller's remaining timeout.
 const MAX_LATE_WAIT_FRACTION: f64 = 0.5;
-/// Limit on the loss caused to others by an oversized prompt (one that exceeds the memory of
-/// an engine) that meets its objective, as a fraction of its value.
+/// Limit on the loss that an oversized prompt causes to other requests if it meets its
+/// objective, as a fraction of its value. An oversized prompt exceeds the memory of one
+/// engine.
 const MAX_OVERSIZED_LOSS: f64 = 0.2;
 /// Fraction of the remaining objective that the predicted time to first token of an
 /// oversized prompt may take. The prediction depends on many engines finishing together.
@@ -31,24 +33,25 @@
 /// Longest segment of a late oversized prompt, in milliseconds. Its engines are unavailable
 /// to new requests for that long.
 const MAX_LATE_SEGMENT_MS: f64 = 2_500.0;
-/// Time kept for decoding a late answer, in inter-token objectives.
+/// Time reserved for decoding a late answer, as a multiple of the inter-token objective.
 const LATE_DECODE_INTERVALS: u32 = 3;
 /// A request of a workspace over its share is sent at once if its predicted time to first
-/// token is within this fraction of the remaining objective. Predictions exceed it once all
-/// slots are taken.
+/// token is within this fraction of the remaining time to its objective. While all slots
+/// are occupied, the predicted time is longer.
 const SAFE_OBJECTIVE_FRACTION: f64 = 0.65;
-/// Slots of this node's share of a service per queued request of a workspace over its
-/// share. Requests beyond that would time out in the queue.
+/// While the queue is longer than this node's share of a service's slots divided by this
+/// number, requests of workspaces over their share are refused. They would time out in the
+/// queue.
 const SLOTS_PER_QUEUED_REQUEST: u32 = 4;
 /// Factor by which a late request's time to first token may exceed the prediction.
 const PREDICTION_MARGIN: f64 = 1.3;
-/// Margin kept of the caller's timeout, in milliseconds: two ticks of the driver and
-/// network delays.
+/// Margin subtracted from the caller's timeout, in milliseconds, for two ticks of the driver
+/// and network delays.
 const CALLER_TIMEOUT_MARGIN_MS: f64 = 100.0;
 
 /// What to do with a request.
 enum Decision {
-    /// Keep it queued.
+    /// Leave it queued.
     Wait,
     /// Send it; `None` if no server is available.
     Send(Option<Plan>),
@@ -120,17 +123,17 @@
         self.decide_short(request, &placement, &demand, now)
     }
 
-    /// Decides about a short request.
+    /// Decides whether a short request is sent, queued or refused.
     ///
-    /// Three kinds of requests wait for spare capacity: late ones, ones that would be late
-    /// on every server, and ones of a workspace over its share once slots are taken. Sent
-    /// at once, they would make other requests late. Requests of a workspace over its share
-    /// are refused if the queue is already longer than can be served.
+    /// A request waits for spare capacity if it is late, if it would be late on every
+    /// server, or if its workspace is over its share and slots are scarce. If it were sent
+    /// at once, it would make other requests late. A request of a workspace over its share is
+    /// refused if the queue is full.
     fn decide_short(
         &self,
         request: &Request,
         placement: &EnginePlacement<'_>,
-        demand: &Demand,
+        demand: &RequestDemand,
         now: Instant,
     ) -> Decision {
         let plan = self.plan(request, now);
@@ -174,7 +177,7 @@
         &self,
         request: &Request,
         placement: &EnginePlacement<'_>,
-        demand: &Demand,
+        demand: &RequestDemand,
         now: Instant,
     ) -> Decision {
         let in_time = self
@@ -189,12 +192,12 @@
         self.decide_late(request, placement, demand, now)
     }
 
-    /// Returns a plan that meets the objective at little loss to others.
+    /// Returns a plan that meets the objective and causes little loss to other requests.
     fn plan_in_time(
         &self,
         request: &Request,
         placement: &EnginePlacement<'_>,
-        demand: &Demand,
+        demand: &RequestDemand,
     ) -> Option<Plan> {
         let (service, excluded) = (&request.service, &request.attempted);
         let left_ms = demand.objective_ms;
@@ -208,14 +211,15 @@
         (plan.loss_ms <= MAX_OVERSIZED_LOSS * plan.value_ms).then_some(plan)
     }
 
-    /// Decides about a prompt that can no longer meet its objective. It is sent once its
-    /// late answer is worth more than the loss it causes to others. Sending late prompts
-    /// regardless of cost during a burst would make other requests late as well.
+    /// Decides whether a prompt that can no longer meet its objective is sent, queued or
+    /// refused. It is sent once it causes little loss to other requests, or when it can
+    /// wait no longer. Sending all late prompts of a burst at once would make other
+    /// requests late as well.
     fn decide_late(
         &self,
         request: &Request,
         placement: &EnginePlacement<'_>,
-        demand: &Demand,
+        demand: &RequestDemand,
         now: Instant,
     ) -> Decision {
         let (service, excluded) = (&request.service, &request.attempted);
@@ -247,13 +251,13 @@
     /// Returns a plan that meets the objective although it makes other requests late, if
     /// the request's value justifies that.
     fn plan_urgent(&self, request: &Request, now: Instant) -> Option<Plan> {
-        /// Limit on the loss caused to others, as a fraction of the request's value.
+        /// Limit on the loss caused to other requests, as a fraction of the request's value.
         const MAX_LOSS_FRACTION: f64 = 0.3;
         let left_ms = request.objective_at().since(now).as_secs_f64() * 1e3;
         let mut plan = self.plan(request, now)?;
         plan.reason = PlacementReason::Urgent;
-        let is_worthwhile = plan.loss_ms <= MAX_LOSS_FRACTION * plan.value_ms;
-        (plan.ttft_ms <= left_ms && is_worthwhile).then_some(plan)
+        let is_loss_acceptable = plan.loss_ms <= MAX_LOSS_FRACTION * plan.value_ms;
+        (plan.ttft_ms <= left_ms && is_loss_acceptable).then_some(plan)
     }
 
     /// Returns how long the caller of a late request still waits for its first token, in
@@ -269,7 +273,7 @@
     /// Returns the prefill time of a request's prompt in milliseconds, if it is long enough
     /// to be queued for engines with headroom.
     fn long_prefill_ms(&self, request: &Request, now: Instant) -> Option<f64> {
-        /// Prefill time that fits into a step with short requests.
+        /// Maximum prefill time that fits into an engine step with short requests.
         const MAX_SHORT_PREFILL_MS: f64 = 200.0;
         /// Requests with a shorter objective are not queued.
         const MIN_OBJECTIVE: Duration = Duration::from_millis(800);
--- a/crates/notchwalk_route/src/site.rs
+++ b/crates/notchwalk_route/src/site.rs
@@ -100,7 +100,7 @@
     pub pair_ms_per_million: f64,
     /// Maximum number of prompt tokens that are prefilled in one token step.
     pub chunk_tokens: u32,
-    /// Time added to a token step if a prompt is split over several engines, in
+    /// Time added to a token step if the prompt is split over several engines, in
     /// milliseconds.
     pub hop_ms: f64,
 }
--- a/crates/notchwalk_route/tests/decisions/common.rs
+++ b/crates/notchwalk_route/tests/decisions/common.rs
@@ -1,4 +1,4 @@
-//! A router with a small fleet, and helpers to send it events.
+//! A router with a small fleet, and functions that send it events.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -117,7 +117,7 @@
     pub effects: Vec<Effect>,
     /// Workspace of the requests that arrive.
     pub workspace: WorkspaceTag,
-    /// Content of the requests that arrive; `None` gives each one different content.
+    /// Content of the requests that arrive; `None` gives each request different content.
     pub content: Option<Fingerprint>,
     arrivals: u64,
 }
@@ -127,13 +127,14 @@
         Self::with_engines("entry-1", 18)
     }
 
-    /// Builds a rig whose node has run long enough to have received its peers' work.
+    /// Creates the router of a node that has run long enough to receive its peers' work.
     pub fn with_engines(name: &str, engines: u8) -> Self {
         let mut rig = Self::just_started(name, engines);
         rig.advance(Duration::from_secs(5));
         rig
     }
 
+    /// Creates the router of a node that has just started.
     pub fn just_started(name: &str, engines: u8) -> Self {
         let router = Router::new(RouterConfig {
             name: name.to_owned(),
--- a/crates/notchwalk_route/tests/decisions/engine_cost.rs
+++ b/crates/notchwalk_route/tests/decisions/engine_cost.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn parts_share_the_attention_cost_of_the_prompt() {
+fn segments_share_the_attention_cost_of_the_prompt() {
     let parameters = parameters();
     let cost = EngineCost::new(&parameters);
     let whole = cost.prefill_ms(200_000.0, 200_000.0);
--- a/crates/notchwalk_route/tests/decisions/groups.rs
+++ b/crates/notchwalk_route/tests/decisions/groups.rs
@@ -38,7 +38,7 @@
     }
 }
 
-/// Groups of too few engines serve less than all engines together.
+/// Guards against groups with too few engines, which serve fewer requests in total.
 #[test]
 fn few_servers_are_not_divided_among_many_nodes() {
     for position in 0..76 {
@@ -90,7 +90,7 @@
     }
 }
 
-/// A node uses the engines of its group, and all engines if those are unreachable.
+/// A node uses the engines of its group, or all engines while those are unreachable.
 #[test]
 fn unreachable_group_falls_back_to_all_servers() {
     let mut rig = TestRouter::with_engines("entry-1", 32);
@@ -100,7 +100,7 @@
     }
     let own = count_by_server(&rig.take_sends());
     assert!(own.len() <= 8, "{own:?}");
-    // From here on they are unreachable.
+    // From here on the engines of the group are unreachable.
     let mut used = own.len();
     for _ in 0..200 {
         let request = rig.arrive("/short/", 5_000);
--- a/crates/notchwalk_route/tests/decisions/limits.rs
+++ b/crates/notchwalk_route/tests/decisions/limits.rs
@@ -47,7 +47,7 @@
     server.and_then(|s| s.limit()).map(RateLimit::rate)
 }
 
-fn allowance(rig: &TestRouter, service: &str, number: u8) -> f64 {
+fn available_requests(rig: &TestRouter, service: &str, number: u8) -> f64 {
     let server = rig.router.fleet().get(server_key(rig, service, number));
     server
         .and_then(|s| s.available_requests(rig.now))
@@ -55,7 +55,7 @@
 }
 
 /// Uses up the limits of `servers` servers with one request each.
-fn spend(rig: &mut TestRouter, path: &str, tokens: u32, servers: usize) {
+fn use_up_limits(rig: &mut TestRouter, path: &str, tokens: u32, servers: usize) {
     for _ in 0..servers {
         let request = rig.arrive(path, tokens);
         rig.end_attempt(request, AttemptEnd::Delivered { is_success: true });
@@ -101,7 +101,7 @@
     let mut rig = TestRouter::with_engines("entry-1", 3);
     announce_all(&mut rig, service, 3, 1.0);
     rig.advance(5 * SECOND);
-    spend(&mut rig, path, tokens, 2);
+    use_up_limits(&mut rig, path, tokens, 2);
     let request = rig.arrive(path, tokens);
     assert_eq!(rig.take_sends().len(), 1);
     if tokens > 0 {
@@ -120,14 +120,14 @@
     rig.now.since(failed_at)
 }
 
-/// A refusal would fail the request for good, as it may have run.
+/// A refusal would be final, since the request may have run.
 #[test]
 fn retry_waits_until_the_limits_of_other_servers_allow_it() {
     let after = time_until_second_attempt(PLAIN_SERVICE, "/again/", 0);
     assert!(after > Duration::from_millis(700), "{after:?}");
 }
 
-/// A refusal would leave the caller with half a response.
+/// A refusal would leave the caller with an incomplete response.
 #[test]
 fn stream_is_resumed_once_the_limits_of_other_servers_allow_it() {
     let after = time_until_second_attempt(ENGINES, "/short/", 3_000);
@@ -150,11 +150,13 @@
 }
 
 #[test]
-fn parts_and_reservation_orders_count_against_the_limit() {
+fn segments_and_reservation_orders_count_against_the_limit() {
     let mut rig = TestRouter::new();
     announce_all(&mut rig, ENGINES, 18, 40.0);
     rig.advance(5 * SECOND);
-    let before: Vec<f64> = (0..18).map(|n| allowance(&rig, ENGINES, n)).collect();
+    let before: Vec<f64> = (0..18)
+        .map(|n| available_requests(&rig, ENGINES, n))
+        .collect();
     let request = rig.arrive("/long/", 600_000);
     let reserve = |effect: &Effect| match effect {
         Effect::Reserve { orders, .. } => Some(orders.clone()),
@@ -168,14 +170,14 @@
     let number = (0..18).find(|&n| record(ENGINES, n).addr == orders[0].addr);
     let number = number.expect("no engine at that address");
     let at_start = before[usize::from(number)];
-    // The reservation order, and the request or its part.
-    assert!((allowance(&rig, ENGINES, number) - (at_start - 2.0)).abs() < 0.01);
+    // The reservation order, and the request or its segment.
+    assert!((available_requests(&rig, ENGINES, number) - (at_start - 2.0)).abs() < 0.01);
     let addr = orders[0].addr;
     let unreachable = false;
     let failed = vec![notchwalk_route::FailedReservation { addr, unreachable }];
     rig.step(Event::Reserved { request, failed });
-    // The part was not sent. Releasing the memory counts, even beyond the limit.
-    assert!((allowance(&rig, ENGINES, number) - (at_start - 2.0)).abs() < 0.01);
+    // The request or segment was not sent. The release order counts, even beyond the limit.
+    assert!((available_requests(&rig, ENGINES, number) - (at_start - 2.0)).abs() < 0.01);
 }
 
 #[test]
@@ -184,13 +186,13 @@
         let mut rig = TestRouter::new();
         announce_all(&mut rig, PLAIN_SERVICE, 3, 1.0);
         rig.advance(5 * SECOND);
-        let full = allowance(&rig, PLAIN_SERVICE, 0);
+        let full = available_requests(&rig, PLAIN_SERVICE, 0);
         let request = rig.arrive("/again/", 0);
         let to = rig.take_only_send().instance;
         rig.end_attempt(request, end);
         let number = (0..3).find(|&n| record(PLAIN_SERVICE, n).instance == to);
         let number = number.expect("no such server");
-        let left = allowance(&rig, PLAIN_SERVICE, number);
+        let left = available_requests(&rig, PLAIN_SERVICE, number);
         let sent_there_again = rig
             .take_sends()
             .iter()
@@ -216,7 +218,8 @@
     });
 }
 
-/// A node without a response from the server would exceed its limit.
+/// Guards against exceeding the limit at a node that has received no response from the
+/// server.
 #[test]
 fn limits_from_peers_apply_and_are_not_rebroadcast() {
     let mut first = TestRouter::with_engines("entry-1", 3);
@@ -234,8 +237,8 @@
     assert_eq!(limit(&second, PLAIN_SERVICE, 0), None);
 }
 
-/// A restarted node that was the only one with responses from a server would exceed its
-/// limit if peers did not return what it had published.
+/// Guards against exceeding a limit after a restart of the only node that has received a
+/// response from the server.
 #[test]
 fn restarted_node_receives_its_own_limits_from_peers() {
     let mut first = TestRouter::with_engines("entry-1", 3);
@@ -261,9 +264,9 @@
     let mut rig = TestRouter::new();
     announce(&mut rig, PLAIN_SERVICE, 0, 2.0);
     rig.advance(5 * SECOND);
-    let full = allowance(&rig, PLAIN_SERVICE, 0);
+    let full = available_requests(&rig, PLAIN_SERVICE, 0);
     let server = updates(&rig)[0].server;
-    let mut allowance_after = |sent| {
+    let mut available_after = |sent| {
         let limits = vec![LimitUpdate {
             server,
             observed: None,
@@ -278,22 +281,22 @@
             is_in_group: true,
             updates: limits,
         });
-        allowance(&rig, PLAIN_SERVICE, 0)
+        available_requests(&rig, PLAIN_SERVICE, 0)
     };
     // The first counter only sets the baseline.
-    assert!((allowance_after(70) - full).abs() < 0.01);
-    assert!((allowance_after(73) - (full - 3.0)).abs() < 0.01);
+    assert!((available_after(70) - full).abs() < 0.01);
+    assert!((available_after(73) - (full - 3.0)).abs() < 0.01);
     // A repeated datagram, and a lost one.
-    assert!((allowance_after(73) - (full - 3.0)).abs() < 0.01);
-    assert!((allowance_after(75) - (full - 5.0)).abs() < 0.01);
+    assert!((available_after(73) - (full - 3.0)).abs() < 0.01);
+    assert!((available_after(75) - (full - 5.0)).abs() < 0.01);
     // The peer has restarted.
-    assert!((allowance_after(0) - (full - 5.0)).abs() < 0.01);
-    assert!((allowance_after(1) - (full - 6.0)).abs() < 0.01);
+    assert!((available_after(0) - (full - 5.0)).abs() < 0.01);
+    assert!((available_after(1) - (full - 6.0)).abs() < 0.01);
 }
 
 /// An unreachable peer may still be sending.
 #[test]
-fn unreachable_nodes_keep_their_share() {
+fn shares_of_unreachable_nodes_are_not_used() {
     let mut rig = TestRouter::new();
     rig.step(Event::LimitSharing(LimitSharing::new("entry-1", 4, 1)));
     announce_all(&mut rig, PLAIN_SERVICE, 3, 4.0);
@@ -316,19 +319,19 @@
     assert_eq!(
         limit(&rig, PLAIN_SERVICE, 0),
         Some(2.0),
-        "an older response without a limit"
+        "an older response without a limit must not apply"
     );
     announce_aged(&mut rig, PLAIN_SERVICE, 0, Some(5.0), age(300));
     assert_eq!(
         limit(&rig, PLAIN_SERVICE, 0),
         Some(2.0),
-        "an older response with a higher limit"
+        "an older response with a higher limit must not apply"
     );
     announce_aged(&mut rig, PLAIN_SERVICE, 0, Some(1.0), age(300));
     assert_eq!(
         limit(&rig, PLAIN_SERVICE, 0),
         Some(1.0),
-        "an older response with a lower limit"
+        "an older response with a lower limit must apply"
     );
     announce_aged(&mut rig, PLAIN_SERVICE, 0, Some(5.0), age(50));
     assert_eq!(limit(&rig, PLAIN_SERVICE, 0), Some(5.0));
@@ -344,7 +347,7 @@
     assert_eq!(limit(&rig, PLAIN_SERVICE, 0), None);
 }
 
-/// A peer that has not yet learned of the end of a limit still publishes it.
+/// A peer publishes a limit until it receives the update that ends it.
 #[test]
 fn outdated_update_of_a_peer_does_not_restore_a_limit() {
     let mut first = TestRouter::with_engines("entry-1", 3);
@@ -429,7 +432,7 @@
     }
 }
 
-/// A quarantined request is refused as such, not for the limit.
+/// A quarantined request is refused because of its quarantine, not because of the limit.
 #[test]
 fn quarantine_takes_precedence_over_a_limit() {
     let mut rig = TestRouter::new();
@@ -446,7 +449,7 @@
     assert_eq!(rig.refusals(), [Refusal::Quarantined]);
 }
 
-/// Probes of a failed server must not exceed its limit.
+/// Guards against probes of a failed server that exceed its limit.
 #[test]
 fn failed_server_is_probed_within_its_limit() {
     let mut rig = TestRouter::new();
@@ -480,7 +483,7 @@
     announce_all(&mut rig, PLAIN_SERVICE, 3, 4.0);
     rig.advance(5 * SECOND);
     let requests: Vec<_> = (0..12).map(|_| rig.arrive("/again/", 0)).collect();
-    assert_eq!(rig.take_sends().len(), 3, "one for each server");
+    assert_eq!(rig.take_sends().len(), 3, "one request for each server");
     let refusals: Vec<_> = requests.iter().map(|&r| refused(&rig, r)).collect();
     let waiting = refusals[3..].iter().take_while(|refusal| refusal.is_none());
     assert!((1..=3).contains(&waiting.count()), "{refusals:?}");
@@ -503,12 +506,16 @@
     let mut rig = TestRouter::new();
     announce_all(&mut rig, PLAIN_SERVICE, 3, 1.0);
     rig.advance(5 * SECOND);
-    spend(&mut rig, "/again/", 0, 3);
+    use_up_limits(&mut rig, "/again/", 0, 3);
     let first = rig.arrive("/again/", 0);
     let (reason, after) = refused(&rig, first).expect("not refused");
     assert_eq!(reason, Refusal::Limited);
     rig.arrive_retry("/again/", 0, after);
-    assert_eq!(rig.refusals().len(), 1, "the retried request does not wait");
+    assert_eq!(
+        rig.refusals().len(),
+        1,
+        "the retried request was not queued"
+    );
     rig.advance(2 * SECOND);
     assert_eq!(rig.take_sends().len(), 1);
 }
@@ -522,7 +529,7 @@
         rig.advance(Duration::from_millis(15));
         let calls: Vec<_> = (0..3).map(|_| rig.arrive("/again/", 0)).collect();
         let sends = rig.take_sends();
-        assert_eq!(sends.len(), 3, "a request waits");
+        assert_eq!(sends.len(), 3, "a request was queued");
         sent += sends
             .iter()
             .filter(|(_, to)| to.instance == "desk-0")
@@ -561,7 +568,7 @@
     let mut rig = TestRouter::new();
     announce(&mut rig, PLAIN_SERVICE, 0, 8.0);
     rig.advance(5 * SECOND);
-    let full = allowance(&rig, PLAIN_SERVICE, 0);
+    let full = available_requests(&rig, PLAIN_SERVICE, 0);
     let server = updates(&rig)[0].server;
     for sent in [70, 90] {
         let limits = vec![LimitUpdate {
@@ -577,7 +584,7 @@
             updates: limits,
         });
     }
-    assert!((allowance(&rig, PLAIN_SERVICE, 0) - full).abs() < 0.01);
+    assert!((available_requests(&rig, PLAIN_SERVICE, 0) - full).abs() < 0.01);
     let server = rig.router.fleet().get(server_key(&rig, PLAIN_SERVICE, 0));
     assert_eq!(server.map(|server| server.limit_users(rig.now)), Some(1));
 }
--- a/crates/notchwalk_route/tests/decisions/placement.rs
+++ b/crates/notchwalk_route/tests/decisions/placement.rs
@@ -169,7 +169,7 @@
     for (key, server) in rig.router.fleet().iter() {
         let load = rig.router.load_view().load(key, rig.now);
         assert_eq!(
-            load.occupied() + load.prefill_parts,
+            load.occupied() + load.prefill_segments,
             0,
             "{}",
             server.record.instance
--- a/crates/notchwalk_route/tests/decisions/random_runs.rs
+++ b/crates/notchwalk_route/tests/decisions/random_runs.rs
@@ -51,8 +51,9 @@
 struct RequestState {
     may_have_run: u32,
     open_send: Option<Assignment>,
-    /// Whether it was sent before, and whether that send reached a server.
+    /// Whether it has been sent.
     sent_before: bool,
+    /// Whether its last attempt reached a server.
     reached: bool,
     reserving: bool,
     ended: bool,
@@ -62,8 +63,9 @@
     rig: TestRouter,
     states: HashMap<RequestKey, (RequestState, Repeatability, u32)>,
     order: Vec<RequestKey>,
-    /// Times of first sends, and of retries after a server was reached.
+    /// Times of the first sends of requests.
     first_sends: Vec<Instant>,
+    /// Times of retries after a previous attempt reached a server.
     retries: Vec<Instant>,
     /// When servers that requested a backoff accept requests again; `None` for draining ones.
     available_from: HashMap<ServerKey, Option<Instant>>,
@@ -81,6 +83,7 @@
         }
     }
 
+    /// Selects a request that has not ended.
     fn pick(&self, which: usize) -> Option<RequestKey> {
         let open: Vec<RequestKey> = self
             .order
@@ -95,10 +98,10 @@
     fn check_effects(&mut self) {
         for effect in std::mem::take(&mut self.rig.effects) {
             match effect {
-                Effect::Send { request, to } => self.sent(request, to),
+                Effect::Send { request, to } => self.check_send(request, to),
                 Effect::Refuse {
                     request, reason, ..
-                } => self.refused(request, reason),
+                } => self.check_refusal(request, reason),
                 Effect::DeliverFailure { request } => {
                     let (state, _, _) = self.states.get_mut(&request).expect("request arrived");
                     assert!(!std::mem::replace(&mut state.ended, true));
@@ -118,7 +121,7 @@
         }
     }
 
-    fn sent(&mut self, request: RequestKey, to: Assignment) {
+    fn check_send(&mut self, request: RequestKey, to: Assignment) {
         let record = self
             .rig
             .router
@@ -165,7 +168,7 @@
         self.check_budget();
     }
 
-    /// Checks that the retries within the window stay within the rig's budget.
+    /// Checks that the retries within the window stay within the configured budget.
     fn check_budget(&self) {
         const WINDOW: Duration = Duration::from_secs(10);
         let since = self.rig.now.before(WINDOW);
@@ -174,7 +177,7 @@
         assert!(recent(&self.retries) <= allowed, "retry budget exceeded");
     }
 
-    fn refused(&mut self, request: RequestKey, reason: Refusal) {
+    fn check_refusal(&mut self, request: RequestKey, reason: Refusal) {
         let (state, _, _) = self.states.get_mut(&request).expect("request arrived");
         assert!(
             !std::mem::replace(&mut state.ended, true),
@@ -365,7 +368,7 @@
         assert_eq!(self.rig.router.queued_work().0, 0);
         for (key, server) in self.rig.router.fleet().iter() {
             let load = self.rig.router.load_view().load(key, self.rig.now);
-            let left = load.occupied() + load.prefill_parts;
+            let left = load.occupied() + load.prefill_segments;
             assert_eq!(left, 0, "{} still has work", server.record.instance);
             assert_eq!(load.context_tokens, 0.0);
         }
@@ -400,7 +403,7 @@
     run(400, 250, 11);
 }
 
-/// Two million events; run by hand with `--ignored`.
+/// Processes two million events. Run with `--ignored`.
 #[test]
 #[ignore = "takes minutes"]
 fn invariants_hold_over_many_random_events() {
--- a/crates/notchwalk_route/tests/decisions/reservations.rs
+++ b/crates/notchwalk_route/tests/decisions/reservations.rs
@@ -249,7 +249,7 @@
     assert_eq!(rounds, 1);
 }
 
-/// As above for an engine without enough memory: only this request avoids it.
+/// Only the request whose reservation failed avoids an engine without enough memory.
 #[test]
 fn engine_without_memory_is_excluded_from_next_reservation() {
     let mut rig = TestRouter::new();
@@ -344,10 +344,10 @@
         .all(|order| order.tokens.is_none()));
 }
 
-/// Some engines finish their requests after deregistering, so a started answer still needs
+/// Some engines finish their requests after deregistering, so a started stream still needs
 /// its memory.
 #[test]
-fn started_answer_keeps_memory_when_engine_is_deregistered() {
+fn started_stream_retains_memory_when_engine_is_deregistered() {
     let mut rig = TestRouter::new();
     let request = rig.arrive("/long/", OVERSIZED);
     let placed = take_reservations(&mut rig).len();
--- a/crates/notchwalk_route/tests/decisions/retries.rs
+++ b/crates/notchwalk_route/tests/decisions/retries.rs
@@ -72,7 +72,7 @@
 
 /// Guards against cancelling a slow stream that can't be sent to another server.
 #[test]
-fn attempt_is_kept_when_no_retry_is_allowed() {
+fn attempt_may_not_be_cancelled_when_no_retry_is_allowed() {
     let mut rig = TestRouter::new();
     let request = rig.arrive("/short/", 3_000);
     rig.take_only_send();
@@ -99,7 +99,7 @@
 
 /// Guards against cancelling a slow attempt when no other engine is available.
 #[test]
-fn attempt_is_kept_when_no_other_server_is_available() {
+fn attempt_may_not_be_cancelled_when_no_other_server_is_available() {
     let mut rig = TestRouter::with_engines("entry-1", 1);
     for (path, tokens) in [("/short/", 3_000), ("/long/", 90_000)] {
         let request = rig.arrive(path, tokens);
@@ -136,7 +136,7 @@
     assert!(rig.take_sends().is_empty());
 }
 
-/// Guards against using up a prompt's attempts on a worker that has rejected it.
+/// Guards against using up a prompt's attempts on a worker that rejects its segments.
 #[test]
 fn prefill_worker_that_rejected_a_segment_is_not_chosen_again() {
     let mut rig = TestRouter::new();
@@ -167,22 +167,22 @@
     assert!(timeout >= Some(Duration::from_secs(6)), "{timeout:?}");
 }
 
-/// When several engines crash at once, each attempt names another crashed one unless the
-/// number of prefill workers shrinks.
+/// Guards against using up a prompt's attempts when several engines crash at once: with many
+/// prefill workers, each attempt would include another crashed engine.
 #[test]
 fn long_prompt_avoids_crashed_engines_within_its_attempts() {
     let mut rig = TestRouter::with_engines("entry-1", 60);
-    let is_down = |addr: SocketAddr| match addr.ip() {
+    let has_crashed = |addr: SocketAddr| match addr.ip() {
         IpAddr::V4(ip) => ip.octets()[3] % 6 == 0,
         IpAddr::V6(_) => false,
     };
     let request = rig.arrive("/long/", 250_000);
     for _ in 0..6 {
         let to = rig.take_only_send();
-        let mut named = to.prefill_workers.iter().map(|worker| worker.addr);
-        let at_fault = match is_down(to.addr) {
+        let mut workers = to.prefill_workers.iter().map(|worker| worker.addr);
+        let at_fault = match has_crashed(to.addr) {
             true => Some(to.addr),
-            false => named.find(|&addr| is_down(addr)),
+            false => workers.find(|&addr| has_crashed(addr)),
         };
         if at_fault.is_none() {
             return;
@@ -197,7 +197,7 @@
         );
         assert_eq!(rig.refusals(), []);
     }
-    panic!("every send named an unreachable engine");
+    panic!("every attempt included a crashed engine");
 }
 
 /// Guards against each node using the whole slack after a power failure, before it has
@@ -213,7 +213,7 @@
     assert!(budget.take(now, Some(1)));
 }
 
-/// A restarted node doesn't remember its retries and must not get the whole slack again.
+/// Guards against using the whole slack again after a restart, which resets the counts.
 #[test]
 fn restarts_within_a_window_share_the_retry_slack() {
     let mut now = TestRouter::new().now;
--- a/crates/notchwalk_route/tests/decisions/routes.rs
+++ b/crates/notchwalk_route/tests/decisions/routes.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn longest_prefix_wins() {
+fn longest_matching_prefix_is_chosen() {
     let rig = TestRouter::new();
     let found = |path| found(&rig, "a.example", path, Some("key"));
     assert_eq!(found("/short/x").as_deref(), Some("short"));
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn key_is_required_unless_the_route_is_open() {
+fn key_is_required_unless_the_route_is_public() {
     let mut rig = TestRouter::new();
     let lookup = |rig: &TestRouter, key| rig.router.routes().lookup("a.example", "/once/", key);
     assert!(matches!(lookup(&rig, None), RouteLookup::NoKey));
--- a/crates/notchwalk_route/tests/decisions/server_notices.rs
+++ b/crates/notchwalk_route/tests/decisions/server_notices.rs
@@ -160,8 +160,8 @@
     assert!(is_used(&mut rig, "desk-0"));
 }
 
-/// A registration that expires while the store is unavailable comes back with the same
-/// incarnation.
+/// A registration may expire while the store is unavailable. Its server then registers again
+/// with the same incarnation.
 #[test]
 fn draining_incarnation_is_not_used_after_it_registers_again() {
     let mut rig = TestRouter::new();
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn server_that_asks_to_back_off_receives_nothing_until_the_time_is_over() {
+fn server_receives_no_requests_during_the_backoff_that_it_requested() {
     let mut rig = TestRouter::new();
     announce_back_off(&mut rig, 0, 3);
     assert!(!is_used(&mut rig, "desk-0"));
@@ -230,7 +230,7 @@
     refused.expect("not refused immediately")
 }
 
-/// Holding the requests until their deadlines would only delay the refusals.
+/// Guards against queueing requests until their deadlines although they can't be sent.
 #[test]
 fn requests_are_refused_with_the_shortest_retry_after_if_all_servers_back_off() {
     let mut rig = TestRouter::with_engines("entry-1", 3);
@@ -258,7 +258,8 @@
     }
 }
 
-/// A failure rate that only successes can lower keeps a recovered server unused.
+/// Guards against a failure rate that only successes can lower: a recovered server would stay
+/// unused.
 #[test]
 fn failed_server_is_used_again_after_some_time() {
     let mut rig = TestRouter::new();
@@ -282,7 +283,7 @@
         );
         rig.advance(Duration::from_secs(4));
     }
-    // Its ejection is over by then.
+    // Its ejection has ended by then.
     rig.advance(Duration::from_secs(10));
     assert!(is_used(&mut rig, "desk-0"));
 }
--- a/crates/notchwalk_route/tests/decisions/suspects.rs
+++ b/crates/notchwalk_route/tests/decisions/suspects.rs
@@ -10,7 +10,7 @@
 
 use crate::common::{content, count_by_server, record, TestRouter, ENGINES, PLAIN_SERVICE};
 
-const MOVED: AttemptEnd = AttemptEnd::NotRun {
+const ADDRESS_REUSED: AttemptEnd = AttemptEnd::NotRun {
     at_fault: None,
     address_reused: true,
 };
@@ -72,7 +72,7 @@
     }
 }
 
-/// Non-repeatable requests are sent once per attempt of the caller.
+/// Each attempt of the caller sends a non-repeatable request only once.
 #[test]
 fn crashes_of_non_repeatable_requests_are_counted() {
     let mut rig = TestRouter::new();
@@ -101,7 +101,7 @@
     rig.take_only_send();
 }
 
-/// Applies to requests with an attempt in progress.
+/// The quarantine applies to requests with an attempt in progress.
 #[test]
 fn quarantine_from_peer_prevents_retry() {
     let mut rig = TestRouter::new();
@@ -262,7 +262,7 @@
     for number in 0..3 {
         rig.step(Event::Servers(ServerChange::Registered(desk(number, 1))));
     }
-    // Incarnations that ended shortly before would count in the request's favour.
+    // Other recently ended incarnations would raise the threshold.
     rig.advance(Duration::from_secs(5));
     for round in 0..3 {
         let request = arrive(&mut rig, "/again/", 0, crashing_content());
@@ -290,7 +290,7 @@
     let request = rig.arrive("/once/", 0);
     let instance = rig.take_only_send().instance;
     let number: u8 = instance.trim_start_matches("desk-").parse().unwrap();
-    // The server is unreachable, so it gets no work.
+    // The server is unreachable, so it receives no requests.
     rig.end_attempt(request, AttemptEnd::NotConnected);
     let fleet = rig.router.fleet();
     let is_closed = |now: Instant| {
@@ -326,7 +326,7 @@
     assert_eq!(key_again(&rig), Some(key));
 }
 
-/// A node that can't connect may itself be cut off from the network.
+/// A node that can't connect may itself be partitioned.
 #[test]
 fn server_that_answers_others_has_not_crashed() {
     let mut rig = TestRouter::new();
@@ -374,7 +374,7 @@
             let found = rig.take_only_send().instance;
             match found == instance {
                 true => {
-                    rig.end_attempt(probe, MOVED);
+                    rig.end_attempt(probe, ADDRESS_REUSED);
                     rig.effects.clear();
                     rig.step(Event::Abandoned { request: probe });
                     break;
--- a/crates/notchwalk_route/tests/decisions/waiting.rs
+++ b/crates/notchwalk_route/tests/decisions/waiting.rs
@@ -8,9 +8,9 @@
 
 /// Tick interval of the driver.
 const TICK: Duration = Duration::from_millis(15);
-/// Objective of the rig's short requests.
+/// Latency objective of the short route.
 const OBJECTIVE: Duration = Duration::from_millis(300);
-/// Caller timeout of the rig's long route.
+/// Caller timeout of the long route.
 const LONG_CALLER_TIMEOUT: Duration = Duration::from_secs(12);
 
 /// Advances the time in ticks and collects the sends.
@@ -65,9 +65,9 @@
         rig.arrive_retry("/short/", 5_000, since_first_attempt);
     }
     rig.take_sends();
-    let typical = rig.arrive_retry("/short/", 5_000, Duration::from_secs(5));
+    let usual = rig.arrive_retry("/short/", 5_000, Duration::from_secs(5));
     let sent = rig.take_sends();
-    assert!(sent.iter().any(|(key, _)| *key == typical), "{sent:?}");
+    assert!(sent.iter().any(|(key, _)| *key == usual), "{sent:?}");
     assert_eq!(sent[0].1.since_first_attempt, Duration::ZERO);
 }
 
@@ -111,8 +111,8 @@
     );
 }
 
-/// Guards against refusing the longest prompts on an idle fleet because too few engines
-/// count as idle.
+/// Guards against refusing the longest prompts on an idle fleet because too few engines are
+/// considered idle.
 #[test]
 fn oversized_prompt_of_retrying_caller_is_served_on_idle_fleet() {
     let mut rig = TestRouter::with_engines("entry-1", 18);
