--- a/crates/notchwalk_route/tests/decisions/limits.rs
+++ b/crates/notchwalk_route/tests/decisions/limits.rs
@@ -92,7 +92,10 @@
         rig.arrive("/again/", 0);
         sent += rig.take_sends().len();
     }
-    assert!((24..=27).contains(&sent), "{sent} of 27 in 9 s");
+    assert!(
+        (24..=27).contains(&sent),
+        "sent {sent} of 27 allowed requests in 9 s"
+    );
 }
 
 /// Fails a request on its first server while the limits of the others are used up; returns
@@ -306,7 +309,10 @@
         rig.arrive("/again/", 0);
         sent += rig.take_sends().len();
     }
-    assert!((32..=36).contains(&sent), "{sent} of 36 in 12 s");
+    assert!(
+        (32..=36).contains(&sent),
+        "sent {sent} of 36 allowed requests in 12 s"
+    );
 }
 
 /// Responses may arrive out of order.
@@ -474,7 +480,10 @@
         }
         rig.take_sends();
     }
-    assert!(probes <= 7, "{probes} in 12 s at a limit of 0.5");
+    assert!(
+        probes <= 7,
+        "{probes} probes in 12 s at a limit of 0.5 requests per second"
+    );
 }
 
 #[test]
@@ -538,7 +547,7 @@
             rig.end_attempt(request, AttemptEnd::Delivered { is_success: true });
         }
     }
-    // Of 180 in 6 s.
+    // The limit allows 180 requests in 6 s.
     assert!((126..=180).contains(&sent), "{sent}");
 }
 
--- a/crates/notchwalk_route/tests/decisions/reservations.rs
+++ b/crates/notchwalk_route/tests/decisions/reservations.rs
@@ -121,12 +121,12 @@
     let request = rig.arrive("/long/", OVERSIZED);
     let placed = take_reservations(&mut rig);
     finish_reservation(&mut rig, request, true);
-    let hold = placed[0].ttl;
+    let ttl = placed[0].ttl;
     let mut renewed = 0;
-    let mut passed = Duration::ZERO;
-    while passed < hold {
+    let mut elapsed = Duration::ZERO;
+    while elapsed < ttl {
         rig.advance(Duration::from_millis(100));
-        passed += Duration::from_millis(100);
+        elapsed += Duration::from_millis(100);
         renewed += take_orders(&mut rig)
             .iter()
             .filter(|o| o.tokens.is_some())
@@ -174,7 +174,10 @@
         }
         take_orders(&mut rig);
         rig.advance(Duration::from_millis(2_000));
-        assert!(take_orders(&mut rig).is_empty(), "repeats do not end");
+        assert!(
+            take_orders(&mut rig).is_empty(),
+            "the release is repeated too long"
+        );
     }
 }
 
@@ -313,7 +316,7 @@
     assert_eq!(
         take_orders(&mut rig).len(),
         placed,
-        "active reservations are renewed"
+        "active reservations must be renewed"
     );
     rig.advance(Duration::from_millis(4_000));
     let renewed = take_orders(&mut rig);
--- a/crates/notchwalk_route/tests/decisions/server_notices.rs
+++ b/crates/notchwalk_route/tests/decisions/server_notices.rs
@@ -288,7 +288,7 @@
     assert!(is_used(&mut rig, "desk-0"));
 }
 
-/// Failures long ago do not count as consecutive with a new one.
+/// Failures that are a minute old do not count as consecutive with a new one.
 #[test]
 fn single_failure_long_after_others_does_not_eject_a_server() {
     let mut rig = TestRouter::new();
@@ -354,14 +354,14 @@
     rig.advance(Duration::from_millis(4_100));
     let _calls: Vec<_> = (0..30).map(|_| rig.arrive("/again/", 0)).collect();
     let sends = rig.take_sends();
-    let there: Vec<_> = sends
+    let to_failing: Vec<_> = sends
         .iter()
         .filter(|(_, to)| to.server == failing)
         .collect();
-    assert_eq!(there.len(), 1);
-    rig.end_attempt(there[0].0, AttemptEnd::Delivered { is_success: true });
+    assert_eq!(to_failing.len(), 1);
+    rig.end_attempt(to_failing[0].0, AttemptEnd::Delivered { is_success: true });
     let _calls: Vec<_> = (0..30).map(|_| rig.arrive("/again/", 0)).collect();
     let sends = rig.take_sends();
-    let there = sends.iter().filter(|(_, to)| to.server == failing);
-    assert!(there.count() > 5, "not used after a success");
+    let to_failing = sends.iter().filter(|(_, to)| to.server == failing);
+    assert!(to_failing.count() > 5, "not used after a success");
 }
--- a/crates/notchwalk_route/tests/decisions/suspects.rs
+++ b/crates/notchwalk_route/tests/decisions/suspects.rs
@@ -149,7 +149,7 @@
     assert_eq!(
         others.get(&at_third).copied(),
         fewest,
-        "requests with the third attempt"
+        "the server of the third attempt must have the fewest requests"
     );
 }
 
@@ -293,11 +293,11 @@
     // The server is unreachable, so it receives no requests.
     rig.end_attempt(request, AttemptEnd::NotConnected);
     let fleet = rig.router.fleet();
-    let is_closed = |now: Instant| {
+    let is_unavailable = |now: Instant| {
         let mut servers = fleet.iter();
         servers.any(|(_, server)| server.record.instance == instance && !server.is_available(now))
     };
-    assert!(is_closed(rig.now));
+    assert!(is_unavailable(rig.now));
     rig.take_sends();
     rig.step(Event::Abandoned { request });
     let draining = ServerRecord {
