--- a/crates/notchwalk_route/tests/decisions/common.rs
+++ b/crates/notchwalk_route/tests/decisions/common.rs
@@ -86,14 +86,14 @@
 
 /// Returns the fingerprint of a request with this body.
 pub fn content(body: &str) -> Fingerprint {
-    let mut fingerprinting = FingerprintBuilder::new(&RequestHead {
+    let mut builder = FingerprintBuilder::new(&RequestHead {
         workspace: None,
         method: "POST",
         host: "a.example",
         target: "/",
     });
-    fingerprinting.update(body.as_bytes());
-    fingerprinting.finish()
+    builder.update(body.as_bytes());
+    builder.finish()
 }
 
 pub fn record(service: &str, number: u8) -> ServerRecord {
--- a/crates/notchwalk_route/tests/decisions/limits.rs
+++ b/crates/notchwalk_route/tests/decisions/limits.rs
@@ -23,10 +23,10 @@
 ) {
     let server = server_key(rig, service, number);
     let limit = rate.and_then(RateLimit::per_second);
-    let asked = rig.now.before(age);
+    let requested_at = rig.now.before(age);
     let notice = ServerNotice::Limit {
         limit,
-        requested_at: asked,
+        requested_at,
     };
     rig.step(Event::NoticeReceived { server, notice });
 }
--- a/crates/notchwalk_route/tests/decisions/reservations.rs
+++ b/crates/notchwalk_route/tests/decisions/reservations.rs
@@ -9,7 +9,7 @@
 
 use crate::common::TestRouter;
 
-const OVERSIZED: u32 = 400_000;
+const OVERSIZED_TOKENS: u32 = 400_000;
 
 fn take_reservations(rig: &mut TestRouter) -> Vec<ReservationOrder> {
     let mut taken = Vec::new();
@@ -53,18 +53,18 @@
 #[test]
 fn oversized_prompt_is_sent_after_all_memory_is_reserved() {
     let mut rig = TestRouter::new();
-    let request = rig.arrive("/long/", OVERSIZED);
+    let request = rig.arrive("/long/", OVERSIZED_TOKENS);
     assert!(rig.take_sends().is_empty());
-    let placed = take_reservations(&mut rig);
-    let sum: u32 = placed.iter().filter_map(|order| order.tokens).sum();
-    assert!(sum > OVERSIZED, "{sum}");
+    let reserved = take_reservations(&mut rig);
+    let sum: u32 = reserved.iter().filter_map(|order| order.tokens).sum();
+    assert!(sum > OVERSIZED_TOKENS, "{sum}");
     finish_reservation(&mut rig, request, true);
     let to = rig.take_only_send();
     let reserved_engines = to
         .prefill_workers
         .iter()
         .filter(|worker| worker.reservation.is_some());
-    assert_eq!(reserved_engines.count(), placed.len());
+    assert_eq!(reserved_engines.count(), reserved.len());
     assert!(to
         .prefill_workers
         .iter()
@@ -75,7 +75,7 @@
 /// reservation included.
 #[test]
 fn request_names_at_most_sixteen_engines() {
-    for tokens in [320_000, OVERSIZED, 700_000] {
+    for tokens in [320_000, OVERSIZED_TOKENS, 700_000] {
         let mut rig = TestRouter::with_engines("entry-1", 60);
         let request = rig.arrive("/long/", tokens);
         if take_reservations(&mut rig).is_empty() {
@@ -95,33 +95,33 @@
     ];
     for end in ends {
         let mut rig = TestRouter::new();
-        let request = rig.arrive("/long/", OVERSIZED);
-        let placed = take_reservations(&mut rig);
+        let request = rig.arrive("/long/", OVERSIZED_TOKENS);
+        let reserved = take_reservations(&mut rig);
         finish_reservation(&mut rig, request, true);
         take_orders(&mut rig);
         end(&mut rig, request);
-        let placed: HashSet<_> = placed.iter().map(|order| order.addr).collect();
-        assert_eq!(take_released(&mut rig), placed);
+        let reserved: HashSet<_> = reserved.iter().map(|order| order.addr).collect();
+        assert_eq!(take_released(&mut rig), reserved);
     }
 }
 
 #[test]
 fn failed_reservation_is_released_and_request_is_queued() {
     let mut rig = TestRouter::new();
-    let request = rig.arrive("/long/", OVERSIZED);
-    let placed = take_reservations(&mut rig).len();
+    let request = rig.arrive("/long/", OVERSIZED_TOKENS);
+    let reserved = take_reservations(&mut rig).len();
     finish_reservation(&mut rig, request, false);
-    assert_eq!(take_released(&mut rig).len(), placed);
+    assert_eq!(take_released(&mut rig).len(), reserved);
     assert!(rig.take_sends().is_empty());
 }
 
 #[test]
 fn active_reservation_is_renewed_before_it_expires() {
     let mut rig = TestRouter::new();
-    let request = rig.arrive("/long/", OVERSIZED);
-    let placed = take_reservations(&mut rig);
+    let request = rig.arrive("/long/", OVERSIZED_TOKENS);
+    let reserved = take_reservations(&mut rig);
     finish_reservation(&mut rig, request, true);
-    let ttl = placed[0].ttl;
+    let ttl = reserved[0].ttl;
     let mut renewed = 0;
     let mut elapsed = Duration::ZERO;
     while elapsed < ttl {
@@ -132,14 +132,14 @@
             .filter(|o| o.tokens.is_some())
             .count();
     }
-    assert!(renewed >= 2 * placed.len(), "{renewed}");
+    assert!(renewed >= 2 * reserved.len(), "{renewed}");
 }
 
 /// Memory must be free within 4 s of the end of a request, also if the node crashed.
 #[test]
 fn reservation_expires_within_release_limit() {
     let mut rig = TestRouter::new();
-    rig.arrive("/long/", OVERSIZED);
+    rig.arrive("/long/", OVERSIZED_TOKENS);
     for order in take_reservations(&mut rig) {
         assert!(order.ttl < Duration::from_millis(4_000));
     }
@@ -151,13 +151,13 @@
 fn release_is_repeated_after_lost_response() {
     for lost_is_release in [false, true] {
         let mut rig = TestRouter::new();
-        let request = rig.arrive("/long/", OVERSIZED);
-        let placed = take_reservations(&mut rig);
+        let request = rig.arrive("/long/", OVERSIZED_TOKENS);
+        let reserved = take_reservations(&mut rig);
         finish_reservation(&mut rig, request, true);
-        let tokens = placed[0].tokens.filter(|_| !lost_is_release);
+        let tokens = reserved[0].tokens.filter(|_| !lost_is_release);
         let lost = ReservationOrder {
             tokens,
-            ..placed[0].clone()
+            ..reserved[0].clone()
         };
         rig.step(Event::Unanswered(lost));
         rig.step(Event::Abandoned { request });
@@ -168,7 +168,7 @@
         let repeated = take_orders(&mut rig);
         let releases = repeated.iter().filter(|order| order.tokens.is_none());
         assert!(releases.clone().count() >= 5);
-        assert!(releases.clone().all(|order| order.addr == placed[0].addr));
+        assert!(releases.clone().all(|order| order.addr == reserved[0].addr));
         for _ in 0..4 {
             rig.advance(Duration::from_millis(1_000));
         }
@@ -184,7 +184,7 @@
 #[test]
 fn acknowledged_release_is_not_repeated() {
     let mut rig = TestRouter::new();
-    let request = rig.arrive("/long/", OVERSIZED);
+    let request = rig.arrive("/long/", OVERSIZED_TOKENS);
     take_reservations(&mut rig);
     finish_reservation(&mut rig, request, true);
     rig.end_attempt(request, AttemptEnd::Delivered { is_success: true });
@@ -200,7 +200,7 @@
     for name in ["entry-1", "entry-2"] {
         let mut rig = TestRouter::with_engines(name, 18);
         for _ in 0..2 {
-            let request = rig.arrive("/long/", OVERSIZED);
+            let request = rig.arrive("/long/", OVERSIZED_TOKENS);
             let orders = take_reservations(&mut rig);
             assert!(ids.insert(orders[0].id.clone()));
             finish_reservation(&mut rig, request, true);
@@ -217,7 +217,7 @@
     }
     rig.take_sends();
     let arrived = rig.now;
-    rig.arrive("/long/", OVERSIZED);
+    rig.arrive("/long/", OVERSIZED_TOKENS);
     while rig.refusals().is_empty() {
         rig.advance(Duration::from_millis(15));
     }
@@ -229,7 +229,7 @@
 #[test]
 fn unreachable_engine_gets_no_further_reservation_order() {
     let mut rig = TestRouter::new();
-    let request = rig.arrive("/long/", OVERSIZED);
+    let request = rig.arrive("/long/", OVERSIZED_TOKENS);
     let unreachable_addr = take_reservations(&mut rig)[0].addr;
     let failed = FailedReservation {
         addr: unreachable_addr,
@@ -242,21 +242,21 @@
     let mut rounds = 0;
     for _ in 0..20 {
         rig.advance(Duration::from_millis(15));
-        let placed = take_reservations(&mut rig);
+        let reserved = take_reservations(&mut rig);
         assert!(
-            placed.iter().all(|order| order.addr != unreachable_addr),
+            reserved.iter().all(|order| order.addr != unreachable_addr),
             "round {rounds}"
         );
-        rounds += usize::from(!placed.is_empty());
+        rounds += usize::from(!reserved.is_empty());
     }
     assert_eq!(rounds, 1);
 }
 
-/// Only the request whose reservation failed avoids an engine without enough memory.
+/// A request avoids an engine that had too little memory for its reservation.
 #[test]
 fn engine_without_memory_is_excluded_from_next_reservation() {
     let mut rig = TestRouter::new();
-    let request = rig.arrive("/long/", OVERSIZED);
+    let request = rig.arrive("/long/", OVERSIZED_TOKENS);
     let full = take_reservations(&mut rig)[0].addr;
     let failed = FailedReservation {
         addr: full,
@@ -267,9 +267,9 @@
         failed: vec![failed],
     });
     rig.advance(Duration::from_millis(15));
-    let placed = take_reservations(&mut rig);
-    assert!(!placed.is_empty());
-    assert!(placed.iter().all(|order| order.addr != full));
+    let reserved = take_reservations(&mut rig);
+    assert!(!reserved.is_empty());
+    assert!(reserved.iter().all(|order| order.addr != full));
 }
 
 /// A restarted engine holds no reservations; a renewal would reserve memory that no request
@@ -277,11 +277,11 @@
 #[test]
 fn reservation_is_not_renewed_on_restarted_engine() {
     let mut rig = TestRouter::new();
-    let request = rig.arrive("/long/", OVERSIZED);
-    let placed = take_reservations(&mut rig);
+    let request = rig.arrive("/long/", OVERSIZED_TOKENS);
+    let reserved = take_reservations(&mut rig);
     finish_reservation(&mut rig, request, true);
     rig.take_sends();
-    let engine = &placed[0];
+    let engine = &reserved[0];
     let key = rig
         .router
         .fleet()
@@ -300,7 +300,7 @@
         .map(|order| order.addr)
         .collect();
     assert!(!renewed.contains(&engine.addr));
-    assert_eq!(renewed.len(), placed.len() - 1);
+    assert_eq!(renewed.len(), reserved.len() - 1);
 }
 
 /// After a suspension the engines have cancelled the request, and a renewal would reserve
@@ -308,14 +308,14 @@
 #[test]
 fn reservation_expired_during_suspension_is_not_renewed() {
     let mut rig = TestRouter::new();
-    let request = rig.arrive("/long/", OVERSIZED);
-    let placed = take_reservations(&mut rig).len();
+    let request = rig.arrive("/long/", OVERSIZED_TOKENS);
+    let reserved = take_reservations(&mut rig).len();
     finish_reservation(&mut rig, request, true);
     rig.take_sends();
     rig.advance(Duration::from_millis(1_600));
     assert_eq!(
         take_orders(&mut rig).len(),
-        placed,
+        reserved,
         "active reservations must be renewed"
     );
     rig.advance(Duration::from_millis(4_000));
@@ -325,7 +325,7 @@
         "{renewed:?}"
     );
     rig.end_attempt(request, AttemptEnd::ConnectionLost);
-    assert_eq!(take_released(&mut rig).len(), placed);
+    assert_eq!(take_released(&mut rig).len(), reserved);
 }
 
 /// An unresponsive decoding engine keeps its connections open. Guards against renewing the
@@ -333,14 +333,14 @@
 #[test]
 fn memory_is_released_when_decoding_engine_is_deregistered() {
     let mut rig = TestRouter::new();
-    let request = rig.arrive("/long/", OVERSIZED);
-    let placed = take_reservations(&mut rig).len();
+    let request = rig.arrive("/long/", OVERSIZED_TOKENS);
+    let reserved = take_reservations(&mut rig).len();
     finish_reservation(&mut rig, request, true);
     let to = rig.take_only_send();
     rig.advance(Duration::from_millis(800));
     take_orders(&mut rig);
     rig.step(Event::Servers(ServerChange::Removed(to.instance.clone())));
-    assert_eq!(take_released(&mut rig).len(), placed);
+    assert_eq!(take_released(&mut rig).len(), reserved);
     rig.advance(Duration::from_millis(1_600));
     assert!(take_orders(&mut rig)
         .iter()
@@ -352,8 +352,8 @@
 #[test]
 fn started_stream_retains_memory_when_engine_is_deregistered() {
     let mut rig = TestRouter::new();
-    let request = rig.arrive("/long/", OVERSIZED);
-    let placed = take_reservations(&mut rig).len();
+    let request = rig.arrive("/long/", OVERSIZED_TOKENS);
+    let reserved = take_reservations(&mut rig).len();
     finish_reservation(&mut rig, request, true);
     let to = rig.take_only_send();
     rig.advance(Duration::from_millis(800));
@@ -362,5 +362,5 @@
     rig.step(Event::Servers(ServerChange::Removed(to.instance.clone())));
     assert!(take_released(&mut rig).is_empty());
     rig.advance(Duration::from_millis(1_600));
-    assert_eq!(take_orders(&mut rig).len(), placed);
+    assert_eq!(take_orders(&mut rig).len(), reserved);
 }
--- a/crates/notchwalk_route/tests/decisions/retries.rs
+++ b/crates/notchwalk_route/tests/decisions/retries.rs
@@ -187,12 +187,12 @@
         if at_fault.is_none() {
             return;
         }
-        let moved = false;
+        let address_reused = false;
         rig.end_attempt(
             request,
             AttemptEnd::NotRun {
                 at_fault,
-                address_reused: moved,
+                address_reused,
             },
         );
         assert_eq!(rig.refusals(), []);
