--- a/crates/notchwalk_decide/examples/one_request.rs
+++ b/crates/notchwalk_decide/examples/one_request.rs
@@ -44,14 +44,14 @@
         slots: 64,
         backlog_tokens: 0,
         backlog_by_priority: Vec::new(),
-        prompt_token_ns: 40_000,
-        answer_token_ns: 100_000,
+        prefill_token_ns: 40_000,
+        decode_token_ns: 100_000,
         loaded: vec![LoadedModel {
             model: "lampwise".to_owned(),
             versions: vec!["1".to_owned()],
             adapters: Vec::new(),
         }],
-        leaving: false,
+        draining: false,
         evictions: 0,
     }
 }
--- a/crates/notchwalk_decide/src/admission.rs
+++ b/crates/notchwalk_decide/src/admission.rs
@@ -5,7 +5,7 @@
 
 use notchwalk_bundle::{PolicyKind, WorkspaceKey};
 use notchwalk_core::{Attempt, RequestId, Tokens};
-use notchwalk_wire::OutcomeWord;
+use notchwalk_wire::ExecutionOutcome;
 use rand::Rng;
 
 use crate::{
@@ -53,7 +53,7 @@
         };
         let failure = Failure {
             code,
-            outcome: OutcomeWord::NotRun,
+            outcome: ExecutionOutcome::NotRun,
             retry_after_ms,
         };
         cx.emit(Effect::Refuse { caller, failure });
@@ -108,7 +108,7 @@
     node.counters.refused += 1;
     Some(Failure {
         code,
-        outcome: OutcomeWord::NotRun,
+        outcome: ExecutionOutcome::NotRun,
         retry_after_ms: retry_ms.and_then(|ms| retry_after(node, ms)),
     })
 }
--- a/crates/notchwalk_decide/src/attempt.rs
+++ b/crates/notchwalk_decide/src/attempt.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use notchwalk_core::{Attempt, LogEventKind, RequestId, Tokens};
-use notchwalk_wire::OutcomeWord;
+use notchwalk_wire::ExecutionOutcome;
 
 use crate::{
     admission, claim,
@@ -483,11 +483,11 @@
 }
 
 /// Returns whether a failed request ran, as reported to its caller.
-fn outcome_of(req: &Request) -> OutcomeWord {
+fn outcome_of(req: &Request) -> ExecutionOutcome {
     match (&req.work, req.sent) {
-        (_, false) => OutcomeWord::NotRun,
-        (Work::Generate(_), true) if req.delivered > 0 => OutcomeWord::Ran,
-        (_, true) => OutcomeWord::Unknown,
+        (_, false) => ExecutionOutcome::NotRun,
+        (Work::Generate(_), true) if req.delivered > 0 => ExecutionOutcome::Ran,
+        (_, true) => ExecutionOutcome::Unknown,
     }
 }
 
--- a/crates/notchwalk_decide/src/claim.rs
+++ b/crates/notchwalk_decide/src/claim.rs
@@ -6,7 +6,7 @@
 
 use notchwalk_bundle::Bundle;
 use notchwalk_core::{Instant, LogEventKind, RequestId};
-use notchwalk_wire::OutcomeWord;
+use notchwalk_wire::ExecutionOutcome;
 use rand::Rng;
 
 use crate::{
@@ -170,7 +170,7 @@
             cx,
             key,
             FailureCode::KeyReused,
-            OutcomeWord::NotRun,
+            ExecutionOutcome::NotRun,
             None,
         );
     }
@@ -185,11 +185,11 @@
     match owner_may_be_running(node, &row.token) {
         true => {
             let code = FailureCode::StillRunning;
-            reject(node, cx, key, code, OutcomeWord::Unknown, Some(500));
+            reject(node, cx, key, code, ExecutionOutcome::Unknown, Some(500));
         }
         false => {
             let code = FailureCode::OutcomeUnknown;
-            reject(node, cx, key, code, OutcomeWord::Unknown, None);
+            reject(node, cx, key, code, ExecutionOutcome::Unknown, None);
         }
     }
 }
@@ -209,7 +209,7 @@
     cx: &mut Cx<'_>,
     key: RequestKey,
     code: FailureCode,
-    outcome: OutcomeWord,
+    outcome: ExecutionOutcome,
     retry_ms: Option<u64>,
 ) {
     let retry_after_ms = retry_ms.and_then(|ms| admission::retry_after(node, ms));
--- a/crates/notchwalk_decide/src/cost.rs
+++ b/crates/notchwalk_decide/src/cost.rs
@@ -50,12 +50,12 @@
 impl CostModel {
     /// Records the token times that an engine reports, in nanoseconds per
     /// token.
-    pub fn record_token_times(&mut self, prompt_token_ns: u64, answer_token_ns: u64) {
+    pub fn record_token_times(&mut self, prefill_token_ns: u64, decode_token_ns: u64) {
         let learn = |mean: &mut f64, seen_ns: u64| {
             *mean += EWMA_WEIGHT * (seen_ns as f64 / 1_000.0 - *mean);
         };
-        learn(&mut self.prefill_token_us, prompt_token_ns);
-        learn(&mut self.decode_token_us, answer_token_ns);
+        learn(&mut self.prefill_token_us, prefill_token_ns);
+        learn(&mut self.decode_token_us, decode_token_ns);
     }
 
     /// Records the length of a complete answer.
--- a/crates/notchwalk_decide/src/dump.rs
+++ b/crates/notchwalk_decide/src/dump.rs
@@ -153,7 +153,7 @@
             open_claim_releases: self.releases.len(),
             timers: self.timers.len(),
             retry_budget: self.retry.available(),
-            order_fence: self.orders.fence(now),
+            order_fence: self.orders.fencing_token(now),
             counters: self.counters.clone(),
             lanes: dump_lanes(self),
             workspaces: dump_workspaces(self),
--- a/crates/notchwalk_decide/src/effect.rs
+++ b/crates/notchwalk_decide/src/effect.rs
@@ -1,7 +1,7 @@
 //! The effects that a node asks its driver to carry out.
 
 use notchwalk_core::{Attempt, LogEvent, RequestId, ServerId, Tokens, VmId};
-use notchwalk_wire::{OutcomeWord, PeerMessage, WantedState};
+use notchwalk_wire::{DesiredState, ExecutionOutcome, PeerMessage};
 
 use crate::{
     orders::LeaseRow,
@@ -89,7 +89,7 @@
     /// The reason.
     pub code: FailureCode,
     /// Whether the request ran.
-    pub outcome: OutcomeWord,
+    pub outcome: ExecutionOutcome,
     /// Delay before the caller's next attempt, in milliseconds, for temporary
     /// failures; the remaining quarantine for quarantined requests.
     pub retry_after_ms: Option<u64>,
@@ -160,7 +160,7 @@
         up_to: Attempt,
     },
     /// Query the memory that an engine holds.
-    AskHoldings(ServerId),
+    QueryAllocations(ServerId),
     /// Write a claim, if there is none under its key.
     ClaimInsert {
         /// The request.
@@ -202,9 +202,9 @@
         /// The engine.
         server: ServerId,
         /// The fencing number.
-        fence: u64,
+        fencing_token: u64,
         /// The wanted state.
-        wanted: WantedState,
+        desired: DesiredState,
     },
     /// Send a message to a peer.
     Peer {
--- a/crates/notchwalk_decide/src/event.rs
+++ b/crates/notchwalk_decide/src/event.rs
@@ -5,7 +5,7 @@
 use notchwalk_bundle::{Bundle, ModelKey, ServiceKey, WorkspaceKey};
 use notchwalk_core::{Attempt, RequestId, ServerId, Tokens, VmId};
 use notchwalk_quarantine::Fingerprint;
-use notchwalk_wire::{CacheEvents, Holding, LoadReport, PeerMessage};
+use notchwalk_wire::{Allocation, CacheEvents, LoadReport, PeerMessage};
 
 use crate::{
     orders::LeaseRow,
@@ -208,11 +208,11 @@
     /// A server did not answer a load poll.
     LoadFailed(ServerId),
     /// An engine listed the memory it holds.
-    Holdings {
+    Allocations {
         /// The server.
         server: ServerId,
         /// All it holds.
-        holdings: Vec<Holding>,
+        allocations: Vec<Allocation>,
     },
     /// An engine published changes of its cache.
     Cache {
@@ -286,7 +286,7 @@
             Self::AttemptEnded { .. } => "attempt_ended",
             Self::Load { .. } => "load",
             Self::LoadFailed(_) => "load_failed",
-            Self::Holdings { .. } => "holdings",
+            Self::Allocations { .. } => "holdings",
             Self::Cache { .. } => "cache",
             Self::CancelEnded { .. } => "cancel_ended",
             Self::Claim { .. } => "claim",
--- a/crates/notchwalk_decide/src/long_home.rs
+++ b/crates/notchwalk_decide/src/long_home.rs
@@ -7,7 +7,7 @@
 
 use notchwalk_core::{Instant, RequestId, ServerId, Tokens, VmId};
 use notchwalk_wire::{
-    LongHold, LongReply, LongReplyKind, LongRequest, LongRequestKind, PeerMessage,
+    LongReply, LongReplyKind, LongRequest, LongRequestKind, LongReservation, PeerMessage,
 };
 
 use crate::{
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Reservation {
     tokens: Tokens,
-    prompt_done: bool,
+    prefill_done: bool,
     confirmed: Instant,
 }
 
@@ -97,9 +97,9 @@
             }
             node.schedule.capacity_changed();
         }
-        LongRequestKind::PromptDone => {
+        LongRequestKind::PrefillDone => {
             if let Some(reserved) = ledger.reserved.get_mut(&message.request) {
-                reserved.prompt_done = true;
+                reserved.prefill_done = true;
             }
         }
         LongRequestKind::Reserve(tokens) => {
@@ -149,7 +149,7 @@
         reserved.confirmed = now;
         return LongReplyKind::Granted;
     }
-    let prompts = ledger.reserved.values().filter(|r| !r.prompt_done).count();
+    let prompts = ledger.reserved.values().filter(|r| !r.prefill_done).count();
     if prompts >= MAX_CONCURRENT_PREFILLS {
         return LongReplyKind::Denied;
     }
@@ -174,12 +174,12 @@
             tokens,
             until: now.after(PENDING_RESERVATION_TTL),
         });
-        return LongReplyKind::Earmarked;
+        return LongReplyKind::Clearing;
     }
     ledger.pending = None;
     let reserved = Reservation {
         tokens,
-        prompt_done: false,
+        prefill_done: false,
         confirmed: now,
     };
     ledger.reserved.insert(message.request, reserved);
@@ -187,7 +187,11 @@
 }
 
 /// Applies the reservations that a peer reports, and adds unknown ones.
-pub(crate) fn on_peer_reservations(node: &mut Node, now: Instant, reservations: &[LongHold]) {
+pub(crate) fn on_peer_reservations(
+    node: &mut Node,
+    now: Instant,
+    reservations: &[LongReservation],
+) {
     for reported in reservations {
         if credit::home_since(node, now, reported.server).is_none() {
             continue;
@@ -198,11 +202,11 @@
             .entry(reported.request)
             .or_insert(Reservation {
                 tokens: reported.tokens,
-                prompt_done: reported.prompt_done,
+                prefill_done: reported.prefill_done,
                 confirmed: now,
             });
         reserved.confirmed = now;
-        reserved.prompt_done |= reported.prompt_done;
+        reserved.prefill_done |= reported.prefill_done;
     }
 }
 
--- a/crates/notchwalk_decide/src/long_work.rs
+++ b/crates/notchwalk_decide/src/long_work.rs
@@ -10,7 +10,7 @@
 
 use notchwalk_core::{Attempt, Instant, RequestId, ServerId, Tokens};
 use notchwalk_wire::{
-    LongHold, LongReply, LongReplyKind, LongRequest, LongRequestKind, PeerMessage,
+    LongReply, LongReplyKind, LongRequest, LongRequestKind, LongReservation, PeerMessage,
 };
 use rand::Rng;
 
@@ -203,7 +203,7 @@
     match reply.kind {
         LongReplyKind::Granted => on_granted(node, cx, key),
         LongReplyKind::Denied => on_denied(node, cx, key),
-        LongReplyKind::Earmarked => {
+        LongReplyKind::Clearing => {
             node.timers
                 .set(cx.now.after(RESERVE_RETRY_DELAY), key, TimerKind::Reserve);
         }
@@ -342,7 +342,7 @@
     let message = LongRequest {
         request: node.requests[key].id,
         server: node.servers.arena[server].id,
-        kind: LongRequestKind::PromptDone,
+        kind: LongRequestKind::PrefillDone,
     };
     send_to_home(node, cx, message);
 }
@@ -398,17 +398,17 @@
 }
 
 /// Returns the reservations of this node's requests, for heartbeats.
-pub(crate) fn own_reservations(node: &Node) -> Vec<LongHold> {
+pub(crate) fn own_reservations(node: &Node) -> Vec<LongReservation> {
     let mut reservations = Vec::new();
     for req in node.requests.values() {
         let Some(plan) = &req.plan else { continue };
         for (i, server) in plan.servers.iter().take(plan.granted).enumerate() {
             let computed = req.running.is_some_and(|r| r.first_token_received);
-            reservations.push(LongHold {
+            reservations.push(LongReservation {
                 server: node.servers.arena[*server].id,
                 request: req.id,
                 tokens: plan.tokens_per_server,
-                prompt_done: i < plan.segments_done || computed,
+                prefill_done: i < plan.segments_done || computed,
             });
         }
     }
--- a/crates/notchwalk_decide/src/membership.rs
+++ b/crates/notchwalk_decide/src/membership.rs
@@ -11,7 +11,7 @@
 };
 
 use notchwalk_core::{BootNumber, Instant, LogEventKind, ServerId, VmId};
-use notchwalk_wire::{Heard, Heartbeat, PeerMessage, ServedCost};
+use notchwalk_wire::{Heartbeat, PeerContact, PeerMessage, ServedCost};
 
 use crate::{
     catalog::WorkspaceSlot,
@@ -266,7 +266,7 @@
         PeerMessage::LongReply(reply) => long_work::on_reply(node, cx, reply),
         PeerMessage::Suspects(updates) => node.quarantine.apply_updates(from.0, &updates, cx.now),
         // The driver exchanges bundles and passes on only verified ones.
-        PeerMessage::BundleAsk(_) | PeerMessage::BundleOffer(_) => {}
+        PeerMessage::BundleRequest(_) | PeerMessage::BundleResponse(_) => {}
     }
 }
 
@@ -291,7 +291,7 @@
     peer.last_seen = Some(cx.now);
     peer.last_seen_by_any = Some(cx.now);
     peer.state = PeerState::Alive;
-    peer.draining = heartbeat.leaving;
+    peer.draining = heartbeat.draining;
     peer.bundle_version = heartbeat.bundle_version;
     apply_demand(peer, &heartbeat.demand);
     if peer.is_live() != was_live {
@@ -301,11 +301,11 @@
         let facts = format!("vm={} boot={}", from.0, heartbeat.boot.0);
         cx.log(LogEventKind::PeerReachable, facts);
     }
-    apply_last_seen(node, cx.now, from, &heartbeat.heard);
+    apply_peer_contacts(node, cx.now, from, &heartbeat.peer_contacts);
     apply_served(node, from, &heartbeat.served);
     credit::on_shares(node, cx.now, from, &heartbeat.shares);
-    long_home::on_peer_reservations(node, cx.now, &heartbeat.long_holds);
-    for server in &heartbeat.leaving_servers {
+    long_home::on_peer_reservations(node, cx.now, &heartbeat.long_reservations);
+    for server in &heartbeat.draining_servers {
         if let Some(key) = node.servers.key(*server) {
             schedule::mark_draining(node, cx, key);
         }
@@ -326,8 +326,8 @@
 }
 
 /// Applies when other nodes last got heartbeats from their peers.
-fn apply_last_seen(node: &mut Node, now: Instant, from: VmId, heard: &[Heard]) {
-    for report in heard {
+fn apply_peer_contacts(node: &mut Node, now: Instant, from: VmId, peer_contacts: &[PeerContact]) {
+    for report in peer_contacts {
         if report.vm == from {
             continue;
         }
@@ -409,31 +409,31 @@
 
 fn send_heartbeats(node: &mut Node, cx: &mut Cx<'_>) {
     node.membership.seq += 1;
-    let heard = last_seen_list(node, cx.now);
+    let peer_contacts = peer_contacts(node, cx.now);
     let served = top_served(node);
     let demand = credit::own_demand(node);
-    let long_holds = long_work::own_reservations(node);
+    let long_reservations = long_work::own_reservations(node);
     let draining_servers = draining_servers(node);
     for vm in node.membership.heartbeat_targets() {
         let heartbeat = Heartbeat {
             vm: node.cfg.vm,
             boot: node.cfg.boot,
             seq: node.membership.seq,
-            leaving: node.membership.own_draining,
+            draining: node.membership.own_draining,
             bundle_version: node.bundle_version(),
-            heard: heard.clone(),
+            peer_contacts: peer_contacts.clone(),
             demand: demand.clone(),
             shares: credit::grants_for(node, vm),
             served: served.clone(),
-            leaving_servers: draining_servers.clone(),
-            long_holds: long_holds.clone(),
+            draining_servers: draining_servers.clone(),
+            long_reservations: long_reservations.clone(),
         };
         let message = Box::new(PeerMessage::Heartbeat(heartbeat));
         cx.emit(Effect::Peer { to: vm, message });
     }
 }
 
-fn last_seen_list(node: &Node, now: Instant) -> Vec<Heard> {
+fn peer_contacts(node: &Node, now: Instant) -> Vec<PeerContact> {
     let mut list = Vec::new();
     for (vm, peer) in &node.membership.peers {
         let (Some(boot), Some(at)) = (peer.boot, peer.last_seen) else {
@@ -443,7 +443,7 @@
         if age_ms > DEAD_AFTER.as_millis() as u64 || list.len() >= MAX_HEARTBEAT_PEERS {
             continue;
         }
-        list.push(Heard {
+        list.push(PeerContact {
             vm: *vm,
             boot,
             age_ms,
--- a/crates/notchwalk_decide/src/node.rs
+++ b/crates/notchwalk_decide/src/node.rs
@@ -179,8 +179,11 @@
             } => attempt::on_ended(self, cx, request, attempt, end),
             Event::Load { server, report } => schedule::on_load(self, cx, server, *report),
             Event::LoadFailed(server) => schedule::on_load_failed(self, cx, server),
-            Event::Holdings { server, holdings } => {
-                sweep::on_holdings(self, cx, server, &holdings);
+            Event::Allocations {
+                server,
+                allocations,
+            } => {
+                sweep::on_allocations(self, cx, server, &allocations);
             }
             Event::Cache { server, events } => {
                 if let Some(server) = self.servers.by_id(server) {
@@ -276,8 +279,8 @@
 
     /// Returns whether an order may be sent under a fencing number now. Drivers
     /// check this right before sending.
-    pub fn may_order(&self, now: Instant, fence: u64) -> bool {
-        self.orders.fence(now) == Some(fence)
+    pub fn may_order(&self, now: Instant, fencing_token: u64) -> bool {
+        self.orders.fencing_token(now) == Some(fencing_token)
     }
 
     /// Returns whether a bundle is active and the node is not draining.
--- a/crates/notchwalk_decide/src/orders.rs
+++ b/crates/notchwalk_decide/src/orders.rs
@@ -14,7 +14,7 @@
 
 use notchwalk_bundle::Model;
 use notchwalk_core::{BootNumber, Instant, LogEventKind, ServerId, VmId};
-use notchwalk_wire::WantedState;
+use notchwalk_wire::DesiredState;
 
 use crate::{
     effect::Effect,
@@ -44,8 +44,9 @@
     pub holder: VmId,
     /// The holder's boot number.
     pub boot: BootNumber,
-    /// The fencing number; rises with each new holder.
-    pub fence: u64,
+    /// The fencing token; rises with each new holder.
+    #[serde(rename = "fence")]
+    pub fencing_token: u64,
     /// Counts renewals, so that each one changes the row.
     pub renewals: u64,
 }
@@ -73,9 +74,9 @@
 
 impl Orders {
     /// Returns the fencing number under which orders may be sent now.
-    pub fn fence(&self, now: Instant) -> Option<u64> {
-        let (fence, until) = self.held?;
-        (now < until.before(LEASE_SAFETY_MARGIN)).then_some(fence)
+    pub fn fencing_token(&self, now: Instant) -> Option<u64> {
+        let (fencing_token, until) = self.held?;
+        (now < until.before(LEASE_SAFETY_MARGIN)).then_some(fencing_token)
     }
 }
 
@@ -94,21 +95,27 @@
     if orders.observed.is_none_or(|(observed, _)| observed != row) {
         orders.observed = Some((row, cx.now));
     }
-    let held = orders.held.map(|(fence, _)| fence);
+    let held = orders.held.map(|(fencing_token, _)| fencing_token);
     if (row.holder, row.boot) == own {
         // Counted from before the write was sent.
         if let Some(sent) = sent {
-            orders.held = Some((row.fence, sent.after(LEASE_DURATION)));
+            orders.held = Some((row.fencing_token, sent.after(LEASE_DURATION)));
         }
         if held.is_none() && sent.is_some() {
             orders.held_since = cx.now;
             orders.refused.clear();
-            cx.log(LogEventKind::LeaseHeld, format!("fence={}", row.fence));
+            cx.log(
+                LogEventKind::LeaseHeld,
+                format!("fence={}", row.fencing_token),
+            );
         }
         return;
     }
     if orders.held.take().is_some() {
-        cx.log(LogEventKind::LeaseLost, format!("fence={}", row.fence));
+        cx.log(
+            LogEventKind::LeaseLost,
+            format!("fence={}", row.fencing_token),
+        );
     }
 }
 
@@ -153,7 +160,7 @@
     let first = LeaseRow {
         holder: vm,
         boot,
-        fence: 1,
+        fencing_token: 1,
         renewals: 0,
     };
     let write = match orders.observed {
@@ -165,7 +172,7 @@
             let next = LeaseRow {
                 holder: vm,
                 boot,
-                fence: row.fence + u64::from(!own),
+                fencing_token: row.fencing_token + u64::from(!own),
                 renewals: row.renewals + 1,
             };
             (own || expired).then_some((Some(row), next))
@@ -181,14 +188,14 @@
 }
 
 fn send_orders(node: &mut Node, cx: &mut Cx<'_>) {
-    let Some(fence) = node.orders.fence(cx.now) else {
+    let Some(fencing_token) = node.orders.fencing_token(cx.now) else {
         return;
     };
     let Some(bundle) = node.catalog.bundle.clone() else {
         return;
     };
     let pause = Duration::from_millis(bundle.policy.order_pause_ms);
-    let pause_elapsed = fence == 1 || cx.now.since(node.orders.held_since) >= pause;
+    let pause_elapsed = fencing_token == 1 || cx.now.since(node.orders.held_since) >= pause;
     let now = cx.now;
     node.orders
         .in_flight
@@ -208,19 +215,19 @@
         if busy || server.draining || server.removed {
             continue;
         }
-        let Some((model, wanted)) = next_order(node, now, key, &bundle.models) else {
+        let Some((model, desired)) = next_order(node, now, key, &bundle.models) else {
             continue;
         };
         if !model.checks_fence && !pause_elapsed {
             continue;
         }
         node.orders.in_flight.insert(id, now);
-        let facts = format!("server={} wanted={wanted:?} fence={fence}", id.0);
+        let facts = format!("server={} wanted={desired:?} fence={fencing_token}", id.0);
         cx.log(LogEventKind::OrderSent, facts);
         cx.emit(Effect::Order {
             server: id,
-            fence,
-            wanted,
+            fencing_token,
+            desired,
         });
     }
 }
@@ -232,7 +239,7 @@
     now: Instant,
     key: ServerKey,
     models: &'a [Model],
-) -> Option<(&'a Model, WantedState)> {
+) -> Option<(&'a Model, DesiredState)> {
     let report = node.servers.arena[key].fresh_report(now)?;
     for loaded in &report.loaded {
         let Some(model) = models.iter().find(|m| m.name == loaded.model) else {
@@ -243,7 +250,7 @@
             let version = version.clone();
             return Some((
                 model,
-                WantedState::VersionLoaded {
+                DesiredState::VersionLoaded {
                     model: name,
                     version,
                 },
@@ -253,7 +260,7 @@
             let adapter = adapter.clone();
             return Some((
                 model,
-                WantedState::AdapterLoaded {
+                DesiredState::AdapterLoaded {
                     model: name,
                     adapter,
                 },
@@ -263,7 +270,7 @@
             let version = version.clone();
             return Some((
                 model,
-                WantedState::VersionUnloaded {
+                DesiredState::VersionUnloaded {
                     model: name,
                     version,
                 },
--- a/crates/notchwalk_decide/src/schedule.rs
+++ b/crates/notchwalk_decide/src/schedule.rs
@@ -250,13 +250,13 @@
         return;
     };
     suspects::on_server_reachable(node, key);
-    if report.leaving {
+    if report.draining {
         mark_draining(node, cx, key);
     }
     let loaded = loaded_groups(node, &report);
     for group in &loaded {
         let cost = node.cost(group.group);
-        cost.record_token_times(report.prompt_token_ns, report.answer_token_ns);
+        cost.record_token_times(report.prefill_token_ns, report.decode_token_ns);
     }
     node.servers.set_loaded(key, loaded);
     node.servers.arena[key].report = Some((cx.now, report));
--- a/crates/notchwalk_decide/src/sweep.rs
+++ b/crates/notchwalk_decide/src/sweep.rs
@@ -5,7 +5,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use notchwalk_core::{Attempt, Instant, LogEventKind, RequestId, ServerId};
-use notchwalk_wire::Holding;
+use notchwalk_wire::Allocation;
 
 use crate::{
     credit,
@@ -109,12 +109,12 @@
     }
     if cx.now >= node.cancels.next_sweep {
         node.cancels.next_sweep = cx.now.after(SWEEP_INTERVAL);
-        query_holdings(node, cx);
+        query_allocations(node, cx);
     }
 }
 
 /// Queries the memory held on the engines whose home is this node.
-fn query_holdings(node: &mut Node, cx: &mut Cx<'_>) {
+fn query_allocations(node: &mut Node, cx: &mut Cx<'_>) {
     let engines = node
         .servers
         .arena
@@ -123,39 +123,39 @@
     let ids: Vec<ServerId> = engines.map(|s| s.id).collect();
     for id in ids {
         if credit::home_since(node, cx.now, id).is_some() {
-            cx.emit(Effect::AskHoldings(id));
+            cx.emit(Effect::QueryAllocations(id));
         }
     }
 }
 
 /// Cancels memory whose request has ended or whose owner is dead. Memory of an
 /// owner that may only be paused is retained.
-pub(crate) fn on_holdings(
+pub(crate) fn on_allocations(
     node: &mut Node,
     cx: &mut Cx<'_>,
     server: ServerId,
-    holdings: &[Holding],
+    allocations: &[Allocation],
 ) {
     let Some(key) = node.servers.key(server) else {
         return;
     };
-    for holding in holdings {
-        if holding.age_ms < MIN_ORPHAN_AGE_MS || !is_orphan(node, cx.now, server, holding) {
+    for allocation in allocations {
+        if allocation.age_ms < MIN_ORPHAN_AGE_MS || !is_orphan(node, cx.now, server, allocation) {
             continue;
         }
         let facts = format!(
             "server={} request={} tokens={}",
-            server.0, holding.request, holding.tokens
+            server.0, allocation.request, allocation.tokens
         );
         cx.log(LogEventKind::MemoryReclaimed, facts);
-        cancel(node, cx, key, holding.request, holding.attempt);
+        cancel(node, cx, key, allocation.request, allocation.attempt);
     }
 }
 
-fn is_orphan(node: &Node, now: Instant, server: ServerId, holding: &Holding) -> bool {
-    let owner = holding.request;
+fn is_orphan(node: &Node, now: Instant, server: ServerId, allocation: &Allocation) -> bool {
+    let owner = allocation.request;
     if owner.vm == node.cfg.vm {
-        return owner.boot != node.cfg.boot || !is_in_use(node, server, holding);
+        return owner.boot != node.cfg.boot || !is_in_use(node, server, allocation);
     }
     if !node.membership.may_be_alive(owner.vm, owner.boot) {
         return true;
@@ -165,12 +165,12 @@
 }
 
 /// Returns whether a request of this node still uses memory on a server.
-fn is_in_use(node: &Node, server: ServerId, holding: &Holding) -> bool {
-    let Some(key) = node.by_seq.get(&holding.request.seq) else {
+fn is_in_use(node: &Node, server: ServerId, allocation: &Allocation) -> bool {
+    let Some(key) = node.by_seq.get(&allocation.request.seq) else {
         return false;
     };
     let req = &node.requests[*key];
-    if holding.attempt != req.attempt || req.phase != Phase::Running {
+    if allocation.attempt != req.attempt || req.phase != Phase::Running {
         return false;
     }
     let is_on_server = |key: ServerKey| node.servers.arena[key].id == server;
--- a/crates/notchwalk_decide/tests/decisions/attempts.rs
+++ b/crates/notchwalk_decide/tests/decisions/attempts.rs
@@ -5,7 +5,7 @@
     admitted, dispatches, failures, other_id, single_dispatch, Rig, STALE_ATTEMPT,
 };
 use notchwalk_decide::{AttemptEnd, Effect, Event, FailureCode};
-use notchwalk_wire::OutcomeWord;
+use notchwalk_wire::ExecutionOutcome;
 
 fn skips(effects: &[Effect]) -> Vec<u32> {
     let found = effects.iter().filter_map(|e| match e {
@@ -103,7 +103,7 @@
     assert!(dispatches(&effects).is_empty());
     let failure = failures(&effects)[0];
     assert_eq!(failure.code, FailureCode::CallFailed);
-    assert_eq!(failure.outcome, OutcomeWord::Unknown);
+    assert_eq!(failure.outcome, ExecutionOutcome::Unknown);
 }
 
 #[test]
@@ -126,7 +126,7 @@
     rig.advance(20, 0);
     let failure = failures(&rig.take())[0];
     assert_eq!(failure.code, FailureCode::TimedOut);
-    assert_eq!(failure.outcome, OutcomeWord::NotRun);
+    assert_eq!(failure.outcome, ExecutionOutcome::NotRun);
 }
 
 #[test]
@@ -159,7 +159,7 @@
     rig.generate(90_000, 10, 500);
     let failure = failures(&rig.take())[0];
     assert_eq!(failure.code, FailureCode::DeadlineTooClose);
-    assert_eq!(failure.outcome, OutcomeWord::NotRun);
+    assert_eq!(failure.outcome, ExecutionOutcome::NotRun);
     assert_eq!(
         failure.retry_after_ms, None,
         "a later attempt would fail as well"
--- a/crates/notchwalk_decide/tests/decisions/claims.rs
+++ b/crates/notchwalk_decide/tests/decisions/claims.rs
@@ -2,7 +2,7 @@
 
 use crate::common::{dispatches, failures, Rig};
 use notchwalk_decide::{ClaimAnswer, ClaimRow, Effect, Event, FailureCode, RequestKey};
-use notchwalk_wire::OutcomeWord;
+use notchwalk_wire::ExecutionOutcome;
 
 /// Returns a node with a call that waits for its claim, the request's key and
 /// the claim's token.
@@ -58,7 +58,7 @@
     assert!(dispatches(&effects).is_empty());
     let failure = failures(&effects)[0];
     assert_eq!(failure.code, FailureCode::StoreUnavailable);
-    assert_eq!(failure.outcome, OutcomeWord::NotRun);
+    assert_eq!(failure.outcome, ExecutionOutcome::NotRun);
     rig.advance(2_000, 1);
     let released = |e: &Effect| matches!(e, Effect::ClaimRelease { .. });
     let all = [effects, rig.take()].concat();
--- a/crates/notchwalk_decide/tests/decisions/orders.rs
+++ b/crates/notchwalk_decide/tests/decisions/orders.rs
@@ -33,7 +33,7 @@
 
 fn orders(effects: &[Effect]) -> Vec<u64> {
     let found = effects.iter().filter_map(|e| match e {
-        Effect::Order { fence, .. } => Some(*fence),
+        Effect::Order { fencing_token, .. } => Some(*fencing_token),
         _ => None,
     });
     found.collect()
@@ -43,7 +43,7 @@
     LeaseRow {
         holder: VmId(9),
         boot: BootNumber(1),
-        fence: 4,
+        fencing_token: 4,
         renewals,
     }
 }
@@ -61,7 +61,7 @@
     rig.advance(3_000, 1);
     let (expected, row) = writes(&rig.take())[0];
     assert_eq!(expected, Some(row_of_other_node(1)));
-    assert_eq!(row.fence, 5);
+    assert_eq!(row.fencing_token, 5);
     answer(rig, row, true);
     row
 }
--- a/crates/notchwalk_platform/src/http_client.rs
+++ b/crates/notchwalk_platform/src/http_client.rs
@@ -6,7 +6,7 @@
 use http::{Method, StatusCode};
 use notchwalk_http::prelude::*;
 use notchwalk_wire::{
-    TableRead, TableReadAnswer, TableTransaction, TableTransactionAnswer, VmRecord,
+    TableRead, TableReadResponse, TableTransaction, TableTransactionResponse, VmRecord,
 };
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 
@@ -60,12 +60,12 @@
 }
 
 impl TableStore for HttpPlatform {
-    fn transact(&self, tx: TableTransaction) -> PlatformFuture<'_, TableTransactionAnswer> {
+    fn transact(&self, tx: TableTransaction) -> PlatformFuture<'_, TableTransactionResponse> {
         let req = OutgoingRequest::new(Method::POST, "/table/transaction").with_json(&tx);
         Box::pin(self.call_json(req))
     }
 
-    fn read(&self, read: TableRead) -> PlatformFuture<'_, TableReadAnswer> {
+    fn read(&self, read: TableRead) -> PlatformFuture<'_, TableReadResponse> {
         let req = OutgoingRequest::new(Method::POST, "/table/read").with_json(&read);
         Box::pin(self.call_json(req))
     }
--- a/crates/notchwalk_platform/src/traits.rs
+++ b/crates/notchwalk_platform/src/traits.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use notchwalk_wire::{
-    TableRead, TableReadAnswer, TableTransaction, TableTransactionAnswer, VmRecord,
+    TableRead, TableReadResponse, TableTransaction, TableTransactionResponse, VmRecord,
 };
 
 use crate::{LocalFuture, PlatformError};
@@ -18,14 +18,14 @@
     ///
     /// Fails if the table is unavailable; [`PlatformError::may_have_taken_effect`] returns
     /// whether the transaction may have taken effect.
-    fn transact(&self, tx: TableTransaction) -> PlatformFuture<'_, TableTransactionAnswer>;
+    fn transact(&self, tx: TableTransaction) -> PlatformFuture<'_, TableTransactionResponse>;
 
     /// Reads rows.
     ///
     /// # Errors
     ///
     /// Fails if the table is unavailable.
-    fn read(&self, read: TableRead) -> PlatformFuture<'_, TableReadAnswer>;
+    fn read(&self, read: TableRead) -> PlatformFuture<'_, TableReadResponse>;
 }
 
 /// The object store.
--- a/crates/notchwalk_standin/src/bench/capacity.rs
+++ b/crates/notchwalk_standin/src/bench/capacity.rs
@@ -220,14 +220,14 @@
         slots: 64,
         backlog_tokens: 12_345,
         backlog_by_priority: vec![(125, 345), (45, 12_000)],
-        prompt_token_ns: 40_000,
-        answer_token_ns: 100_000,
+        prefill_token_ns: 40_000,
+        decode_token_ns: 100_000,
         loaded: vec![LoadedModel {
             model: "lampwise".to_owned(),
             versions: vec!["v1".to_owned()],
             adapters: vec!["tour".to_owned()],
         }],
-        leaving: false,
+        draining: false,
         evictions: 3,
     }
 }
@@ -297,14 +297,14 @@
         vm: VmId(vm),
         boot: BootNumber(1),
         seq,
-        leaving: false,
+        draining: false,
         bundle_version: 1,
-        heard: Vec::new(),
+        peer_contacts: Vec::new(),
         demand: vec![(1, 4_000)],
         shares: Vec::new(),
         served: Vec::new(),
-        leaving_servers: Vec::new(),
-        long_holds: Vec::new(),
+        draining_servers: Vec::new(),
+        long_reservations: Vec::new(),
     };
     Event::Peer {
         from: VmId(vm),
--- a/crates/notchwalk_standin/src/bench/once.rs
+++ b/crates/notchwalk_standin/src/bench/once.rs
@@ -11,7 +11,7 @@
 
 use http::{header, HeaderName, HeaderValue, Method};
 use notchwalk_http::prelude::*;
-use notchwalk_wire::{ApiError, OutcomeWord};
+use notchwalk_wire::{ApiError, ExecutionOutcome};
 
 use super::{policy, rounded, BenchOptions, Metrics};
 use crate::{
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AttemptOutcome {
     Completed,
-    Failed(OutcomeWord),
+    Failed(ExecutionOutcome),
     ConnectionLost,
 }
 
@@ -114,8 +114,8 @@
     let all_outcomes: Vec<AttemptOutcome> = attempts.values().flatten().copied().collect();
     let unknown = all_outcomes
         .iter()
-        .filter(|e| **e == AttemptOutcome::Failed(OutcomeWord::Unknown));
-    let not_run = AttemptOutcome::Failed(OutcomeWord::NotRun);
+        .filter(|e| **e == AttemptOutcome::Failed(ExecutionOutcome::Unknown));
+    let not_run = AttemptOutcome::Failed(ExecutionOutcome::NotRun);
     let never_run = attempts
         .iter()
         .filter(|(_, outcomes)| outcomes.iter().all(|e| *e == not_run));
--- a/crates/notchwalk_standin/src/bench/steps.rs
+++ b/crates/notchwalk_standin/src/bench/steps.rs
@@ -54,14 +54,14 @@
         backlog_tokens: 1_000,
         backlog_by_priority: vec![(120, 1_000)],
         // Minimal, so that the engines are never the bottleneck.
-        prompt_token_ns: 1,
-        answer_token_ns: 1,
+        prefill_token_ns: 1,
+        decode_token_ns: 1,
         loaded: vec![LoadedModel {
             model: "m".to_owned(),
             versions: vec!["v1".to_owned()],
             adapters: Vec::new(),
         }],
-        leaving: false,
+        draining: false,
         evictions: 0,
     }
 }
--- a/crates/notchwalk_standin/src/caller.rs
+++ b/crates/notchwalk_standin/src/caller.rs
@@ -7,7 +7,7 @@
 
 use http::{header, HeaderValue, Method, StatusCode};
 use notchwalk_http::prelude::*;
-use notchwalk_wire::{ApiError, OutcomeWord};
+use notchwalk_wire::{ApiError, ExecutionOutcome};
 use serde_json::{json, Value};
 
 use crate::completion::CompletionSeed;
@@ -61,7 +61,7 @@
         /// API error code.
         code: String,
         /// Whether the request was executed.
-        outcome: OutcomeWord,
+        outcome: ExecutionOutcome,
         /// Delay before the next attempt.
         retry_after: Option<Duration>,
     },
--- a/crates/notchwalk_standin/src/engine/api.rs
+++ b/crates/notchwalk_standin/src/engine/api.rs
@@ -10,8 +10,9 @@
 use notchwalk_decide::block_hashes;
 use notchwalk_http::{chunk_into, serve, Exchange, LocalBoxFuture, ServerLimits, Service};
 use notchwalk_wire::{
-    CancelAnswer, CancelRequest, EngineFinish, EngineFrame, EngineRefusal, GenerateRequest,
-    Holdings, OrderAnswer, OrderRequest, Prompt, SegmentAnswer, SegmentRequest, WantedState,
+    Allocations, CancelRequest, CancelResponse, DesiredState, EngineFinish, EngineFrame,
+    EngineRejection, GenerateRequest, OrderRequest, OrderResponse, Prompt, SegmentRequest,
+    SegmentResponse,
 };
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 
@@ -115,12 +116,12 @@
     }
 }
 
-fn parse<T: DeserializeOwned>(body: &Bytes) -> Result<T, EngineRefusal> {
-    serde_json::from_slice(body).map_err(|e| refusal("bad_request", &e.to_string()))
+fn parse<T: DeserializeOwned>(body: &Bytes) -> Result<T, EngineRejection> {
+    serde_json::from_slice(body).map_err(|e| rejection("bad_request", &e.to_string()))
 }
 
-fn refusal(code: &str, message: &str) -> EngineRefusal {
-    EngineRefusal {
+fn rejection(code: &str, message: &str) -> EngineRejection {
+    EngineRejection {
         code: code.to_owned(),
         message: message.to_owned(),
     }
@@ -189,10 +190,10 @@
                 Ok(())
             }
             (&Method::GET, "/v1/holdings") => {
-                let holdings = Holdings {
-                    holdings: self.sim.borrow().holdings(),
+                let allocations = Allocations {
+                    allocations: self.sim.borrow().allocations(),
                 };
-                exchange.respond_json(StatusCode::OK, &holdings).await;
+                exchange.respond_json(StatusCode::OK, &allocations).await;
                 Ok(())
             }
             (&Method::GET, "/v1/cache/events") => {
@@ -221,16 +222,20 @@
                 exchange.respond_json(StatusCode::OK, &counts).await;
                 Ok(())
             }
-            _ => Err(refusal("not_found", "no such endpoint")),
+            _ => Err(rejection("not_found", "no such endpoint")),
         };
-        if let Err(refusal) = done {
+        if let Err(rejection) = done {
             exchange
-                .respond_json(StatusCode::SERVICE_UNAVAILABLE, &refusal)
+                .respond_json(StatusCode::SERVICE_UNAVAILABLE, &rejection)
                 .await;
         }
     }
 
-    async fn set_fault(&self, exchange: &mut Exchange, body: &Bytes) -> Result<(), EngineRefusal> {
+    async fn set_fault(
+        &self,
+        exchange: &mut Exchange,
+        body: &Bytes,
+    ) -> Result<(), EngineRejection> {
         let fault: Fault = parse(body)?;
         {
             let mut sim = self.sim.borrow_mut();
@@ -253,13 +258,13 @@
             && version.is_none_or(|v| loaded.versions.iter().any(|x| x == v))
     }
 
-    async fn generate(&self, exchange: &mut Exchange, body: &Bytes) -> Result<(), EngineRefusal> {
+    async fn generate(&self, exchange: &mut Exchange, body: &Bytes) -> Result<(), EngineRejection> {
         let req: GenerateRequest = parse(body)?;
         if self.fault() == Fault::Overloaded {
-            return Err(refusal("overloaded", "the engine accepts no new work"));
+            return Err(rejection("overloaded", "the engine accepts no new work"));
         }
         if !self.is_loaded(&req.model, req.adapter.as_deref(), req.version.as_deref()) {
-            return Err(refusal(
+            return Err(rejection(
                 "model_not_loaded",
                 "the model variant is not loaded",
             ));
@@ -274,7 +279,7 @@
         let imported = imported_tokens(&req.imports).min(prompt_tokens - 1);
         let local_tokens = prompt_tokens - imported;
         if local_tokens + u64::from(req.max_tokens) > self.sim.borrow().config.capacity_tokens {
-            return Err(refusal(
+            return Err(rejection(
                 "too_large",
                 "the prompt exceeds this engine's memory",
             ));
@@ -394,11 +399,11 @@
         }
     }
 
-    async fn prefill(&self, exchange: &mut Exchange, body: &Bytes) -> Result<(), EngineRefusal> {
+    async fn prefill(&self, exchange: &mut Exchange, body: &Bytes) -> Result<(), EngineRejection> {
         let req: SegmentRequest = parse(body)?;
         let local_tokens = req.to.saturating_sub(req.from).max(1);
         if local_tokens > self.sim.borrow().config.capacity_tokens {
-            return Err(refusal(
+            return Err(rejection(
                 "too_large",
                 "the segment exceeds this engine's memory",
             ));
@@ -436,35 +441,35 @@
             req.request, req.attempt.0, req.from, req.to
         );
         exchange
-            .respond_json(StatusCode::OK, &SegmentAnswer { ticket })
+            .respond_json(StatusCode::OK, &SegmentResponse { ticket })
             .await;
         Ok(())
     }
 
-    async fn cancel(&self, exchange: &mut Exchange, body: &Bytes) -> Result<(), EngineRefusal> {
+    async fn cancel(&self, exchange: &mut Exchange, body: &Bytes) -> Result<(), EngineRejection> {
         let req: CancelRequest = parse(body)?;
         let freed = self.sim.borrow_mut().cancel(req.request, req.up_to);
         exchange
-            .respond_json(StatusCode::OK, &CancelAnswer { freed })
+            .respond_json(StatusCode::OK, &CancelResponse { freed })
             .await;
         Ok(())
     }
 
-    async fn order(&self, exchange: &mut Exchange, body: &Bytes) -> Result<(), EngineRefusal> {
+    async fn order(&self, exchange: &mut Exchange, body: &Bytes) -> Result<(), EngineRejection> {
         let req: OrderRequest = parse(body)?;
         let response = {
             let mut fence = self.fence.borrow_mut();
             let mut sim = self.sim.borrow_mut();
-            let stale = req.fence < fence.highest;
+            let stale = req.fencing_token < fence.highest;
             let accepted = !(stale && sim.config.checks_fence);
             if accepted {
                 fence.stale_orders_run += u64::from(stale);
-                apply_order(&mut sim, req.wanted);
+                apply_order(&mut sim, req.desired);
             }
-            fence.highest = fence.highest.max(req.fence);
-            OrderAnswer {
+            fence.highest = fence.highest.max(req.fencing_token);
+            OrderResponse {
                 accepted,
-                fence: fence.highest,
+                fencing_token: fence.highest,
             }
         };
         exchange.respond_json(StatusCode::OK, &response).await;
@@ -472,10 +477,10 @@
     }
 }
 
-fn apply_order(sim: &mut Simulation, wanted: WantedState) {
-    let (WantedState::VersionLoaded { model, .. }
-    | WantedState::VersionUnloaded { model, .. }
-    | WantedState::AdapterLoaded { model, .. }) = &wanted;
+fn apply_order(sim: &mut Simulation, desired: DesiredState) {
+    let (DesiredState::VersionLoaded { model, .. }
+    | DesiredState::VersionUnloaded { model, .. }
+    | DesiredState::AdapterLoaded { model, .. }) = &desired;
     let Some(loaded) = sim.loaded.iter_mut().find(|l| l.model == *model) else {
         return;
     };
@@ -484,10 +489,10 @@
             list.push(item);
         }
     };
-    match wanted {
-        WantedState::VersionLoaded { version, .. } => add(&mut loaded.versions, version),
-        WantedState::VersionUnloaded { version, .. } => loaded.versions.retain(|v| *v != version),
-        WantedState::AdapterLoaded { adapter, .. } => add(&mut loaded.adapters, adapter),
+    match desired {
+        DesiredState::VersionLoaded { version, .. } => add(&mut loaded.versions, version),
+        DesiredState::VersionUnloaded { version, .. } => loaded.versions.retain(|v| *v != version),
+        DesiredState::AdapterLoaded { adapter, .. } => add(&mut loaded.adapters, adapter),
     }
 }
 
--- a/crates/notchwalk_standin/src/engine/simulation.rs
+++ b/crates/notchwalk_standin/src/engine/simulation.rs
@@ -7,7 +7,7 @@
 };
 
 use notchwalk_core::{Attempt, RequestId, Tokens};
-use notchwalk_wire::{Holding, LoadReport, LoadedModel};
+use notchwalk_wire::{Allocation, LoadReport, LoadedModel};
 
 use super::{
     cache::PrefixCache,
@@ -105,8 +105,8 @@
     }
 
     /// Returns the memory held by each running sequence.
-    pub fn holdings(&self) -> Vec<Holding> {
-        let holding = |s: &Sequence| Holding {
+    pub fn allocations(&self) -> Vec<Allocation> {
+        let allocation = |s: &Sequence| Allocation {
             request: s.request,
             attempt: s.attempt,
             tokens: s.used_tokens(),
@@ -115,7 +115,7 @@
         self.sequences
             .iter()
             .filter(|s| s.running)
-            .map(holding)
+            .map(allocation)
             .collect()
     }
 
@@ -298,11 +298,11 @@
                 .map(Sequence::remaining_prompt_tokens)
                 .sum(),
             backlog_by_priority: self.backlog_by_priority(),
-            prompt_token_ns: ns(self.config.prefill_per_token)
+            prefill_token_ns: ns(self.config.prefill_per_token)
                 + (overhead_per_token / scale) as u64,
-            answer_token_ns: ns(self.config.decode_per_token) + (overhead_per_token / scale) as u64,
+            decode_token_ns: ns(self.config.decode_per_token) + (overhead_per_token / scale) as u64,
             loaded: self.loaded.clone(),
-            leaving: self.draining,
+            draining: self.draining,
             evictions: self.evictions,
         }
     }
@@ -320,7 +320,7 @@
         let at = old_enough.unwrap_or(0);
         self.report_history.drain(..at);
         let mut report = self.report_history[0].1.clone();
-        report.leaving = self.draining;
+        report.draining = self.draining;
         report
     }
 }
--- a/crates/notchwalk_standin/src/fleet.rs
+++ b/crates/notchwalk_standin/src/fleet.rs
@@ -282,7 +282,7 @@
     /// Marks a VM as draining in the VM list.
     pub fn mark_draining(&mut self, id: u32) {
         for record in self.records.iter_mut().filter(|r| r.id == id) {
-            record.state = VmState::Leaving;
+            record.state = VmState::Draining;
         }
         self.publish_vms();
     }
--- a/crates/notchwalk_standin/src/platform/api.rs
+++ b/crates/notchwalk_standin/src/platform/api.rs
@@ -12,7 +12,7 @@
 use http::{Method, StatusCode};
 use monoio::net::TcpListener;
 use notchwalk_http::{serve, Exchange, LocalBoxFuture, ServerLimits, Service};
-use notchwalk_wire::{TableRead, TableReadAnswer, TableTransaction, VmRecord};
+use notchwalk_wire::{TableRead, TableReadResponse, TableTransaction, VmRecord};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
@@ -226,7 +226,7 @@
             read.keys.iter().map(|key| table.get(key)).collect()
         };
         exchange
-            .respond_json(StatusCode::OK, &TableReadAnswer { rows })
+            .respond_json(StatusCode::OK, &TableReadResponse { rows })
             .await;
         true
     }
--- a/crates/notchwalk_standin/src/platform/table.rs
+++ b/crates/notchwalk_standin/src/platform/table.rs
@@ -5,7 +5,7 @@
     time::{Duration, Instant},
 };
 
-use notchwalk_wire::{Condition, Row, TableOp, TableTransaction, TableTransactionAnswer};
+use notchwalk_wire::{Condition, Row, TableOp, TableTransaction, TableTransactionResponse};
 
 struct StoredRow {
     value: String,
@@ -64,7 +64,7 @@
     }
 
     /// Executes a transaction.
-    pub fn transact(&mut self, tx: &TableTransaction) -> TableTransactionAnswer {
+    pub fn transact(&mut self, tx: &TableTransaction) -> TableTransactionResponse {
         let aborted = tx.all_or_none && !tx.ops.iter().all(|op| self.condition_holds(op));
         let mut applied = Vec::new();
         for op in &tx.ops {
@@ -78,6 +78,6 @@
             self.writes += 1;
         }
         let rows = tx.ops.iter().map(|op| self.get(&op.key)).collect();
-        TableTransactionAnswer { applied, rows }
+        TableTransactionResponse { applied, rows }
     }
 }
--- a/crates/notchwalk_standin/src/report.rs
+++ b/crates/notchwalk_standin/src/report.rs
@@ -4,7 +4,7 @@
 
 use comfy_table::{presets::UTF8_FULL_CONDENSED, CellAlignment, Table};
 use hdrhistogram::Histogram;
-use notchwalk_wire::OutcomeWord;
+use notchwalk_wire::ExecutionOutcome;
 
 use crate::{caller::CallEnd, workload::Measured};
 
@@ -77,9 +77,9 @@
         CallEnd::Cut(reason) => format!("connection lost: {reason}"),
         CallEnd::Failed { code, outcome, .. } => {
             let outcome_name = match outcome {
-                OutcomeWord::NotRun => "not run",
-                OutcomeWord::Ran => "ran",
-                OutcomeWord::Unknown => "unknown",
+                ExecutionOutcome::NotRun => "not run",
+                ExecutionOutcome::Ran => "ran",
+                ExecutionOutcome::Unknown => "unknown",
             };
             format!("{code} ({outcome_name})")
         }
--- a/crates/notchwalk_standin/src/soak/callers.rs
+++ b/crates/notchwalk_standin/src/soak/callers.rs
@@ -4,7 +4,7 @@
 
 use notchwalk_core::RequestId;
 use notchwalk_decide::{Completion, Failure, RequestKey};
-use notchwalk_wire::OutcomeWord;
+use notchwalk_wire::ExecutionOutcome;
 
 /// The kind of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -92,7 +92,7 @@
                 "{}: completed with {} of {tokens} tokens",
                 open.id, open.received
             )),
-            (Err(failure), _) if failure.outcome == OutcomeWord::NotRun && open.ran => Err(
+            (Err(failure), _) if failure.outcome == ExecutionOutcome::NotRun && open.ran => Err(
                 format!("{}: ran but was reported as not run: {failure:?}", open.id),
             ),
             _ => Ok(open),
--- a/crates/notchwalk_standin/src/soak/fakes.rs
+++ b/crates/notchwalk_standin/src/soak/fakes.rs
@@ -4,7 +4,7 @@
 
 use notchwalk_core::{Attempt, RequestId, Tokens};
 use notchwalk_decide::{ClaimAnswer, ClaimRow};
-use notchwalk_wire::{Holding, LoadReport, LoadedModel};
+use notchwalk_wire::{Allocation, LoadReport, LoadedModel};
 
 /// Memory reserved on a fake engine for one attempt.
 #[derive(Clone, Copy, Debug)]
@@ -85,14 +85,14 @@
     }
 
     /// Returns the reservations as reported to nodes.
-    pub fn holdings(&self, now_us: u64) -> Vec<Holding> {
-        let holdings = self.reservations.iter().map(|(id, r)| Holding {
+    pub fn allocations(&self, now_us: u64) -> Vec<Allocation> {
+        let allocations = self.reservations.iter().map(|(id, r)| Allocation {
             request: *id,
             attempt: r.attempt,
             tokens: r.tokens,
             age_ms: (now_us - r.since_us) / 1_000,
         });
-        holdings.collect()
+        allocations.collect()
     }
 
     /// Returns the load as reported to nodes.
@@ -105,14 +105,14 @@
             slots: 32,
             backlog_tokens: 0,
             backlog_by_priority: Vec::new(),
-            prompt_token_ns: 10_000,
-            answer_token_ns: 10_000,
+            prefill_token_ns: 10_000,
+            decode_token_ns: 10_000,
             loaded: vec![LoadedModel {
                 model: "m".to_owned(),
                 versions: vec!["v1".to_owned()],
                 adapters: vec!["tour".to_owned()],
             }],
-            leaving: self.draining_since_us.is_some(),
+            draining: self.draining_since_us.is_some(),
             evictions: 0,
         }
     }
--- a/crates/notchwalk_standin/src/soak/world.rs
+++ b/crates/notchwalk_standin/src/soak/world.rs
@@ -436,15 +436,22 @@
                     w.cancel_on_engine(i, boot, server, id, up_to)
                 });
             }
-            Effect::AskHoldings(server) => {
+            Effect::QueryAllocations(server) => {
                 let engine = &self.engines[server.0 as usize];
                 if engine.crashed || engine.hung {
                     return;
                 }
-                let holdings = engine.holdings(self.now_us);
+                let allocations = engine.allocations(self.now_us);
                 let delay_us = self.random_delay_us();
                 self.schedule_after(delay_us, move |w| {
-                    w.feed(i, boot, Event::Holdings { server, holdings })
+                    w.feed(
+                        i,
+                        boot,
+                        Event::Allocations {
+                            server,
+                            allocations,
+                        },
+                    )
                 });
             }
             Effect::ClaimInsert {
@@ -524,7 +531,7 @@
             Ok(open) => {
                 if let Err(failure) = result {
                     self.report.failed += 1;
-                    if failure.outcome == notchwalk_wire::OutcomeWord::NotRun {
+                    if failure.outcome == notchwalk_wire::ExecutionOutcome::NotRun {
                         self.reported_not_run.insert(open.id);
                     }
                 } else {
--- a/crates/notchwalk_wire/src/caller.rs
+++ b/crates/notchwalk_wire/src/caller.rs
@@ -205,7 +205,7 @@
 /// Whether a failed request was executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum OutcomeWord {
+pub enum ExecutionOutcome {
     /// The request was not executed.
     NotRun,
     /// The request was executed, completely or in part.
@@ -234,7 +234,7 @@
     /// A stable error code.
     pub code: String,
     /// Whether the request was executed.
-    pub outcome: OutcomeWord,
+    pub outcome: ExecutionOutcome,
 }
 
 /// One model of `GET /v1/models`.
@@ -261,7 +261,7 @@
 
 /// One node in the response of `GET /v1/entries`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EntryInfo {
+pub struct NodeInfo {
     /// The address for callers.
     pub address: String,
     /// Its failure domain.
@@ -270,9 +270,10 @@
 
 /// `GET /v1/entries`: the nodes that accept requests, in order of preference.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EntriesAnswer {
+pub struct NodeList {
     /// The nodes, in the order in which callers should try them.
-    pub entries: Vec<EntryInfo>,
+    #[serde(rename = "entries")]
+    pub nodes: Vec<NodeInfo>,
     /// How long the response may be cached, in seconds.
     pub ttl_s: u64,
 }
--- a/crates/notchwalk_wire/src/engine.rs
+++ b/crates/notchwalk_wire/src/engine.rs
@@ -79,7 +79,7 @@
 
 /// A rejection by an engine before execution: the request did not run there.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EngineRefusal {
+pub struct EngineRejection {
     /// A stable code such as `overloaded` or `model_not_loaded`.
     pub code: String,
     /// A message for people.
@@ -106,7 +106,7 @@
 
 /// The response to a [`SegmentRequest`] after the prefill.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct SegmentAnswer {
+pub struct SegmentResponse {
     /// The ticket with which other engines import the KV cache.
     pub ticket: String,
 }
@@ -122,7 +122,7 @@
 
 /// The response to a [`CancelRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CancelAnswer {
+pub struct CancelResponse {
     /// KV memory freed, in tokens.
     pub freed: Tokens,
 }
@@ -157,20 +157,23 @@
     #[serde(default)]
     pub backlog_by_priority: Vec<(u8, Tokens)>,
     /// Engine time per prompt token, in nanoseconds.
-    pub prompt_token_ns: u64,
+    #[serde(rename = "prompt_token_ns")]
+    pub prefill_token_ns: u64,
     /// Engine time per generated token, in nanoseconds.
-    pub answer_token_ns: u64,
+    #[serde(rename = "answer_token_ns")]
+    pub decode_token_ns: u64,
     /// The loaded models.
     pub loaded: Vec<LoadedModel>,
     /// Whether the server is draining.
-    pub leaving: bool,
+    #[serde(rename = "leaving")]
+    pub draining: bool,
     /// Number of evictions due to lack of memory since the engine started.
     pub evictions: u64,
 }
 
 /// KV memory that an engine has allocated for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Holding {
+pub struct Allocation {
     /// The request.
     pub request: RequestId,
     /// The attempt.
@@ -183,9 +186,10 @@
 
 /// `GET /v1/holdings`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Holdings {
+pub struct Allocations {
     /// All memory allocated for requests, without cached prefixes.
-    pub holdings: Vec<Holding>,
+    #[serde(rename = "holdings")]
+    pub allocations: Vec<Allocation>,
 }
 
 /// A change in an engine's prefix cache.
@@ -215,7 +219,7 @@
 /// The state that an order requests. Orders are idempotent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum WantedState {
+pub enum DesiredState {
     /// A version of a model is loaded.
     VersionLoaded {
         /// The model.
@@ -243,17 +247,20 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderRequest {
     /// The fencing token of the lease under which the order is sent.
-    pub fence: u64,
+    #[serde(rename = "fence")]
+    pub fencing_token: u64,
     /// The desired state.
-    pub wanted: WantedState,
+    #[serde(rename = "wanted")]
+    pub desired: DesiredState,
 }
 
 /// The response to an [`OrderRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OrderAnswer {
+pub struct OrderResponse {
     /// Whether the engine accepted the order; engines that check the fencing token reject an
     /// outdated one.
     pub accepted: bool,
     /// The highest fencing token that the engine has received.
-    pub fence: u64,
+    #[serde(rename = "fence")]
+    pub fencing_token: u64,
 }
--- a/crates/notchwalk_wire/src/lib.rs
+++ b/crates/notchwalk_wire/src/lib.rs
@@ -10,20 +10,20 @@
 pub mod prelude;
 
 pub use caller::{
-    ApiError, ApiErrorBody, ChatMessage, ChatRequest, CompletionRequest, EntriesAnswer, EntryInfo,
-    ModelInfo, ModelList, OutcomeWord, PromptInput, StopInput, StreamOptions, Usage,
+    ApiError, ApiErrorBody, ChatMessage, ChatRequest, CompletionRequest, ExecutionOutcome,
+    ModelInfo, ModelList, NodeInfo, NodeList, PromptInput, StopInput, StreamOptions, Usage,
 };
 pub use cbor::{from_cbor, to_cbor, CborError};
 pub use engine::{
-    CacheEvent, CacheEvents, CancelAnswer, CancelRequest, EngineFinish, EngineFrame, EngineRefusal,
-    GenerateRequest, Holding, Holdings, LoadReport, LoadedModel, OrderAnswer, OrderRequest, Prompt,
-    SegmentAnswer, SegmentRequest, WantedState,
+    Allocation, Allocations, CacheEvent, CacheEvents, CancelRequest, CancelResponse, DesiredState,
+    EngineFinish, EngineFrame, EngineRejection, GenerateRequest, LoadReport, LoadedModel,
+    OrderRequest, OrderResponse, Prompt, SegmentRequest, SegmentResponse,
 };
 pub use peer::{
-    Heard, Heartbeat, LongHold, LongReply, LongReplyKind, LongRequest, LongRequestKind,
-    PeerMessage, ServedCost, ServerShare,
+    Heartbeat, LongReply, LongReplyKind, LongRequest, LongRequestKind, LongReservation,
+    PeerContact, PeerMessage, ServedCost, ServerShare,
 };
 pub use platform::{
-    Condition, Row, TableOp, TableRead, TableReadAnswer, TableTransaction, TableTransactionAnswer,
-    VmKind, VmRecord, VmState,
+    Condition, Row, TableOp, TableRead, TableReadResponse, TableTransaction,
+    TableTransactionResponse, VmKind, VmRecord, VmState,
 };
--- a/crates/notchwalk_wire/src/peer.rs
+++ b/crates/notchwalk_wire/src/peer.rs
@@ -8,7 +8,7 @@
 
 /// When the sender last received a message from a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
-pub struct Heard {
+pub struct PeerContact {
     /// The peer.
     pub vm: VmId,
     /// The boot of the peer.
@@ -41,7 +41,7 @@
 
 /// A memory reservation for a long request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
-pub struct LongHold {
+pub struct LongReservation {
     /// The server.
     pub server: ServerId,
     /// The request.
@@ -49,7 +49,7 @@
     /// The reserved memory, in tokens.
     pub tokens: Tokens,
     /// Whether the prefill is complete.
-    pub prompt_done: bool,
+    pub prefill_done: bool,
 }
 
 /// Sent to each peer twice a second.
@@ -63,11 +63,11 @@
     /// ignored.
     pub seq: u64,
     /// Whether the sender is draining.
-    pub leaving: bool,
+    pub draining: bool,
     /// The version of the bundle in force at the sender.
     pub bundle_version: u64,
     /// The peers from which the sender has received messages.
-    pub heard: Vec<Heard>,
+    pub peer_contacts: Vec<PeerContact>,
     /// For each model, by the hash of its name: the total weight of the workspaces with
     /// requests at the sender, in thousandths.
     pub demand: Vec<(u64, u64)>,
@@ -76,10 +76,10 @@
     /// The served cost of the workspaces with the highest cost.
     pub served: Vec<ServedCost>,
     /// Servers that are draining, according to the sender.
-    pub leaving_servers: Vec<ServerId>,
+    pub draining_servers: Vec<ServerId>,
     /// The reservations for long requests of the sender, from which a new home restores its
     /// state and a home detects a lost release.
-    pub long_holds: Vec<LongHold>,
+    pub long_reservations: Vec<LongReservation>,
 }
 
 /// What a node requests from the home of a server for a long request.
@@ -88,7 +88,8 @@
     /// Reserve memory for this number of tokens.
     Reserve(Tokens),
     /// The prefill is complete; the next one may start.
-    PromptDone,
+    #[serde(rename = "PromptDone")]
+    PrefillDone,
     /// Release the reservation.
     Release,
 }
@@ -113,7 +114,8 @@
     Denied,
     /// There is not enough memory yet, but it is being cleared for this request; the
     /// reservation must be requested again.
-    Earmarked,
+    #[serde(rename = "Earmarked")]
+    Clearing,
 }
 
 /// The response of a home.
@@ -137,9 +139,11 @@
     /// The response of a home to a [`LongRequest`].
     LongReply(LongReply),
     /// Requests a bundle newer than this version while the store is unavailable.
-    BundleAsk(u64),
+    #[serde(rename = "BundleAsk")]
+    BundleRequest(u64),
     /// A bundle: its manifest and parts, as JSON.
-    BundleOffer(String),
+    #[serde(rename = "BundleOffer")]
+    BundleResponse(String),
     /// Updates about requests that are suspected of crashing servers.
     Suspects(Vec<QuarantineUpdate>),
 }
--- a/crates/notchwalk_wire/src/platform.rs
+++ b/crates/notchwalk_wire/src/platform.rs
@@ -53,7 +53,7 @@
 
 /// The response to a [`TableTransaction`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TableTransactionAnswer {
+pub struct TableTransactionResponse {
     /// Whether each operation took effect.
     pub applied: Vec<bool>,
     /// The rows after the transaction, in the order of the operations.
@@ -69,7 +69,7 @@
 
 /// The response to a [`TableRead`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TableReadAnswer {
+pub struct TableReadResponse {
     /// The rows in the order of the keys; `None` for a row that does not exist.
     pub rows: Vec<Option<Row>>,
 }
@@ -99,7 +99,8 @@
     /// The VM is running.
     Live,
     /// The VM will be stopped soon.
-    Leaving,
+    #[serde(rename = "leaving")]
+    Draining,
 }
 
 /// An item of `GET /vms`, a list that is eventually consistent.
--- a/crates/notchwalk_wire/src/prelude.rs
+++ b/crates/notchwalk_wire/src/prelude.rs
@@ -1,6 +1,6 @@
 //! Re-exports of the most used message types.
 
 pub use crate::{
-    ApiError, EngineFrame, GenerateRequest, Heartbeat, LoadReport, OutcomeWord, PeerMessage,
+    ApiError, EngineFrame, ExecutionOutcome, GenerateRequest, Heartbeat, LoadReport, PeerMessage,
     Prompt, Usage, VmKind, VmRecord, VmState,
 };
--- a/crates/notchwalk_wire/tests/parsers.rs
+++ b/crates/notchwalk_wire/tests/parsers.rs
@@ -3,7 +3,7 @@
 use notchwalk_core::{BootNumber, RequestId, ServerId, VmId};
 use notchwalk_wire::{
     from_cbor, to_cbor, ChatRequest, CompletionRequest, EngineFrame, Heartbeat, LoadReport,
-    LongHold, PeerMessage, ServedCost, ServerShare, VmRecord,
+    LongReservation, PeerMessage, ServedCost, ServerShare, VmRecord,
 };
 use proptest::prelude::*;
 
@@ -17,9 +17,9 @@
         vm: VmId(1),
         boot: BootNumber(1_700_000_000_000_000),
         seq: 7,
-        leaving: false,
+        draining: false,
         bundle_version: 9,
-        heard: Vec::new(),
+        peer_contacts: Vec::new(),
         demand: vec![(u64::MAX, 4_000)],
         shares: vec![ServerShare {
             server: ServerId(5),
@@ -30,12 +30,12 @@
             workspace: 1,
             cost_us: 2,
         }],
-        leaving_servers: vec![ServerId(8)],
-        long_holds: vec![LongHold {
+        draining_servers: vec![ServerId(8)],
+        long_reservations: vec![LongReservation {
             server: ServerId(5),
             request,
             tokens: 100_000,
-            prompt_done: true,
+            prefill_done: true,
         }],
     })
 }
--- a/crates/notchwalkd/src/api_error.rs
+++ b/crates/notchwalkd/src/api_error.rs
@@ -4,7 +4,7 @@
 use http::{header, HeaderMap, HeaderValue, StatusCode};
 use notchwalk_decide::{Failure, FailureCode};
 use notchwalk_http::{Exchange, HttpError};
-use notchwalk_wire::{ApiError, ApiErrorBody, OutcomeWord};
+use notchwalk_wire::{ApiError, ApiErrorBody, ExecutionOutcome};
 
 /// An error response to a caller.
 #[derive(Clone, Debug)]
@@ -16,7 +16,7 @@
     /// The invalid parameter or header.
     pub param: Option<String>,
     /// Whether the request ran.
-    pub outcome: OutcomeWord,
+    pub outcome: ExecutionOutcome,
     /// Delay before a retry, in milliseconds.
     pub retry_after_ms: Option<u64>,
 }
@@ -29,7 +29,7 @@
             code,
             message: message.into(),
             param: None,
-            outcome: OutcomeWord::NotRun,
+            outcome: ExecutionOutcome::NotRun,
             retry_after_ms: None,
         }
     }
--- a/crates/notchwalkd/src/bundle_watch.rs
+++ b/crates/notchwalkd/src/bundle_watch.rs
@@ -95,7 +95,7 @@
     let (peer, have) =
         shell.with_node(|node| (node.peer_with_newer_bundle(), node.bundle_version()));
     if let Some(peer) = peer {
-        shell.links.send(peer, PeerMessage::BundleAsk(have));
+        shell.links.send(peer, PeerMessage::BundleRequest(have));
     }
 }
 
@@ -106,7 +106,7 @@
         return;
     };
     let text = serde_json::to_string(source).unwrap_or_default();
-    shell.links.send(to, PeerMessage::BundleOffer(text));
+    shell.links.send(to, PeerMessage::BundleResponse(text));
 }
 
 /// Activates a bundle received from a peer if it is newer and valid. Its parts must
--- a/crates/notchwalkd/src/caller_api.rs
+++ b/crates/notchwalkd/src/caller_api.rs
@@ -5,7 +5,7 @@
 use http::{HeaderMap, HeaderValue, Method, StatusCode};
 use notchwalk_core::{LogEvent, LogEventKind};
 use notchwalk_http::{Exchange, HttpError, LocalBoxFuture, Service};
-use notchwalk_wire::{EntriesAnswer, EntryInfo, ModelInfo, ModelList};
+use notchwalk_wire::{ModelInfo, ModelList, NodeInfo, NodeList};
 
 use crate::{
     api_error::ApiFailure,
@@ -81,16 +81,16 @@
         authenticate(bundle.as_ref(), exchange)
     }
 
-    fn entries(&self) -> EntriesAnswer {
+    fn entries(&self) -> NodeList {
         let (live_nodes, ttl) = self
             .shell
             .with_node(|node| (node.live_entries(), node.entries_ttl()));
-        let entries = live_nodes.into_iter().map(|node| EntryInfo {
+        let entries = live_nodes.into_iter().map(|node| NodeInfo {
             address: node.caller_address,
             failure_domain: node.failure_domain,
         });
-        EntriesAnswer {
-            entries: entries.collect(),
+        NodeList {
+            nodes: entries.collect(),
             ttl_s: ttl.as_secs().max(1),
         }
     }
--- a/crates/notchwalkd/src/effects.rs
+++ b/crates/notchwalkd/src/effects.rs
@@ -38,8 +38,8 @@
             Effect::Cancel { server, id, up_to } => {
                 notchwalk_http::spawn(engine_driver::cancel(shell.clone(), server, id, up_to));
             }
-            Effect::AskHoldings(server) => {
-                notchwalk_http::spawn(engine_driver::query_holdings(shell.clone(), server));
+            Effect::QueryAllocations(server) => {
+                notchwalk_http::spawn(engine_driver::query_allocations(shell.clone(), server));
             }
             Effect::ClaimInsert {
                 request,
@@ -61,14 +61,14 @@
             }
             Effect::Order {
                 server,
-                fence,
-                wanted,
+                fencing_token,
+                desired,
             } => {
                 notchwalk_http::spawn(order_driver::send_order(
                     shell.clone(),
                     server,
-                    fence,
-                    wanted,
+                    fencing_token,
+                    desired,
                 ));
             }
             // Executed by the shell, which owns the open requests.
--- a/crates/notchwalkd/src/engine_driver.rs
+++ b/crates/notchwalkd/src/engine_driver.rs
@@ -7,8 +7,8 @@
 use notchwalk_decide::{AttemptEnd, Dispatch, Event, RequestKey, SegmentOrder};
 use notchwalk_http::prelude::*;
 use notchwalk_wire::{
-    CancelAnswer, CancelRequest, EngineFinish, EngineFrame, EngineRefusal, GenerateRequest,
-    Holdings, Prompt, SegmentAnswer, SegmentRequest,
+    Allocations, CancelRequest, CancelResponse, EngineFinish, EngineFrame, EngineRejection,
+    GenerateRequest, Prompt, SegmentRequest, SegmentResponse,
 };
 
 use crate::{
@@ -16,7 +16,7 @@
     sse::SseReader,
 };
 
-/// Timeout of cancel and holdings calls.
+/// Timeout of cancel and allocation calls.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Maximum size of a response that isn't streamed, in bytes.
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
@@ -73,8 +73,10 @@
     let Ok(body) = response.whole(MAX_RESPONSE_BYTES).await else {
         return AttemptEnd::Broken;
     };
-    match body.json::<EngineRefusal>() {
-        Ok(refusal) => AttemptEnd::Refused { code: refusal.code },
+    match body.json::<EngineRejection>() {
+        Ok(rejection) => AttemptEnd::Refused {
+            code: rejection.code,
+        },
         Err(_) => AttemptEnd::Broken,
     }
 }
@@ -202,7 +204,7 @@
     shell: &Rc<Shell>,
     order: &SegmentOrder,
     payload: &GeneratePayload,
-) -> Result<SegmentAnswer, AttemptEnd> {
+) -> Result<SegmentResponse, AttemptEnd> {
     let addr = shell
         .server_address(order.server)
         .ok_or(AttemptEnd::NotSent)?;
@@ -225,8 +227,10 @@
         true => AttemptEnd::NotSent,
         false => AttemptEnd::Broken,
     })?;
-    if let Ok(refusal) = response.json::<EngineRefusal>() {
-        return Err(AttemptEnd::Refused { code: refusal.code });
+    if let Ok(rejection) = response.json::<EngineRejection>() {
+        return Err(AttemptEnd::Refused {
+            code: rejection.code,
+        });
     }
     response.json().map_err(|_| AttemptEnd::Broken)
 }
@@ -241,7 +245,7 @@
                 .client
                 .send(addr, req, CALL_TIMEOUT, MAX_RESPONSE_BYTES)
                 .await;
-            response.is_ok_and(|a| a.status.is_success() && a.json::<CancelAnswer>().is_ok())
+            response.is_ok_and(|a| a.status.is_success() && a.json::<CancelResponse>().is_ok())
         }
         None => false,
     };
@@ -253,7 +257,7 @@
 }
 
 /// Queries the memory an engine holds for requests and reports it to the reducer.
-pub async fn query_holdings(shell: Rc<Shell>, server: ServerId) {
+pub async fn query_allocations(shell: Rc<Shell>, server: ServerId) {
     let Some(addr) = shell.server_address(server) else {
         return;
     };
@@ -265,10 +269,10 @@
     else {
         return;
     };
-    if let Ok(holdings) = response.json::<Holdings>() {
-        shell.step(Event::Holdings {
+    if let Ok(allocations) = response.json::<Allocations>() {
+        shell.step(Event::Allocations {
             server,
-            holdings: holdings.holdings,
+            allocations: allocations.allocations,
         });
     }
 }
--- a/crates/notchwalkd/src/order_driver.rs
+++ b/crates/notchwalkd/src/order_driver.rs
@@ -8,7 +8,7 @@
 use notchwalk_decide::{Event, LeaseRow};
 use notchwalk_http::prelude::*;
 use notchwalk_wire::{
-    Condition, OrderAnswer, OrderRequest, Row, TableOp, TableRead, TableTransaction, WantedState,
+    Condition, DesiredState, OrderRequest, OrderResponse, Row, TableOp, TableRead, TableTransaction,
 };
 
 use crate::shell::Shell;
@@ -63,8 +63,13 @@
 
 /// Sends an order to an engine and reports the result to the reducer. The lease is
 /// checked again after the wait for the weight store.
-pub async fn send_order(shell: Rc<Shell>, server: ServerId, fence: u64, wanted: WantedState) {
-    let accepted = try_send_order(&shell, server, fence, wanted)
+pub async fn send_order(
+    shell: Rc<Shell>,
+    server: ServerId,
+    fencing_token: u64,
+    desired: DesiredState,
+) {
+    let accepted = try_send_order(&shell, server, fencing_token, desired)
         .await
         .unwrap_or(true);
     shell.step(Event::OrderEnded { server, accepted });
@@ -75,10 +80,10 @@
 async fn try_send_order(
     shell: &Rc<Shell>,
     server: ServerId,
-    fence: u64,
-    wanted: WantedState,
+    fencing_token: u64,
+    desired: DesiredState,
 ) -> Option<bool> {
-    if !matches!(wanted, WantedState::VersionUnloaded { .. }) {
+    if !matches!(desired, DesiredState::VersionUnloaded { .. }) {
         let wait = shell
             .platform
             .reserve(WEIGHT_RESERVATION_BYTES)
@@ -89,16 +94,20 @@
     }
     let addr = shell.server_address(server)?;
     let mut conn = shell.client.connection(addr, Reuse::Pooled).await.ok()?;
-    if conn.is_stale().await || !shell.with_node(|node| node.may_order(shell.now(), fence)) {
+    if conn.is_stale().await || !shell.with_node(|node| node.may_order(shell.now(), fencing_token))
+    {
         return None;
     }
     let req = OutgoingRequest::new(Method::POST, "/v1/orders");
-    let req = req.with_json(&OrderRequest { fence, wanted });
+    let req = req.with_json(&OrderRequest {
+        fencing_token,
+        desired,
+    });
     let sent = shell.client.send_on(addr, conn, req);
     let response = monoio::time::timeout(ORDER_TIMEOUT, sent)
         .await
         .ok()?
         .ok()?;
     let response = response.whole(1 << 16).await.ok()?;
-    Some(response.json::<OrderAnswer>().ok()?.accepted)
+    Some(response.json::<OrderResponse>().ok()?.accepted)
 }
--- a/crates/notchwalkd/src/peer_link.rs
+++ b/crates/notchwalkd/src/peer_link.rs
@@ -181,8 +181,8 @@
         };
         sequence += 1;
         match message {
-            PeerMessage::BundleAsk(have) => bundle_watch::offer(shell, vm, have),
-            PeerMessage::BundleOffer(text) => bundle_watch::apply_offer(shell, vm, &text),
+            PeerMessage::BundleRequest(have) => bundle_watch::offer(shell, vm, have),
+            PeerMessage::BundleResponse(text) => bundle_watch::apply_offer(shell, vm, &text),
             message => shell.step(Event::Peer { from: vm, message }),
         }
     }
--- a/crates/notchwalkd/src/service_proxy.rs
+++ b/crates/notchwalkd/src/service_proxy.rs
@@ -304,7 +304,7 @@
                 "outcome_unavailable",
                 message,
             );
-            failure.outcome = notchwalk_wire::OutcomeWord::Ran;
+            failure.outcome = notchwalk_wire::ExecutionOutcome::Ran;
             failure.retry_after_ms = Some(1_000);
             return Err(failure);
         };
@@ -312,7 +312,7 @@
             let message = "the call ran before; its answer was too large to store";
             let mut failure =
                 ApiFailure::not_run(StatusCode::CONFLICT, "outcome_not_stored", message);
-            failure.outcome = notchwalk_wire::OutcomeWord::Ran;
+            failure.outcome = notchwalk_wire::ExecutionOutcome::Ran;
             return Err(failure);
         };
         let mut headers = self.response_headers.clone();
--- a/crates/notchwalkd/src/vm_watch.rs
+++ b/crates/notchwalkd/src/vm_watch.rs
@@ -58,7 +58,7 @@
     let mut addresses = HashMap::new();
     let mut peers = HashMap::new();
     for record in records {
-        let leaving = record.state == VmState::Leaving;
+        let leaving = record.state == VmState::Draining;
         let Ok(address) = record.address.parse() else {
             continue;
         };
