--- a/crates/notchwalk_cli/src/state.rs
+++ b/crates/notchwalk_cli/src/state.rs
@@ -28,7 +28,7 @@
     operator: SocketAddr,
     method: Method,
     path: &str,
-) -> Result<WholeResponse, CliError> {
+) -> Result<BufferedResponse, CliError> {
     let req = OutgoingRequest::new(method, path);
     let sent = Client::new()
         .send(operator, req, REQUEST_TIMEOUT, MAX_RESPONSE_BYTES)
--- a/crates/notchwalk_http/src/client.rs
+++ b/crates/notchwalk_http/src/client.rs
@@ -14,7 +14,7 @@
 use monoio::net::TcpStream;
 use serde::{de::DeserializeOwned, Serialize};
 
-use crate::{request_head, BodyReader, Connection, HttpError};
+use crate::{encode_request_head, BodyReader, Connection, HttpError};
 
 /// Maximum number of idle connections per address.
 const MAX_IDLE_CONNECTIONS: usize = 256;
@@ -28,7 +28,7 @@
 
 /// Whether a request may use a pooled connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reuse {
+pub enum ConnectionReuse {
     /// A pooled connection may be used; the server may already have closed it.
     Pooled,
     /// A new connection is made, so that a connection error proves that nothing was
@@ -47,7 +47,7 @@
     /// The body.
     pub body: Bytes,
     /// Whether a pooled connection may be used.
-    pub reuse: Reuse,
+    pub reuse: ConnectionReuse,
 }
 
 impl OutgoingRequest {
@@ -58,7 +58,7 @@
             path: path.into(),
             headers: HeaderMap::new(),
             body: Bytes::new(),
-            reuse: Reuse::Pooled,
+            reuse: ConnectionReuse::Pooled,
         }
     }
 
@@ -86,14 +86,14 @@
     }
 
     /// Sets whether a pooled connection may be used.
-    pub fn with_reuse(mut self, reuse: Reuse) -> Self {
+    pub fn with_reuse(mut self, reuse: ConnectionReuse) -> Self {
         self.reuse = reuse;
         self
     }
 }
 
 /// A response with its complete body.
-pub struct WholeResponse {
+pub struct BufferedResponse {
     /// The status.
     pub status: StatusCode,
     /// The headers.
@@ -102,7 +102,7 @@
     pub body: Bytes,
 }
 
-impl WholeResponse {
+impl BufferedResponse {
     /// Deserializes the body from JSON.
     ///
     /// # Errors
@@ -186,9 +186,9 @@
     pub async fn connection(
         &self,
         addr: SocketAddr,
-        reuse: Reuse,
+        reuse: ConnectionReuse,
     ) -> Result<Connection, HttpError> {
-        if reuse == Reuse::Pooled {
+        if reuse == ConnectionReuse::Pooled {
             if let Some(conn) = self.idle_connection(addr).await {
                 return Ok(conn);
             }
@@ -200,7 +200,7 @@
     ///
     /// # Errors
     ///
-    /// Fails on connection errors; [`HttpError::nothing_sent`] returns whether the server
+    /// Fails on connection errors; [`HttpError::is_unsent`] returns whether the server
     /// can't have received any part of the request.
     pub async fn stream(
         &self,
@@ -224,7 +224,7 @@
     ) -> Result<StreamedResponse, HttpError> {
         let host = addr.to_string();
         let length = Some(req.body.len());
-        let mut head = request_head(&req.method, &req.path, &host, &req.headers, length);
+        let mut head = encode_request_head(&req.method, &req.path, &host, &req.headers, length);
         if req.body.len() <= MAX_COALESCED_BODY_BYTES {
             head.extend_from_slice(&req.body);
             conn.write_all(&head).await?;
@@ -246,7 +246,7 @@
         addr: SocketAddr,
         mut conn: Connection,
         method: &Method,
-        reuse: Reuse,
+        reuse: ConnectionReuse,
     ) -> Result<StreamedResponse, HttpError> {
         let head = conn.read_response_head().await?;
         let body = match *method {
@@ -257,7 +257,9 @@
         let close = close.is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"close"));
         Ok(StreamedResponse {
             status: head.status,
-            reusable: reuse == Reuse::Pooled && !close && !matches!(body, BodyReader::UntilClose),
+            reusable: reuse == ConnectionReuse::Pooled
+                && !close
+                && !matches!(body, BodyReader::UntilClose),
             idle: idle_timeout(&head.headers),
             headers: head.headers,
             conn,
@@ -270,12 +272,12 @@
     /// Closes all idle connections. Call this when a request got no response: a network
     /// failure can break many connections at once without a reset, and only a new connection
     /// shows whether a server is reachable.
-    pub fn forget_idle(&self) {
+    pub fn close_idle(&self) {
         self.pool.borrow_mut().clear();
     }
 
     /// Closes the idle connections to one address, whose server has stopped.
-    pub fn forget_idle_at(&self, addr: SocketAddr) {
+    pub fn close_idle_to(&self, addr: SocketAddr) {
         self.pool.borrow_mut().remove(&addr);
     }
 
@@ -291,8 +293,8 @@
         req: OutgoingRequest,
         timeout: Duration,
         limit: usize,
-    ) -> Result<WholeResponse, HttpError> {
-        let exchange = async { self.stream(addr, req).await?.whole(limit).await };
+    ) -> Result<BufferedResponse, HttpError> {
+        let exchange = async { self.stream(addr, req).await?.collect(limit).await };
         self.with_timeout(addr, timeout, exchange).await
     }
 
@@ -302,17 +304,17 @@
     /// # Errors
     ///
     /// Fails like [`Self::send`].
-    pub async fn send_in_steps(
+    pub async fn send_with_timeouts(
         &self,
         addr: SocketAddr,
         req: OutgoingRequest,
         head_timeout: Duration,
         body_timeout: Duration,
         limit: usize,
-    ) -> Result<WholeResponse, HttpError> {
+    ) -> Result<BufferedResponse, HttpError> {
         let head = self.stream(addr, req);
         let response = self.with_timeout(addr, head_timeout, head).await?;
-        self.with_timeout(addr, body_timeout, response.whole(limit))
+        self.with_timeout(addr, body_timeout, response.collect(limit))
             .await
     }
 
@@ -379,11 +381,11 @@
     /// # Errors
     ///
     /// Fails on connection errors.
-    pub async fn whole(mut self, limit: usize) -> Result<WholeResponse, HttpError> {
+    pub async fn collect(mut self, limit: usize) -> Result<BufferedResponse, HttpError> {
         let body = self.conn.read_body(&mut self.body, limit).await?;
         let (status, headers) = (self.status, std::mem::take(&mut self.headers));
         self.release();
-        Ok(WholeResponse {
+        Ok(BufferedResponse {
             status,
             headers,
             body,
@@ -408,15 +410,15 @@
             received: Rc::default(),
         };
         let reuse = if self.reusable {
-            Reuse::Pooled
+            ConnectionReuse::Pooled
         } else {
-            Reuse::Fresh
+            ConnectionReuse::Fresh
         };
         client.receive(self.addr, self.conn, method, reuse).await
     }
 
     /// Prevents the connection from returning to the pool.
-    pub fn forbid_reuse(&mut self) {
+    pub fn disable_reuse(&mut self) {
         self.reusable = false;
     }
 
--- a/crates/notchwalk_http/src/error.rs
+++ b/crates/notchwalk_http/src/error.rs
@@ -39,7 +39,7 @@
 
 impl HttpError {
     /// Returns whether the error proves that no byte of the request was sent.
-    pub fn nothing_sent(&self) -> bool {
+    pub fn is_unsent(&self) -> bool {
         matches!(self, Self::Connect(_))
     }
 }
--- a/crates/notchwalk_http/src/head.rs
+++ b/crates/notchwalk_http/src/head.rs
@@ -9,7 +9,11 @@
 
 /// Encodes a response head. `length` is the size of the body in bytes, `None` for a chunked
 /// body.
-pub fn response_head(status: StatusCode, headers: &HeaderMap, length: Option<usize>) -> Vec<u8> {
+pub fn encode_response_head(
+    status: StatusCode,
+    headers: &HeaderMap,
+    length: Option<usize>,
+) -> Vec<u8> {
     let mut buf = Vec::with_capacity(256);
     let reason = status.canonical_reason().unwrap_or("");
     let _ = write!(buf, "HTTP/1.1 {} {reason}\r\n", status.as_u16());
@@ -17,8 +21,8 @@
     buf
 }
 
-/// Encodes a request head; `length` as in [`response_head`].
-pub fn request_head(
+/// Encodes a request head; `length` as in [`encode_response_head`].
+pub fn encode_request_head(
     method: &Method,
     path: &str,
     host: &str,
@@ -51,7 +55,7 @@
 
 /// Appends `data` to `buf` as one chunk. Empty data adds nothing, since an empty chunk
 /// ends the body.
-pub fn chunk_into(buf: &mut Vec<u8>, data: &[u8]) {
+pub fn encode_chunk(buf: &mut Vec<u8>, data: &[u8]) {
     if data.is_empty() {
         return;
     }
--- a/crates/notchwalk_http/src/lib.rs
+++ b/crates/notchwalk_http/src/lib.rs
@@ -16,12 +16,12 @@
 pub mod prelude;
 
 pub use body::BodyReader;
-pub use client::{Client, OutgoingRequest, Reuse, StreamedResponse, WholeResponse};
+pub use client::{BufferedResponse, Client, ConnectionReuse, OutgoingRequest, StreamedResponse};
 pub use connection::{Connection, MAX_HEAD_BYTES};
 pub use error::HttpError;
-pub use head::{chunk_into, request_head, response_head, CHUNK_END};
+pub use head::{encode_chunk, encode_request_head, encode_response_head, CHUNK_END};
 pub use server::{serve, Exchange, ServerLimits, Service};
-pub use tasks::{end_all, spawn};
+pub use tasks::{abort_all, spawn};
 
 /// A boxed future that is not `Send`, for monoio tasks.
 pub type LocalBoxFuture<'a, T> = std::pin::Pin<Box<dyn std::future::Future<Output = T> + 'a>>;
--- a/crates/notchwalk_http/src/prelude.rs
+++ b/crates/notchwalk_http/src/prelude.rs
@@ -1,6 +1,6 @@
 //! Re-exports for HTTP clients and servers.
 
 pub use crate::{
-    serve, Client, Exchange, HttpError, LocalBoxFuture, OutgoingRequest, Reuse, ServerLimits,
-    Service, StreamedResponse, WholeResponse,
+    serve, BufferedResponse, Client, ConnectionReuse, Exchange, HttpError, LocalBoxFuture,
+    OutgoingRequest, ServerLimits, Service, StreamedResponse,
 };
--- a/crates/notchwalk_http/src/server.rs
+++ b/crates/notchwalk_http/src/server.rs
@@ -11,7 +11,8 @@
 use serde::Serialize;
 
 use crate::{
-    chunk_into, response_head, BodyReader, Connection, HttpError, LocalBoxFuture, CHUNK_END,
+    encode_chunk, encode_response_head, BodyReader, Connection, HttpError, LocalBoxFuture,
+    CHUNK_END,
 };
 
 /// Maximum size of an unread request body that is read and discarded to keep the connection
@@ -24,25 +25,25 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ServerLimits {
     /// Maximum number of open connections; further ones are closed immediately.
-    pub connections: usize,
+    pub max_connections: usize,
     /// How long a connection may be idle.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Maximum time to receive a head, from its first byte.
-    pub head: Duration,
+    pub head_timeout: Duration,
     /// Maximum time to receive the next piece of a body.
-    pub body_piece: Duration,
+    pub body_read_timeout: Duration,
     /// Maximum time for a write to the peer.
-    pub write: Duration,
+    pub write_timeout: Duration,
 }
 
 impl Default for ServerLimits {
     fn default() -> Self {
         Self {
-            connections: 20_000,
-            idle: Duration::from_secs(120),
-            head: Duration::from_secs(10),
-            body_piece: Duration::from_secs(10),
-            write: Duration::from_secs(30),
+            max_connections: 20_000,
+            idle_timeout: Duration::from_secs(120),
+            head_timeout: Duration::from_secs(10),
+            body_read_timeout: Duration::from_secs(10),
+            write_timeout: Duration::from_secs(30),
         }
     }
 }
@@ -60,7 +61,7 @@
 
     /// Handles a malformed request, after which the connection is closed. The default closes
     /// it without a response.
-    fn refuse<'a>(
+    fn reject<'a>(
         &'a self,
         exchange: &'a mut Exchange,
         _error: HttpError,
@@ -68,8 +69,8 @@
         Box::pin(async move { exchange.abort() })
     }
 
-    /// Called after [`Self::call`] or [`Self::refuse`] panicked; the connection is closed.
-    fn panicked(&self) {}
+    /// Called after [`Self::call`] or [`Self::reject`] panicked; the connection is closed.
+    fn on_panic(&self) {}
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -142,16 +143,16 @@
     ///
     /// Fails as soon as the body exceeds `limit` bytes, if the next piece takes too long,
     /// and on connection errors.
-    pub async fn body_bytes(&mut self, limit: usize) -> Result<Bytes, HttpError> {
-        self.body_bytes_seen(limit, |_| {}).await
+    pub async fn read_body(&mut self, limit: usize) -> Result<Bytes, HttpError> {
+        self.read_body_with(limit, |_| {}).await
     }
 
     /// Reads the complete body and calls `inspect` with each piece as it arrives.
     ///
     /// # Errors
     ///
-    /// Fails like [`Self::body_bytes`].
-    pub async fn body_bytes_seen(
+    /// Fails like [`Self::read_body`].
+    pub async fn read_body_with(
         &mut self,
         limit: usize,
         mut inspect: impl FnMut(&[u8]),
@@ -181,7 +182,7 @@
         }
         self.send_continue().await?;
         let read = self.conn.read_piece(&mut self.body, limit);
-        match monoio::time::timeout(self.limits.body_piece, read).await {
+        match monoio::time::timeout(self.limits.body_read_timeout, read).await {
             Ok(piece) => piece.map(|p| (!p.is_empty()).then_some(p)),
             Err(_) => Err(HttpError::TimedOut),
         }
@@ -189,7 +190,7 @@
 
     async fn write(&mut self, data: &[u8]) -> Result<(), HttpError> {
         let write = self.conn.write_all(data);
-        match monoio::time::timeout(self.limits.write, write).await {
+        match monoio::time::timeout(self.limits.write_timeout, write).await {
             Ok(Ok(())) => Ok(()),
             Ok(Err(e)) => {
                 self.keep_alive = false;
@@ -209,7 +210,7 @@
             return;
         }
         self.prepare_headers(&mut headers);
-        let mut buf = response_head(status, &headers, Some(body.len()));
+        let mut buf = encode_response_head(status, &headers, Some(body.len()));
         if self.head.method != http::Method::HEAD {
             buf.extend_from_slice(body);
         }
@@ -259,18 +260,18 @@
         first: &[u8],
     ) -> Result<(), HttpError> {
         self.prepare_headers(&mut headers);
-        let mut buf = response_head(status, &headers, None);
-        chunk_into(&mut buf, first);
+        let mut buf = encode_response_head(status, &headers, None);
+        encode_chunk(&mut buf, first);
         self.sent = Sent::Head;
         self.write(&buf).await
     }
 
-    /// Writes chunks that are already encoded (see [`chunk_into`]).
+    /// Writes chunks that are already encoded (see [`encode_chunk`]).
     ///
     /// # Errors
     ///
     /// Fails on socket errors, and if the peer reads too slowly.
-    pub async fn write_framed(&mut self, framed: &[u8]) -> Result<(), HttpError> {
+    pub async fn write_chunks(&mut self, framed: &[u8]) -> Result<(), HttpError> {
         self.write(framed).await
     }
 
@@ -359,7 +360,7 @@
             monoio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        if open.get() >= limits.connections {
+        if open.get() >= limits.max_connections {
             continue;
         }
         let guard = OpenConnections::open(&open);
@@ -385,7 +386,7 @@
             return;
         }
         let limits = service.limits(limits);
-        let read = monoio::time::timeout(limits.head, conn.read_request_head()).await;
+        let read = monoio::time::timeout(limits.head_timeout, conn.read_request_head()).await;
         let head = read.unwrap_or(Err(HttpError::TimedOut));
         let (mut exchange, error) = match head {
             Ok(head) => {
@@ -406,11 +407,11 @@
             None => service.call(&mut exchange),
             Some(e) => {
                 exchange.keep_alive = false;
-                service.refuse(&mut exchange, e)
+                service.reject(&mut exchange, e)
             }
         };
         if AssertUnwindSafe(call).catch_unwind().await.is_err() {
-            service.panicked();
+            service.on_panic();
             return;
         }
         match exchange.into_next().await {
@@ -430,7 +431,7 @@
 ) -> bool {
     let mut waited = Duration::ZERO;
     loop {
-        let idle = service.limits(limits).idle;
+        let idle = service.limits(limits).idle_timeout;
         let Some(remaining) = idle
             .checked_sub(waited)
             .filter(|remaining| !remaining.is_zero())
--- a/crates/notchwalk_http/src/tasks.rs
+++ b/crates/notchwalk_http/src/tasks.rs
@@ -2,7 +2,7 @@
 //!
 //! A monoio runtime does not drop pending tasks when it ends: a timer keeps its task alive
 //! and the sockets of the task open. Threads that end before their process therefore start
-//! tasks with [`spawn`] and call [`end_all`] at the end.
+//! tasks with [`spawn`] and call [`abort_all`] at the end.
 
 use std::{cell::RefCell, future::Future, time::Duration};
 
@@ -26,7 +26,7 @@
 
 /// Aborts all tasks of this thread that were started with [`spawn`], including those that
 /// they start in the meantime, and waits until they are dropped.
-pub async fn end_all() {
+pub async fn abort_all() {
     /// Lets the other tasks run; the future passed to `block_on` can't yield to them
     /// without a timer.
     const POLL_INTERVAL: Duration = Duration::from_millis(1);
--- a/crates/notchwalk_http/tests/bodies.rs
+++ b/crates/notchwalk_http/tests/bodies.rs
@@ -2,7 +2,7 @@
 
 use bytes::BytesMut;
 use http::{header, HeaderMap, HeaderValue};
-use notchwalk_http::{chunk_into, BodyReader, CHUNK_END};
+use notchwalk_http::{encode_chunk, BodyReader, CHUNK_END};
 use proptest::prelude::*;
 
 fn chunked() -> HeaderMap {
@@ -24,7 +24,7 @@
     ) {
         let mut wire = Vec::new();
         for piece in &pieces {
-            chunk_into(&mut wire, piece);
+            encode_chunk(&mut wire, piece);
         }
         wire.extend_from_slice(CHUNK_END);
         let mut body = BodyReader::for_request(&chunked()).expect("chunked framing");
--- a/crates/notchwalk_http/tests/panics.rs
+++ b/crates/notchwalk_http/tests/panics.rs
@@ -24,13 +24,13 @@
         })
     }
 
-    fn panicked(&self) {
+    fn on_panic(&self) {
         self.panics.set(self.panics.get() + 1);
     }
 }
 
-async fn get(addr: SocketAddr, path: &str) -> Result<WholeResponse, HttpError> {
-    let req = OutgoingRequest::new(Method::GET, path).with_reuse(Reuse::Fresh);
+async fn get(addr: SocketAddr, path: &str) -> Result<BufferedResponse, HttpError> {
+    let req = OutgoingRequest::new(Method::GET, path).with_reuse(ConnectionReuse::Fresh);
     Client::new()
         .send(addr, req, Duration::from_secs(5), 1_000)
         .await
--- a/crates/notchwalk_http/tests/slow_peers.rs
+++ b/crates/notchwalk_http/tests/slow_peers.rs
@@ -16,7 +16,7 @@
 impl Service for StatusService {
     fn call<'a>(&'a self, exchange: &'a mut Exchange) -> LocalBoxFuture<'a, ()> {
         Box::pin(async move {
-            let status = match exchange.body_bytes(1_000).await {
+            let status = match exchange.read_body(1_000).await {
                 Ok(_) => StatusCode::OK,
                 Err(HttpError::TimedOut) => StatusCode::REQUEST_TIMEOUT,
                 Err(_) => StatusCode::BAD_REQUEST,
@@ -26,7 +26,7 @@
         })
     }
 
-    fn refuse<'a>(&'a self, exchange: &'a mut Exchange, e: HttpError) -> LocalBoxFuture<'a, ()> {
+    fn reject<'a>(&'a self, exchange: &'a mut Exchange, e: HttpError) -> LocalBoxFuture<'a, ()> {
         Box::pin(async move {
             assert!(matches!(e, HttpError::TimedOut), "{e}");
             exchange.respond_text(StatusCode::REQUEST_TIMEOUT, "").await;
@@ -42,8 +42,8 @@
     std::thread::spawn(move || {
         let builder = RuntimeBuilder::<LegacyDriver>::new().enable_timer();
         let limits = ServerLimits {
-            head: Duration::from_millis(100),
-            body_piece: Duration::from_millis(100),
+            head_timeout: Duration::from_millis(100),
+            body_read_timeout: Duration::from_millis(100),
             ..ServerLimits::default()
         };
         builder.build().expect("a runtime").block_on(async move {
--- a/crates/notchwalk_platform/src/http_client.rs
+++ b/crates/notchwalk_platform/src/http_client.rs
@@ -32,12 +32,12 @@
         Self { client, addr }
     }
 
-    async fn call(&self, req: OutgoingRequest) -> Result<WholeResponse, PlatformError> {
+    async fn call(&self, req: OutgoingRequest) -> Result<BufferedResponse, PlatformError> {
         let sent = self
             .client
             .send(self.addr, req, REQUEST_TIMEOUT, MAX_RESPONSE_BYTES)
             .await;
-        let response = sent.map_err(|e| match e.nothing_sent() {
+        let response = sent.map_err(|e| match e.is_unsent() {
             true => PlatformError::Unreachable(e.to_string()),
             false => PlatformError::NoAnswer(e.to_string()),
         })?;
--- a/crates/notchwalk_relay/src/attempt.rs
+++ b/crates/notchwalk_relay/src/attempt.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http::{header, HeaderMap, Method, StatusCode};
 use notchwalk_core::Instant;
-use notchwalk_http::{chunk_into, prelude::*, request_head};
+use notchwalk_http::{encode_chunk, encode_request_head, prelude::*};
 use notchwalk_route::{Assignment, AttemptEnd, Event};
 
 use crate::{
@@ -178,7 +178,7 @@
     let response = match request {
         Awaited::Done(Ok(Some(response))) => response,
         Awaited::Done(Ok(None)) => return AttemptOutcome::Ended(AttemptEnd::NotSent),
-        Awaited::Done(Err(e)) if e.nothing_sent() => {
+        Awaited::Done(Err(e)) if e.is_unsent() => {
             return AttemptOutcome::Ended(AttemptEnd::NotConnected);
         }
         Awaited::Done(Err(_)) => return AttemptOutcome::Ended(AttemptEnd::ConnectionLost),
@@ -215,7 +215,7 @@
 async fn discard_body(response: StreamedResponse) {
     const TIMEOUT: Duration = Duration::from_millis(20);
     // If the rest does not arrive in time, the connection is closed instead.
-    let _ = monoio::time::timeout(TIMEOUT, response.whole(MAX_BUFFERED_RESPONSE_BYTES)).await;
+    let _ = monoio::time::timeout(TIMEOUT, response.collect(MAX_BUFFERED_RESPONSE_BYTES)).await;
 }
 
 /// Returns whether a server still accepts the request that is about to be written:
@@ -237,7 +237,10 @@
 ) -> Awaited<Result<Option<StreamedResponse>, HttpError>> {
     let head = exchange.head.clone();
     let send = async {
-        let mut conn = shell.client.connection(to.addr, Reuse::Pooled).await?;
+        let mut conn = shell
+            .client
+            .connection(to.addr, ConnectionReuse::Pooled)
+            .await?;
         if !still_accepts_requests(shell, to) {
             return Ok(None);
         }
@@ -252,7 +255,7 @@
         let host = host.and_then(|host| host.to_str().ok()).unwrap_or("");
         let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
         let length = Some(req.body.len());
-        let mut buf = request_head(&head.method, path, host, &headers, length);
+        let mut buf = encode_request_head(&head.method, path, host, &headers, length);
         buf.extend_from_slice(&req.body);
         let origin = ResponseOrigin {
             server: Some(to.server),
@@ -267,7 +270,7 @@
         };
         match monoio::time::timeout(EARLY_RESPONSE_TIMEOUT, receive).await {
             Ok(Ok(mut response)) => {
-                response.forbid_reuse();
+                response.disable_reuse();
                 Ok(Some(response))
             }
             _ => Err(e.into()),
@@ -286,7 +289,7 @@
 ) -> Result<StreamedResponse, HttpError> {
     let client = &shell.client;
     let mut response = client
-        .receive(origin.addr, conn, method, Reuse::Pooled)
+        .receive(origin.addr, conn, method, ConnectionReuse::Pooled)
         .await?;
     for _ in 0..MAX_SKIPPED_RESPONSES {
         let id = &req.caller.id;
@@ -328,7 +331,7 @@
 ) -> AttemptOutcome {
     let status = response.status;
     let headers = end_to_end_headers(&mut response.headers);
-    let read = response.whole(MAX_BUFFERED_RESPONSE_BYTES);
+    let read = response.collect(MAX_BUFFERED_RESPONSE_BYTES);
     let body = match await_server(shell, exchange, req, None, read).await {
         Awaited::Done(Ok(whole)) => whole.body,
         Awaited::Done(Err(_)) | Awaited::Silent => {
@@ -432,6 +435,6 @@
         return exchange.start_stream(status, headers.clone(), events).await;
     }
     let mut framed = Vec::with_capacity(events.len() + 16);
-    chunk_into(&mut framed, events);
-    exchange.write_framed(&framed).await
+    encode_chunk(&mut framed, events);
+    exchange.write_chunks(&framed).await
 }
--- a/crates/notchwalk_relay/src/daemon.rs
+++ b/crates/notchwalk_relay/src/daemon.rs
@@ -138,11 +138,11 @@
         );
         let shell = Rc::new(shell.with_clock(environment.clock));
         let limits = ServerLimits {
-            connections: shell.settings.max_descriptors / 2,
-            idle: Duration::from_secs(20),
-            head: Duration::from_secs(3),
-            body_piece: Duration::from_secs(5),
-            write: Duration::from_secs(10),
+            max_connections: shell.settings.max_descriptors / 2,
+            idle_timeout: Duration::from_secs(20),
+            head_timeout: Duration::from_secs(3),
+            body_read_timeout: Duration::from_secs(5),
+            write_timeout: Duration::from_secs(10),
         };
         serve_at(listeners.caller, limits, Front::new(shell.clone()));
         serve_at(listeners.ready, limits, Directory::new(shell.clone()));
--- a/crates/notchwalk_relay/src/engine_orders.rs
+++ b/crates/notchwalk_relay/src/engine_orders.rs
@@ -53,7 +53,7 @@
             Ok(status) => (false, status.to_string()),
             Err(e) => {
                 shell.step(Event::Unanswered(order.clone()));
-                (e.nothing_sent(), e.to_string())
+                (e.is_unsent(), e.to_string())
             }
         };
         failed.push(FailedReservation {
--- a/crates/notchwalk_relay/src/front/accept.rs
+++ b/crates/notchwalk_relay/src/front/accept.rs
@@ -151,7 +151,7 @@
         workspace: Option<&str>,
     ) -> Result<(Bytes, Fingerprint), Option<(StatusCode, &'static str)>> {
         let mut content = fingerprinting(exchange, workspace);
-        let read = exchange.body_bytes_seen(limit, |chunk| content.update(chunk));
+        let read = exchange.read_body_with(limit, |chunk| content.update(chunk));
         let read = monoio::time::timeout(request_timeout, read).await;
         match read {
             Ok(Ok(body)) => Ok((body, content.finish())),
--- a/crates/notchwalk_relay/src/front/mod.rs
+++ b/crates/notchwalk_relay/src/front/mod.rs
@@ -159,7 +159,7 @@
             }
         };
         if end == AttemptEnd::TimedOut {
-            self.shell.client.forget_idle();
+            self.shell.client.close_idle();
         }
         let label = attempt::end_label(end);
         self.shell
@@ -196,7 +196,7 @@
         delivery: &Delivery,
     ) -> Outcome {
         if delivery.first_at.is_none() && delivery.sends > 0 {
-            self.shell.client.forget_idle();
+            self.shell.client.close_idle();
         }
         self.shell.step(Event::Abandoned { request: req.key });
         self.refuse(exchange, delivery, Refusal::TimedOut, None)
@@ -271,7 +271,7 @@
         Box::pin(self.serve(exchange))
     }
 
-    fn refuse<'a>(
+    fn reject<'a>(
         &'a self,
         exchange: &'a mut Exchange,
         error: HttpError,
@@ -290,13 +290,13 @@
     fn limits(&self, started_with: ServerLimits) -> ServerLimits {
         let configured = self.shell.limits.get();
         ServerLimits {
-            idle: configured.idle_timeout,
-            head: configured.head_timeout,
+            idle_timeout: configured.idle_timeout,
+            head_timeout: configured.head_timeout,
             ..started_with
         }
     }
 
-    fn panicked(&self) {
+    fn on_panic(&self) {
         LogEvent::new(LogEventKind::RequestPanicked, "side=caller").emit();
     }
 }
--- a/crates/notchwalk_relay/src/quarantine.rs
+++ b/crates/notchwalk_relay/src/quarantine.rs
@@ -75,7 +75,7 @@
 /// Probes whether a server's address accepts connections. Only a refused connection
 /// proves that nothing listens; a network partition does not.
 pub(crate) async fn probe(shell: Rc<Shell>, server: u32, addr: SocketAddr) {
-    match shell.client.connection(addr, Reuse::Fresh).await {
+    match shell.client.connection(addr, ConnectionReuse::Fresh).await {
         Err(HttpError::Connect(e)) if e.kind() == ErrorKind::ConnectionRefused => {
             shell.step(Event::NotListening { server });
         }
--- a/crates/notchwalk_relay/src/server_watch.rs
+++ b/crates/notchwalk_relay/src/server_watch.rs
@@ -117,7 +117,7 @@
             return;
         };
         if known.record.started_ms != record.started_ms {
-            self.shell.client.forget_idle_at(known.record.addr);
+            self.shell.client.close_idle_to(known.record.addr);
         }
     }
 
--- a/crates/notchwalk_relay/src/shell.rs
+++ b/crates/notchwalk_relay/src/shell.rs
@@ -135,7 +135,7 @@
     /// most once would be lost on one.
     pub fn check_suspension(&self) {
         if self.suspension.check(&self.clock) {
-            self.client.forget_idle();
+            self.client.close_idle();
             self.store.renew_connections();
         }
     }
--- a/crates/notchwalk_standin/src/caller.rs
+++ b/crates/notchwalk_standin/src/caller.rs
@@ -155,7 +155,7 @@
     let retry_after = retry_after
         .and_then(|ms| ms.parse().ok())
         .map(Duration::from_millis);
-    let Ok(body) = response.whole(MAX_ERROR_BYTES).await else {
+    let Ok(body) = response.collect(MAX_ERROR_BYTES).await else {
         return CallEnd::Cut("connection closed within the error response".to_owned());
     };
     match body.json::<ApiError>() {
--- a/crates/notchwalk_standin/src/engine/api.rs
+++ b/crates/notchwalk_standin/src/engine/api.rs
@@ -8,7 +8,7 @@
 use monoio::net::TcpListener;
 use notchwalk_core::{Attempt, RequestId};
 use notchwalk_decide::block_hashes;
-use notchwalk_http::{chunk_into, serve, Exchange, LocalBoxFuture, ServerLimits, Service};
+use notchwalk_http::{encode_chunk, serve, Exchange, LocalBoxFuture, ServerLimits, Service};
 use notchwalk_wire::{
     Allocations, CancelRequest, CancelResponse, DesiredState, EngineFinish, EngineFrame,
     EngineRejection, GenerateRequest, OrderRequest, OrderResponse, Prompt, SegmentRequest,
@@ -174,7 +174,7 @@
             Fault::Hung if !control => return std::future::pending().await,
             _ => {}
         }
-        let body = match exchange.body_bytes(MAX_BODY_BYTES).await {
+        let body = match exchange.read_body(MAX_BODY_BYTES).await {
             Ok(body) => body,
             Err(_) => return exchange.abort(),
         };
@@ -357,8 +357,8 @@
             }
             let write_result = if stream_started {
                 let mut framed = Vec::with_capacity(data.len() + 16);
-                chunk_into(&mut framed, &data);
-                exchange.write_framed(&framed).await
+                encode_chunk(&mut framed, &data);
+                exchange.write_chunks(&framed).await
             } else {
                 stream_started = true;
                 exchange
--- a/crates/notchwalk_standin/src/fleet.rs
+++ b/crates/notchwalk_standin/src/fleet.rs
@@ -308,7 +308,7 @@
     /// # Panics
     ///
     /// Panics if there is no response.
-    fn get(&self, addr: SocketAddr, path: &str) -> WholeResponse {
+    fn get(&self, addr: SocketAddr, path: &str) -> BufferedResponse {
         let req = OutgoingRequest::new(Method::GET, path);
         let client = Client::new();
         let response = block_on(client.send(addr, req, Duration::from_secs(5), 64 << 20));
--- a/crates/notchwalk_standin/src/platform/api.rs
+++ b/crates/notchwalk_standin/src/platform/api.rs
@@ -166,7 +166,7 @@
 impl Api {
     async fn route(&self, exchange: &mut Exchange) {
         let state = &self.state;
-        let Ok(body) = exchange.body_bytes(MAX_BODY_BYTES).await else {
+        let Ok(body) = exchange.read_body(MAX_BODY_BYTES).await else {
             return exchange.abort();
         };
         let path = exchange.path().to_owned();
--- a/crates/notchwalk_standin/src/service.rs
+++ b/crates/notchwalk_standin/src/service.rs
@@ -71,7 +71,7 @@
         if state.fault.get().dead && !path.starts_with("/standin/") {
             return exchange.abort();
         }
-        let Ok(body) = exchange.body_bytes(MAX_BODY_BYTES).await else {
+        let Ok(body) = exchange.read_body(MAX_BODY_BYTES).await else {
             return exchange.abort();
         };
         match path.as_str() {
--- a/crates/notchwalk_standin/src/thread.rs
+++ b/crates/notchwalk_standin/src/thread.rs
@@ -65,7 +65,7 @@
                 while !flag.load(Ordering::Relaxed) {
                     monoio::time::sleep(STOP_POLL_INTERVAL).await;
                 }
-                notchwalk_http::end_all().await;
+                notchwalk_http::abort_all().await;
             });
         };
         let thread = std::thread::Builder::new()
--- a/crates/notchwalk_standin/src/workload.rs
+++ b/crates/notchwalk_standin/src/workload.rs
@@ -258,7 +258,7 @@
                         });
                     }
                     monoio::time::sleep(duration.saturating_sub(started.elapsed())).await;
-                    notchwalk_http::end_all().await;
+                    notchwalk_http::abort_all().await;
                     results.take()
                 })
             })
--- a/crates/notchwalkd/src/caller_api.rs
+++ b/crates/notchwalkd/src/caller_api.rs
@@ -142,7 +142,7 @@
         })
     }
 
-    fn refuse<'a>(
+    fn reject<'a>(
         &'a self,
         exchange: &'a mut Exchange,
         error: HttpError,
@@ -153,7 +153,7 @@
         })
     }
 
-    fn panicked(&self) {
+    fn on_panic(&self) {
         LogEvent::new(LogEventKind::RequestPanicked, "side=caller").emit();
     }
 }
--- a/crates/notchwalkd/src/completions.rs
+++ b/crates/notchwalkd/src/completions.rs
@@ -6,7 +6,7 @@
 use http::{header, HeaderMap, HeaderValue, StatusCode};
 use notchwalk_bundle::{Bundle, Model};
 use notchwalk_decide::{block_hashes, Arrival, CallerKey, Event, GenerateWork, RequestKey, Work};
-use notchwalk_http::{chunk_into, Exchange};
+use notchwalk_http::{encode_chunk, Exchange};
 use notchwalk_quarantine::{Fingerprint, FingerprintBuilder, RequestHead};
 use notchwalk_wire::Prompt;
 
@@ -158,7 +158,7 @@
 
 async fn read_body(shell: &Shell, exchange: &mut Exchange) -> Result<Bytes, ApiFailure> {
     let limit = shell.settings.max_body_bytes;
-    exchange.body_bytes(limit).await.map_err(|e| {
+    exchange.read_body(limit).await.map_err(|e| {
         exchange.close_after();
         ApiFailure::from_http(&e)
     })
@@ -343,8 +343,8 @@
     ) -> Result<(), notchwalk_http::HttpError> {
         if *started {
             let mut framed = Vec::with_capacity(data.len() + 16);
-            chunk_into(&mut framed, data);
-            return exchange.write_framed(&framed).await;
+            encode_chunk(&mut framed, data);
+            return exchange.write_chunks(&framed).await;
         }
         *started = true;
         let mut headers = std::mem::take(&mut self.headers);
--- a/crates/notchwalkd/src/daemon.rs
+++ b/crates/notchwalkd/src/daemon.rs
@@ -94,7 +94,7 @@
     let client = Client::new();
     let platform = Rc::new(HttpPlatform::new(client.clone(), settings.platform));
     let limits = ServerLimits {
-        connections: settings.max_connections,
+        max_connections: settings.max_connections,
         ..ServerLimits::default()
     };
     let shell = Shell::new(
@@ -123,7 +123,7 @@
     );
     LogEvent::new(LogEventKind::DaemonStarted, facts).emit();
     tick_until_stopped(&shell, &signals).await;
-    notchwalk_http::end_all().await;
+    notchwalk_http::abort_all().await;
     LogEvent::new(LogEventKind::DaemonStopped, format!("vm={}", shell.vm().0)).emit();
     log_sink::flush();
     Ok(())
--- a/crates/notchwalkd/src/engine_driver.rs
+++ b/crates/notchwalkd/src/engine_driver.rs
@@ -62,7 +62,7 @@
             read_frames(shell, dispatch.request, payload, response).await
         }
         Ok(response) => read_refusal(response).await,
-        Err(e) if e.nothing_sent() => AttemptEnd::NotSent,
+        Err(e) if e.is_unsent() => AttemptEnd::NotSent,
         Err(_) => AttemptEnd::Broken,
     }
 }
@@ -70,7 +70,7 @@
 /// Reads a response that isn't a stream. The attempt counts as refused only if the
 /// body is an explicit refusal.
 async fn read_refusal(response: StreamedResponse) -> AttemptEnd {
-    let Ok(body) = response.whole(MAX_RESPONSE_BYTES).await else {
+    let Ok(body) = response.collect(MAX_RESPONSE_BYTES).await else {
         return AttemptEnd::Broken;
     };
     match body.json::<EngineRejection>() {
@@ -223,7 +223,7 @@
         .client
         .send(addr, req, timeout, MAX_RESPONSE_BYTES)
         .await;
-    let response = sent.map_err(|e| match e.nothing_sent() {
+    let response = sent.map_err(|e| match e.is_unsent() {
         true => AttemptEnd::NotSent,
         false => AttemptEnd::Broken,
     })?;
--- a/crates/notchwalkd/src/operator_api.rs
+++ b/crates/notchwalkd/src/operator_api.rs
@@ -62,7 +62,7 @@
         Box::pin(self.route(exchange))
     }
 
-    fn refuse<'a>(
+    fn reject<'a>(
         &'a self,
         exchange: &'a mut Exchange,
         error: HttpError,
@@ -70,7 +70,7 @@
         Box::pin(async move { ApiFailure::from_http(&error).send(exchange, None).await })
     }
 
-    fn panicked(&self) {
+    fn on_panic(&self) {
         LogEvent::new(LogEventKind::RequestPanicked, "side=operator").emit();
     }
 }
--- a/crates/notchwalkd/src/order_driver.rs
+++ b/crates/notchwalkd/src/order_driver.rs
@@ -93,7 +93,11 @@
         monoio::time::sleep(wait.min(MAX_WEIGHT_STORE_WAIT)).await;
     }
     let addr = shell.server_address(server)?;
-    let mut conn = shell.client.connection(addr, Reuse::Pooled).await.ok()?;
+    let mut conn = shell
+        .client
+        .connection(addr, ConnectionReuse::Pooled)
+        .await
+        .ok()?;
     if conn.is_stale().await || !shell.with_node(|node| node.may_order(shell.now(), fencing_token))
     {
         return None;
@@ -108,6 +112,6 @@
         .await
         .ok()?
         .ok()?;
-    let response = response.whole(1 << 16).await.ok()?;
+    let response = response.collect(1 << 16).await.ok()?;
     Some(response.json::<OrderResponse>().ok()?.accepted)
 }
--- a/crates/notchwalkd/src/service_proxy.rs
+++ b/crates/notchwalkd/src/service_proxy.rs
@@ -10,7 +10,8 @@
     claim_key, Arrival, AttemptEnd, CallWork, CallerKey, Dispatch, Event, RequestKey, Work,
 };
 use notchwalk_http::{
-    chunk_into, request_head, Connection, Exchange, HttpError, Reuse, StreamedResponse, CHUNK_END,
+    encode_chunk, encode_request_head, Connection, ConnectionReuse, Exchange, HttpError,
+    StreamedResponse, CHUNK_END,
 };
 use notchwalk_quarantine::{Fingerprint, FingerprintBuilder, RequestHead};
 
@@ -170,7 +171,7 @@
     if !exchange.body_is_done() && !required && !is_small {
         return Ok(Body::Streamed);
     }
-    match exchange.body_bytes(MAX_BUFFERED_BODY_BYTES).await {
+    match exchange.read_body(MAX_BUFFERED_BODY_BYTES).await {
         Ok(body) => Ok(Body::Buffered(body)),
         Err(e) => {
             exchange.close_after();
@@ -343,7 +344,7 @@
         let response = monoio::time::timeout(timeout, self.send(exchange, &dispatch)).await;
         let response = match response {
             Ok(Ok(response)) => response,
-            Ok(Err(e)) if e.nothing_sent() => {
+            Ok(Err(e)) if e.is_unsent() => {
                 self.report(&dispatch, AttemptEnd::NotSent);
                 return Ok(AttemptResult::Reported);
             }
@@ -370,8 +371,8 @@
         let unreachable = || HttpError::Connect(std::io::ErrorKind::NotFound.into());
         let addr = addr.ok_or_else(unreachable)?;
         let reuse = match self.repeatable {
-            true => Reuse::Pooled,
-            false => Reuse::Fresh,
+            true => ConnectionReuse::Pooled,
+            false => ConnectionReuse::Fresh,
         };
         let mut conn = self.shell.client.connection(addr, reuse).await?;
         let length = match &self.body {
@@ -383,7 +384,7 @@
             headers.insert(HeaderName::from_static("x-notchwalk-request"), id);
         }
         let host = addr.to_string();
-        let mut head = request_head(&self.method, &self.target, &host, &headers, length);
+        let mut head = encode_request_head(&self.method, &self.target, &host, &headers, length);
         if let Body::Buffered(body) = &self.body {
             head.extend_from_slice(body);
         }
@@ -430,8 +431,8 @@
                         stored.extend_from_slice(&chunk);
                     }
                     let mut framed = Vec::with_capacity(chunk.len() + 16);
-                    chunk_into(&mut framed, &chunk);
-                    if exchange.write_framed(&framed).await.is_err() && self.claim.is_none() {
+                    encode_chunk(&mut framed, &chunk);
+                    if exchange.write_chunks(&framed).await.is_err() && self.claim.is_none() {
                         self.report(dispatch, AttemptEnd::Broken);
                         return AttemptResult::Truncated;
                     }
@@ -482,7 +483,7 @@
 async fn forward_body(exchange: &mut Exchange, conn: &mut Connection) -> Result<(), HttpError> {
     while let Some(chunk) = exchange.next_piece(MAX_CHUNK_BYTES).await? {
         let mut framed = Vec::with_capacity(chunk.len() + 16);
-        chunk_into(&mut framed, &chunk);
+        encode_chunk(&mut framed, &chunk);
         conn.write_all(&framed).await?;
     }
     conn.write_all(CHUNK_END).await?;
--- a/crates/notchwalkd/src/shell.rs
+++ b/crates/notchwalkd/src/shell.rs
@@ -179,7 +179,7 @@
     /// would be lost on such a connection.
     pub fn check_suspension(&self) {
         if self.suspension.check(&self.clock) {
-            self.client.forget_idle();
+            self.client.close_idle();
         }
     }
 
