--- a/crates/notchwalk_cli/src/error.rs
+++ b/crates/notchwalk_cli/src/error.rs
@@ -62,7 +62,7 @@
     pub fn exit_code(&self) -> u8 {
         match self {
             Self::Findings(_) | Self::Bundle(_) | Self::Settings(_) | Self::Input(_) => 2,
-            Self::Submit(SubmitError::Raced { .. }) => 3,
+            Self::Submit(SubmitError::Conflict { .. }) => 3,
             Self::Submit(SubmitError::Bundle(_)) => 2,
             Self::Submit(_) | Self::Platform(_) | Self::Daemon { .. } => 4,
             Self::File { .. } => 1,
--- a/crates/notchwalk_platform/src/bundles.rs
+++ b/crates/notchwalk_platform/src/bundles.rs
@@ -47,16 +47,16 @@
     #[display("{_0}")]
     Bundle(BundleError),
     /// Another version was accepted concurrently.
-    #[display("version {} is in force, expected {}: {}", in_force.version, expected, by)]
+    #[display("version {} is in force, expected {}: {}", current.version, expected, changed_by)]
     #[from(ignore)]
-    Raced {
+    Conflict {
         /// The version in force.
         #[error(not(source))]
-        in_force: BundleHead,
+        current: BundleHead,
         /// The version that the change is based on.
         expected: u64,
         /// The operators who signed the version in force, and its reason.
-        by: String,
+        changed_by: String,
     },
     /// Stored data is missing, or its content does not match its digest.
     #[display("stored data is missing or damaged: {_0}")]
@@ -348,8 +348,8 @@
 }
 
 /// Returns the error of a concurrent submission, which names the version that was accepted.
-async fn conflict(objects: &dyn ObjectStore, in_force: BundleHead, expected: u64) -> SubmitError {
-    let by = match fetch_manifest(objects, &in_force.manifest).await {
+async fn conflict(objects: &dyn ObjectStore, current: BundleHead, expected: u64) -> SubmitError {
+    let changed_by = match fetch_manifest(objects, &current.manifest).await {
         Ok(manifest) => {
             let names = manifest.signatures.iter().map(|s| s.operator.as_str());
             let names = names.collect::<Vec<_>>().join(" and ");
@@ -357,10 +357,10 @@
         }
         Err(e) => format!("the operators are unknown: {e}"),
     };
-    SubmitError::Raced {
-        in_force,
+    SubmitError::Conflict {
+        current,
         expected,
-        by,
+        changed_by,
     }
 }
 
--- a/crates/notchwalk_platform/src/lib.rs
+++ b/crates/notchwalk_platform/src/lib.rs
@@ -19,7 +19,7 @@
 pub use http_client::HttpPlatform;
 pub use rows::{FeedError, Row, RowPage, RowStore, RowWrite, WriteOutcome};
 pub use traits::{ObjectStore, Platform, PlatformFuture, TableStore, VmList, WeightStore};
-pub use version::{StoreVersion, TableCursor, Taken};
+pub use version::{ResponseValidity, StoreVersion, TableCursor};
 
 /// A boxed future that is not `Send`.
 pub type LocalFuture<'a, T> = std::pin::Pin<Box<dyn std::future::Future<Output = T> + 'a>>;
--- a/crates/notchwalk_platform/src/rows.rs
+++ b/crates/notchwalk_platform/src/rows.rs
@@ -59,7 +59,7 @@
 pub enum FeedError {
     /// The store no longer has these changes; the whole table must be read.
     #[display("the store no longer has the requested history")]
-    HistoryGone,
+    HistoryExpired,
     /// The call to the store failed.
     Platform(PlatformError),
 }
@@ -92,7 +92,7 @@
 
     /// Closes idle connections, so that the next call makes a new one. Call this when a
     /// response is missing: a network failure can break many connections at once.
-    fn renew_connections(&self);
+    fn reset_connections(&self);
 
     /// Writes one row.
     ///
--- a/crates/notchwalk_platform/src/version.rs
+++ b/crates/notchwalk_platform/src/version.rs
@@ -20,34 +20,34 @@
 )]
 pub struct StoreVersion {
     /// The epoch: the number of restores from a snapshot. Compared first.
-    pub era: u64,
+    pub epoch: u64,
     /// The revision, which increases with each transaction of the epoch.
     pub rev: u64,
 }
 
 impl StoreVersion {
     /// Creates a version.
-    pub fn new(era: u64, rev: u64) -> Self {
-        Self { era, rev }
+    pub fn new(epoch: u64, rev: u64) -> Self {
+        Self { epoch, rev }
     }
 }
 
 /// Whether a response of the store can be applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum ResponseValidity {
     /// Its rows are valid.
-    Rows,
+    Valid,
     /// It is from a former epoch, for example from a delayed connection, and must be ignored.
-    FormerEra,
+    FormerEpoch,
     /// A new epoch began after the query was sent; the whole table must be read.
-    NewEra,
+    NewEpoch,
 }
 
 /// The position of a reader in the changes of one table.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TableCursor {
     /// The version up to which changes were applied; `None` if the whole table must be read.
-    seen: Option<StoreVersion>,
+    position: Option<StoreVersion>,
     /// The newest epoch of any response about the table.
     epoch: u64,
 }
@@ -55,53 +55,61 @@
 impl TableCursor {
     /// Returns the version up to which changes were applied; `None` before the table was
     /// read and while a query is pending.
-    pub fn seen(&self) -> Option<StoreVersion> {
-        self.seen
+    pub fn position(&self) -> Option<StoreVersion> {
+        self.position
     }
 
     /// Resets the position, so that the whole table is read next.
-    pub fn forget(&mut self) {
-        self.seen = None;
+    pub fn reset(&mut self) {
+        self.position = None;
     }
 
     /// Starts a query: returns the version after which to read changes, or `None` to read the
     /// whole table. Resets the position, so that the whole table is read after a query without
     /// a response.
-    pub fn ask(&mut self) -> Option<StoreVersion> {
-        self.seen.take()
+    pub fn start_query(&mut self) -> Option<StoreVersion> {
+        self.position.take()
     }
 
     /// Records the response to a query for the changes after `after`. Its rows are valid only
     /// in the same epoch: after a restore, a change can have a revision below `after`, which
     /// the response omits.
-    pub fn take_changes(&mut self, after: StoreVersion, version: StoreVersion) -> Taken {
-        let taken = self.check_epoch(after.era, version.era);
-        if taken == Taken::Rows {
-            self.seen = Some(version.max(after));
+    pub fn record_changes(
+        &mut self,
+        after: StoreVersion,
+        version: StoreVersion,
+    ) -> ResponseValidity {
+        let validity = self.check_epoch(after.epoch, version.epoch);
+        if validity == ResponseValidity::Valid {
+            self.position = Some(version.max(after));
         }
-        taken
+        validity
     }
 
     /// Records the responses to a read of the whole table, whose first page was of version
     /// `first` and whose last page was of version `last`.
-    pub fn take_whole(&mut self, first: StoreVersion, last: StoreVersion) -> Taken {
-        let taken = self.check_epoch(first.era, last.era);
-        if taken == Taken::Rows {
+    pub fn record_full_read(
+        &mut self,
+        first: StoreVersion,
+        last: StoreVersion,
+    ) -> ResponseValidity {
+        let validity = self.check_epoch(first.epoch, last.epoch);
+        if validity == ResponseValidity::Valid {
             // Later pages can be newer; their changes are read again.
-            self.seen = Some(first);
+            self.position = Some(first);
         }
-        taken
+        validity
     }
 
     /// Compares the epoch of a response with that of its query and with the newest one.
-    fn check_epoch(&mut self, queried: u64, responded: u64) -> Taken {
+    fn check_epoch(&mut self, queried: u64, responded: u64) -> ResponseValidity {
         if responded < self.epoch {
-            return Taken::FormerEra;
+            return ResponseValidity::FormerEpoch;
         }
         self.epoch = responded;
         match responded == queried {
-            true => Taken::Rows,
-            false => Taken::NewEra,
+            true => ResponseValidity::Valid,
+            false => ResponseValidity::NewEpoch,
         }
     }
 }
--- a/crates/notchwalk_platform/tests/store_versions.rs
+++ b/crates/notchwalk_platform/tests/store_versions.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, HashSet};
 
-use notchwalk_platform::{StoreVersion, TableCursor, Taken};
+use notchwalk_platform::{ResponseValidity, StoreVersion, TableCursor};
 
 const KEYS: [char; 2] = ['a', 'b'];
 const MAX_WRITES: u8 = 3;
@@ -83,7 +83,7 @@
 impl Node {
     fn start_query(&mut self) {
         self.queries += 1;
-        self.query = Query::Sent(self.cursor.ask());
+        self.query = Query::Sent(self.cursor.start_query());
     }
 
     /// Advances the query: the store sends the response, or the node receives it.
@@ -100,14 +100,14 @@
             }
             Query::Changes(_, None) => Query::None,
             Query::Changes(after, Some((version, rows))) => {
-                if self.cursor.take_changes(after, version) == Taken::Rows {
+                if self.cursor.record_changes(after, version) == ResponseValidity::Valid {
                     self.apply(&rows);
                 }
                 Query::None
             }
             Query::FirstPage(first, mut rows) => {
                 rows.extend(store.changes_since(&KEYS[1..], 0));
-                if self.cursor.take_whole(first, store.version()) == Taken::Rows {
+                if self.cursor.record_full_read(first, store.version()) == ResponseValidity::Valid {
                     self.known
                         .retain(|key, _| rows.iter().any(|row| row.key == *key));
                     self.apply(&rows);
@@ -225,12 +225,21 @@
 #[test]
 fn response_of_a_former_epoch_is_ignored() {
     let mut cursor = TableCursor::default();
-    assert_eq!(cursor.ask(), None);
+    assert_eq!(cursor.start_query(), None);
     let newer = StoreVersion::new(1, 4);
-    assert_eq!(cursor.take_whole(newer, newer), Taken::Rows);
+    assert_eq!(
+        cursor.record_full_read(newer, newer),
+        ResponseValidity::Valid
+    );
     let former = StoreVersion::new(0, 90);
-    assert_eq!(cursor.take_changes(newer, former), Taken::FormerEra);
-    assert_eq!(cursor.seen(), Some(newer));
-    assert_eq!(cursor.take_whole(former, former), Taken::FormerEra);
+    assert_eq!(
+        cursor.record_changes(newer, former),
+        ResponseValidity::FormerEpoch
+    );
+    assert_eq!(cursor.position(), Some(newer));
+    assert_eq!(
+        cursor.record_full_read(former, former),
+        ResponseValidity::FormerEpoch
+    );
     assert!(former < newer);
 }
--- a/crates/notchwalk_relay/src/config_watch.rs
+++ b/crates/notchwalk_relay/src/config_watch.rs
@@ -70,7 +70,7 @@
     }
 
     fn set_current(&mut self, version: StoreVersion) {
-        self.epoch = version.era;
+        self.epoch = version.epoch;
     }
 
     fn replace_all(&mut self, rows: Vec<Row>) {
--- a/crates/notchwalk_relay/src/server_watch.rs
+++ b/crates/notchwalk_relay/src/server_watch.rs
@@ -175,7 +175,7 @@
     fn is_behind(&self) -> bool {
         let newest = self.shell.peers.borrow().newest_server_change();
         let known = self.shell.server_table_version.get();
-        newest > known || self.shell.newest_epoch() > known.era
+        newest > known || self.shell.newest_epoch() > known.epoch
     }
 
     fn has_pending(&self) -> bool {
@@ -219,7 +219,7 @@
         self.shell.server_table_version.set(version);
         // Publishes the new epoch even if no row changed.
         self.shell
-            .observe_server_change(StoreVersion::new(version.era, 0));
+            .observe_server_change(StoreVersion::new(version.epoch, 0));
         self.remove_overdue();
         self.shell.servers_refreshed_at.set(self.shell.now());
         self.shell.metrics.servers.set(self.known.len() as i64);
--- a/crates/notchwalk_relay/src/shell.rs
+++ b/crates/notchwalk_relay/src/shell.rs
@@ -136,7 +136,7 @@
     pub fn check_suspension(&self) {
         if self.suspension.check(&self.clock) {
             self.client.close_idle();
-            self.store.renew_connections();
+            self.store.reset_connections();
         }
     }
 
@@ -162,7 +162,7 @@
     /// Returns the newest epoch of the store that this node or a peer has seen. A
     /// pending poll may not notice a restore until its wait ends.
     pub fn newest_epoch(&self) -> u64 {
-        let peers = self.peers.borrow().newest_server_change().era;
+        let peers = self.peers.borrow().newest_server_change().epoch;
         self.store_epoch().max(peers)
     }
 
@@ -182,19 +182,19 @@
     /// snapshot by its epoch.
     pub fn observe_store_version(&self, version: StoreVersion) {
         let former = self.store_epoch.get();
-        if former.is_some_and(|former| version.era <= former) {
+        if former.is_some_and(|former| version.epoch <= former) {
             return;
         }
-        self.store_epoch.set(Some(version.era));
-        self.metrics.store_epoch.set(version.era as i64);
+        self.store_epoch.set(Some(version.epoch));
+        self.metrics.store_epoch.set(version.epoch as i64);
         let Some(former) = former else {
             return;
         };
         self.store_restores.set(self.store_restores.get() + 1);
-        self.observe_server_change(StoreVersion::new(version.era, 0));
+        self.observe_server_change(StoreVersion::new(version.epoch, 0));
         self.epoch_to_publish.set(true);
         self.publish_wake.notify();
-        let facts = format!("era={} former_era={former}", version.era);
+        let facts = format!("era={} former_era={former}", version.epoch);
         LogEvent::new(LogEventKind::StoreRestored, facts).emit();
     }
 
--- a/crates/notchwalk_relay/src/table_watch.rs
+++ b/crates/notchwalk_relay/src/table_watch.rs
@@ -5,7 +5,7 @@
 use notchwalk_core::{Instant, LogEvent, LogEventKind};
 use notchwalk_daemon::Backoff;
 use notchwalk_platform::{
-    FeedError, PlatformError, Row, RowPage, StoreVersion, TableCursor, Taken,
+    FeedError, PlatformError, ResponseValidity, Row, RowPage, StoreVersion, TableCursor,
 };
 use rand::Rng;
 
@@ -147,20 +147,20 @@
             let first = read.first_version;
             let is_last = !page.more || page.rows.is_empty();
             read.rows.extend(page.rows);
-            let taken = self.cursor.take_whole(first, page.version);
-            if taken != Taken::Rows {
+            let validity = self.cursor.record_full_read(first, page.version);
+            if validity != ResponseValidity::Valid {
                 self.partial = None;
-                return self.handle_unusable(taken).await;
+                return self.handle_unusable(validity).await;
             }
             if is_last {
                 break;
             }
-            self.cursor.forget();
+            self.cursor.reset();
         }
         let Some(read) = self.partial.take() else {
             return Ok(false);
         };
-        let epoch = read.first_version.era;
+        let epoch = read.first_version.epoch;
         if self
             .epoch
             .replace(epoch)
@@ -174,10 +174,10 @@
 
     /// Handles a response whose rows can't be used. After a restore all nodes read the
     /// whole table, at random delays to spread the load.
-    async fn handle_unusable(&mut self, taken: Taken) -> Result<bool, FeedError> {
+    async fn handle_unusable(&mut self, validity: ResponseValidity) -> Result<bool, FeedError> {
         /// Delay per live node.
         const SPREAD_PER_NODE: Duration = Duration::from_millis(3);
-        if taken == Taken::FormerEra {
+        if validity == ResponseValidity::FormerEpoch {
             let reason = "the response is of a former epoch of the store".to_owned();
             return Err(PlatformError::NoAnswer(reason).into());
         }
@@ -219,9 +219,9 @@
         };
         self.count_poll("answered");
         self.record_response(page.version);
-        let taken = self.cursor.take_changes(after, page.version);
-        if taken != Taken::Rows {
-            return self.handle_unusable(taken).await;
+        let validity = self.cursor.record_changes(after, page.version);
+        if validity != ResponseValidity::Valid {
+            return self.handle_unusable(validity).await;
         }
         if !page.rows.is_empty() {
             self.reader.apply_changes(page.rows);
@@ -239,7 +239,8 @@
         const MAX_WAIT: Duration = Duration::from_secs(30);
         let since = self.shell.now();
         let peers = &self.shell.peers;
-        while self.cursor.seen().is_some() && !self.reader.is_behind() && !self.was_suspended() {
+        while self.cursor.position().is_some() && !self.reader.is_behind() && !self.was_suspended()
+        {
             let now = self.shell.now();
             let follows = peers.borrow().is_follower(now);
             if follows || self.reader.has_pending() || now.since(since) > MAX_WAIT {
@@ -249,7 +250,7 @@
         }
         // A restore is not followed by further changes.
         let epoch_changed = self.shell.newest_epoch() > self.epoch.unwrap_or(0);
-        if self.cursor.seen().is_some() && !epoch_changed {
+        if self.cursor.position().is_some() && !epoch_changed {
             monoio::time::sleep(COALESCE_DELAY).await;
         }
     }
@@ -263,20 +264,20 @@
         self.wait_for_followers().await;
         // The known version is stale, and no message of a peer may have arrived yet.
         if self.was_suspended() {
-            self.cursor.forget();
+            self.cursor.reset();
             self.resume_count = self.shell.resume_count();
         }
         // Several changes may be pending, each replacing the row.
         if self.reader.is_behind() && self.reader.has_one_row() {
-            self.cursor.forget();
+            self.cursor.reset();
         }
         self.polled_at = self.shell.now();
-        let responded = match self.cursor.ask() {
+        let responded = match self.cursor.start_query() {
             None => self.read_whole().await?,
             Some(after) => self.read_changes(after).await?,
         };
-        if let Some(seen) = self.cursor.seen().filter(|_| responded) {
-            self.reader.set_current(seen);
+        if let Some(position) = self.cursor.position().filter(|_| responded) {
+            self.reader.set_current(position);
         }
         Ok(())
     }
@@ -302,7 +303,7 @@
 
     fn abandon_poll(&self, poll: PendingPoll) {
         // Idle connections may be broken as well.
-        self.shell.store.renew_connections();
+        self.shell.store.reset_connections();
         self.count_poll("given_up");
         let facts = format!(
             "table={} after={} waited_ms={} received_bytes={}",
@@ -399,7 +400,7 @@
     loop {
         match watch.poll_once().await {
             Ok(()) => backoff.reset(),
-            Err(FeedError::HistoryGone) => {
+            Err(FeedError::HistoryExpired) => {
                 let table = watch.reader.table();
                 let facts = format!("table={table}");
                 LogEvent::new(LogEventKind::ChangeHistoryExpired, facts).emit();
--- a/crates/notchwalk_standin/tests/bundles.rs
+++ b/crates/notchwalk_standin/tests/bundles.rs
@@ -81,9 +81,14 @@
             .submit(&platform, head.as_ref(), &second, "another")
             .await
     });
-    let Err(SubmitError::Raced { in_force, by, .. }) = second else {
+    let Err(SubmitError::Conflict {
+        current,
+        changed_by,
+        ..
+    }) = second
+    else {
         panic!("the second submission must be rejected: {second:?}");
     };
-    assert_eq!(in_force.version, 2);
-    assert!(by.contains("more for the desk"), "{by}");
+    assert_eq!(current.version, 2);
+    assert!(changed_by.contains("more for the desk"), "{changed_by}");
 }
