--- a/crates/notchwalk_bundle/src/bundle.rs
+++ b/crates/notchwalk_bundle/src/bundle.rs
@@ -127,7 +127,7 @@
     /// model receive orders to load all of them.
     pub versions: Vec<String>,
     /// Whether the engines that serve it reject outdated fencing tokens.
-    pub checks_fence: bool,
+    pub checks_fencing_token: bool,
 }
 
 /// A service that is not a model engine.
@@ -191,7 +191,7 @@
     /// The longest timeout that a request may specify, in milliseconds.
     pub max_timeout_ms: u64,
     /// The share of an engine's KV memory that long requests can't reserve, in percent.
-    pub short_room_percent: u64,
+    pub short_reserve_percent: u64,
     /// The waiting time after which an engine is reserved for a long request, in
     /// milliseconds.
     pub ageing_ms: u64,
@@ -199,7 +199,7 @@
     pub retry_percent: u64,
     /// How long a daemon can be suspended without sending outdated orders to engines that lack
     /// fencing, in milliseconds.
-    pub order_pause_ms: u64,
+    pub max_order_suspension_ms: u64,
     /// How long the outcome of a call with an idempotency key is stored, in seconds.
     pub outcome_ttl_s: u64,
 }
@@ -322,7 +322,7 @@
     }
 
     fn read_operators(&mut self, ini: &IniFile, file: &str) {
-        for (name, section) in ini.sections_of("operator") {
+        for (name, section) in ini.sections_of_kind("operator") {
             let public_key: String = section.required("public_key").unwrap_or_default();
             if !public_key.is_empty() {
                 let title = format!("operator {name}");
@@ -331,7 +331,7 @@
             let roles = section.list("roles");
             for role in &roles {
                 if role != "author" && role != "reviewer" {
-                    section.add(
+                    section.report(
                         "roles",
                         format!("{role:?}: the roles are author and reviewer"),
                     );
@@ -347,7 +347,7 @@
         let authors = self.operators.iter().filter(|o| o.author).count();
         let signers = self.operators.len();
         if authors == 0 || signers < 2 || !self.operators.iter().any(|o| o.reviewer) {
-            ini.add(
+            ini.report(
                 "",
                 "",
                 "an author and another operator as reviewer are required",
@@ -356,9 +356,9 @@
     }
 
     fn read_models(&mut self, ini: &IniFile) {
-        for (name, section) in ini.sections_of("model") {
+        for (name, section) in ini.sections_of_kind("model") {
             if name.contains(['@', ':', ' ']) {
-                section.add("", "a model name must not contain '@', ':' or a space");
+                section.report("", "a model name must not contain '@', ':' or a space");
             }
             let mut versions = section.list("versions");
             if versions.is_empty() {
@@ -366,43 +366,43 @@
             }
             self.models.push(Model {
                 name,
-                context_tokens: section.within("context_tokens", 131_072, 1, 16_000_000),
+                context_tokens: section.in_range("context_tokens", 131_072, 1, 16_000_000),
                 adapters: section.list("adapters"),
                 versions,
-                checks_fence: section.or("checks_fence", true),
+                checks_fencing_token: section.value_or("checks_fence", true),
             });
         }
         if self.models.is_empty() {
-            ini.add("", "", "at least one model is required");
+            ini.report("", "", "at least one model is required");
         }
     }
 
     fn read_services(&mut self, ini: &IniFile) {
-        for (name, section) in ini.sections_of("service") {
+        for (name, section) in ini.sections_of_kind("service") {
             let mut methods = section.list("repeatable_methods");
             if methods.is_empty() {
                 methods = vec!["GET".into(), "HEAD".into()];
             }
             self.services.push(PlainService {
                 name,
-                timeout_ms: section.within("timeout_ms", 10_000, 1, 3_600_000),
+                timeout_ms: section.in_range("timeout_ms", 10_000, 1, 3_600_000),
                 repeatable_methods: methods,
             });
         }
     }
 
     fn read_workspaces(&mut self, ini: &IniFile) {
-        for (name, section) in ini.sections_of("workspace") {
+        for (name, section) in ini.sections_of_kind("workspace") {
             let key = WorkspaceKey(self.workspaces.len() as u32);
             for hash in section.list("key_hashes") {
                 let is_hash = hash.len() == 64 && hash.bytes().all(|b| b.is_ascii_hexdigit());
                 if !is_hash {
-                    section.add(
+                    section.report(
                         "key_hashes",
                         format!("{hash:?} is not a hash of 64 hex digits"),
                     );
                 } else if self.key_hashes.insert(hash.to_lowercase(), key).is_some() {
-                    section.add(
+                    section.report(
                         "key_hashes",
                         "the key is already assigned to another workspace",
                     );
@@ -414,7 +414,7 @@
                 &self.models,
                 |m| &m.name,
                 |reason| {
-                    section.add("models", reason);
+                    section.report("models", reason);
                 },
             );
             let services = section.list("services");
@@ -423,16 +423,16 @@
                 &self.services,
                 |s| &s.name,
                 |reason| {
-                    section.add("services", reason);
+                    section.report("services", reason);
                 },
             );
             self.workspaces.push(Workspace {
-                weight: section.within("weight", 1.0, 0.001, 1_000_000.0),
-                priority_max: section.within("priority_max", 5, 0, 9),
+                weight: section.in_range("weight", 1.0, 0.001, 1_000_000.0),
+                priority_max: section.in_range("priority_max", 5, 0, 9),
                 models: models.into_iter().map(ModelKey).collect(),
                 services: services.into_iter().map(ServiceKey).collect(),
-                max_in_flight: section.within("max_in_flight", 256, 1, 1_000_000),
-                max_queued: section.within("max_queued", 1_024, 0, 1_000_000),
+                max_in_flight: section.in_range("max_in_flight", 256, 1, 1_000_000),
+                max_queued: section.in_range("max_queued", 1_024, 0, 1_000_000),
                 name,
             });
         }
@@ -441,18 +441,18 @@
     fn read_policy(&mut self, ini: &IniFile) {
         let section = ini.section("policy");
         let policy = Policy {
-            kind: section.or("kind", PolicyKind::Fair),
-            max_requests: section.within("max_requests", 20_000, 1, 1_000_000),
-            default_timeout_ms: section.within("default_timeout_ms", 120_000, 1, 86_400_000),
-            max_timeout_ms: section.within("max_timeout_ms", 3_600_000, 1, 86_400_000),
-            short_room_percent: section.within("short_room_percent", 25, 0, 90),
-            ageing_ms: section.within("ageing_ms", 10_000, 1, 3_600_000),
-            retry_percent: section.within("retry_percent", 20, 0, 1_000),
-            order_pause_ms: section.within("order_pause_ms", 10_000, 0, 3_600_000),
-            outcome_ttl_s: section.within("outcome_ttl_s", 86_400, 1, 31_536_000),
+            kind: section.value_or("kind", PolicyKind::Fair),
+            max_requests: section.in_range("max_requests", 20_000, 1, 1_000_000),
+            default_timeout_ms: section.in_range("default_timeout_ms", 120_000, 1, 86_400_000),
+            max_timeout_ms: section.in_range("max_timeout_ms", 3_600_000, 1, 86_400_000),
+            short_reserve_percent: section.in_range("short_room_percent", 25, 0, 90),
+            ageing_ms: section.in_range("ageing_ms", 10_000, 1, 3_600_000),
+            retry_percent: section.in_range("retry_percent", 20, 0, 1_000),
+            max_order_suspension_ms: section.in_range("order_pause_ms", 10_000, 0, 3_600_000),
+            outcome_ttl_s: section.in_range("outcome_ttl_s", 86_400, 1, 31_536_000),
         };
         if policy.default_timeout_ms > policy.max_timeout_ms {
-            section.add("default_timeout_ms", "is longer than max_timeout_ms");
+            section.report("default_timeout_ms", "is longer than max_timeout_ms");
         }
         self.policy = Some(policy);
     }
--- a/crates/notchwalk_bundle/src/reader.rs
+++ b/crates/notchwalk_bundle/src/reader.rs
@@ -45,7 +45,7 @@
     }
 
     /// Returns the sections with the title `KIND NAME` and their `NAME`s, in file order.
-    pub fn sections_of(&self, kind: &str) -> Vec<(String, SectionReader<'_>)> {
+    pub fn sections_of_kind(&self, kind: &str) -> Vec<(String, SectionReader<'_>)> {
         let mut found = Vec::new();
         let mut seen = BTreeSet::new();
         for (title, properties) in self.ini.iter() {
@@ -59,7 +59,7 @@
             self.used_sections.borrow_mut().insert(title.to_owned());
             let name = name.trim().to_owned();
             if !seen.insert(name.clone()) {
-                self.add(title, "", "duplicate section");
+                self.report(title, "", "duplicate section");
                 continue;
             }
             found.push((name, SectionReader::new(self, title, Some(properties))));
@@ -68,7 +68,7 @@
     }
 
     /// Records a finding.
-    pub fn add(&self, section: &str, key: &str, reason: impl Into<String>) {
+    pub fn report(&self, section: &str, key: &str, reason: impl Into<String>) {
         let mut findings = self.findings.borrow_mut();
         findings.add(&self.name, section, key, reason);
     }
@@ -82,9 +82,9 @@
         for (title, properties) in self.ini.iter() {
             match title {
                 None if properties.is_empty() => {}
-                None => self.add("", "", "keys before the first section"),
+                None => self.report("", "", "keys before the first section"),
                 Some(title) if !self.used_sections.borrow().contains(title) => {
-                    self.add(title, "", "unknown section");
+                    self.report(title, "", "unknown section");
                 }
                 Some(_) => {}
             }
@@ -117,8 +117,8 @@
     }
 
     /// Records a finding about a key.
-    pub fn add(&self, key: &str, reason: impl Into<String>) {
-        self.file.add(&self.title, key, reason);
+    pub fn report(&self, key: &str, reason: impl Into<String>) {
+        self.file.report(&self.title, key, reason);
     }
 
     /// Returns the text of a key, if present.
@@ -126,7 +126,7 @@
         self.used.borrow_mut().insert(key.to_owned());
         let properties = self.properties?;
         if properties.get_all(key).count() > 1 {
-            self.add(key, "duplicate key");
+            self.report(key, "duplicate key");
         }
         properties.get(key).map(str::trim)
     }
@@ -140,14 +140,14 @@
         match text.parse() {
             Ok(value) => Some(value),
             Err(e) => {
-                self.add(key, format!("can't read {text:?}: {e}"));
+                self.report(key, format!("can't read {text:?}: {e}"));
                 None
             }
         }
     }
 
     /// Returns the value of a key, or `default` if it is absent or invalid.
-    pub fn or<T: FromStr>(&self, key: &str, default: T) -> T
+    pub fn value_or<T: FromStr>(&self, key: &str, default: T) -> T
     where
         T::Err: Display,
     {
@@ -155,14 +155,14 @@
     }
 
     /// Returns a number in `min..=max`, or `default` if it is absent or invalid.
-    pub fn within<T>(&self, key: &str, default: T, min: T, max: T) -> T
+    pub fn in_range<T>(&self, key: &str, default: T, min: T, max: T) -> T
     where
         T: FromStr + PartialOrd + Display + Copy,
         T::Err: Display,
     {
-        let value = self.or(key, default);
+        let value = self.value_or(key, default);
         if value < min || value > max {
-            self.add(key, format!("{value} lies outside {min} to {max}"));
+            self.report(key, format!("{value} lies outside {min} to {max}"));
             return default;
         }
         value
@@ -175,7 +175,7 @@
     {
         let missing = self.text(key).is_none();
         if missing {
-            self.add(key, "the key is missing");
+            self.report(key, "the key is missing");
         }
         self.optional(key)
     }
@@ -198,7 +198,7 @@
         };
         for (key, _) in properties.iter() {
             if !self.used.borrow().contains(key) {
-                self.add(key, "unknown key");
+                self.report(key, "unknown key");
             }
         }
     }
--- a/crates/notchwalk_decide/src/long_home.rs
+++ b/crates/notchwalk_decide/src/long_home.rs
@@ -81,7 +81,7 @@
     if let Some(pending) = ledger.pending.filter(|p| now < p.until) {
         taken += pending.tokens;
     }
-    let short_floor = node.bundle().map_or(0, |b| b.policy.short_room_percent) * 10;
+    let short_floor = node.bundle().map_or(0, |b| b.policy.short_reserve_percent) * 10;
     let left = capacity.saturating_sub(taken) * 1_000 / capacity;
     left.max(short_floor.min(1_000))
 }
@@ -135,7 +135,7 @@
     let Some(key) = node.servers.key(message.server) else {
         return LongReplyKind::Denied;
     };
-    let short_reserve_percent = node.bundle().map_or(0, |b| b.policy.short_room_percent);
+    let short_reserve_percent = node.bundle().map_or(0, |b| b.policy.short_reserve_percent);
     let server = &mut node.servers.arena[key];
     if warming_up || !server.accepts_work(now) {
         return LongReplyKind::Denied;
--- a/crates/notchwalk_decide/src/long_work.rs
+++ b/crates/notchwalk_decide/src/long_work.rs
@@ -105,7 +105,7 @@
     if largest == 0 {
         return back_off_denied(node, cx, key);
     }
-    let short_reserve_percent = node.bundle().map_or(0, |b| b.policy.short_room_percent);
+    let short_reserve_percent = node.bundle().map_or(0, |b| b.policy.short_reserve_percent);
     let segments_at = |percent: Tokens| need.div_ceil((largest * percent / 100).max(1)) as usize;
     // Leaves room for short work on each server, unless there are too few.
     let mut segments = segments_at(100 - short_reserve_percent);
--- a/crates/notchwalk_decide/src/orders.rs
+++ b/crates/notchwalk_decide/src/orders.rs
@@ -194,7 +194,7 @@
     let Some(bundle) = node.catalog.bundle.clone() else {
         return;
     };
-    let pause = Duration::from_millis(bundle.policy.order_pause_ms);
+    let pause = Duration::from_millis(bundle.policy.max_order_suspension_ms);
     let pause_elapsed = fencing_token == 1 || cx.now.since(node.orders.held_since) >= pause;
     let now = cx.now;
     node.orders
@@ -218,7 +218,7 @@
         let Some((model, desired)) = next_order(node, now, key, &bundle.models) else {
             continue;
         };
-        if !model.checks_fence && !pause_elapsed {
+        if !model.checks_fencing_token && !pause_elapsed {
             continue;
         }
         node.orders.in_flight.insert(id, now);
--- a/crates/notchwalk_decide/tests/decisions/orders.rs
+++ b/crates/notchwalk_decide/tests/decisions/orders.rs
@@ -9,12 +9,12 @@
 use crate::common::{parts, Rig};
 
 /// Builds a node whose bundle names a version that its engine lacks.
-fn rig(checks_fence: bool) -> Rig {
+fn rig(checks_fencing_token: bool) -> Rig {
     let mut rig = Rig::new(1);
     let mut parts = parts("order_pause_ms = 3000\n");
     for part in parts.iter_mut().filter(|p| p.name == PartName::Models) {
         part.text = format!(
-            "[model m]\ncontext_tokens = 1000000\nversions = 1, 2\nchecks_fence = {checks_fence}\n"
+            "[model m]\ncontext_tokens = 1000000\nversions = 1, 2\nchecks_fence = {checks_fencing_token}\n"
         );
     }
     let bundle = Bundle::parse(2, &parts).expect("a valid bundle");
--- a/crates/notchwalk_relay/src/settings.rs
+++ b/crates/notchwalk_relay/src/settings.rs
@@ -68,15 +68,15 @@
     let directory = entry.required::<SocketAddr>("directory_address");
     let peer = entry.required::<SocketAddr>("peer_address");
     let operator = entry.required::<SocketAddr>("operator_address");
-    let directory_ttl_ms = entry.within("directory_ttl_ms", 2_000, 100, 600_000);
-    let stop_grace_s = entry.within("stop_grace_s", 8.0, 1.0, 600.0);
-    let max_descriptors = entry.within("max_descriptors", 4_200, 64, 1_000_000);
+    let directory_ttl_ms = entry.in_range("directory_ttl_ms", 2_000, 100, 600_000);
+    let stop_grace_s = entry.in_range("stop_grace_s", 8.0, 1.0, 600.0);
+    let max_descriptors = entry.in_range("max_descriptors", 4_200, 64, 1_000_000);
     let store = ini.section("store");
     let store_addr = store.required::<SocketAddr>("address");
     let retries = ini.section("retries");
-    let retry_ratio = retries.within("ratio", 0.2, 0.0, 10.0);
-    let retry_slack = retries.within("slack", 100.0, 0.0, 1e6);
-    let retry_window_s = retries.within("window_s", 10.0, 0.1, 3_600.0);
+    let retry_ratio = retries.in_range("ratio", 0.2, 0.0, 10.0);
+    let retry_slack = retries.in_range("slack", 100.0, 0.0, 1e6);
+    let retry_window_s = retries.in_range("window_s", 10.0, 0.1, 3_600.0);
     Some(RelaySettings {
         name: name?,
         failure_domain: failure_domain?,
--- a/crates/notchwalk_standin/src/bench/capacity.rs
+++ b/crates/notchwalk_standin/src/bench/capacity.rs
@@ -318,7 +318,7 @@
         model: "lampwise".to_owned(),
         context_tokens: 1_100_000,
         versions: vec!["v1".to_owned()],
-        checks_fence: true,
+        checks_fencing_token: true,
         service: "bookdesk".to_owned(),
         workspaces: named.collect(),
         policy: String::new(),
--- a/crates/notchwalk_standin/src/bench/orders.rs
+++ b/crates/notchwalk_standin/src/bench/orders.rs
@@ -15,8 +15,8 @@
 pub fn run(_options: &BenchOptions) -> Metrics {
     let mut metrics = Metrics::new();
     let mut stale_orders = 0;
-    for (name, checks_fence) in [("fenced", true), ("unfenced", false)] {
-        let outcome = measure(checks_fence);
+    for (name, checks_fencing_token) in [("fenced", true), ("unfenced", false)] {
+        let outcome = measure(checks_fencing_token);
         stale_orders += outcome.stale_orders;
         metrics.insert(
             format!("{name}_loaded_after_s"),
@@ -34,11 +34,11 @@
     new_holder: bool,
 }
 
-fn measure(checks_fence: bool) -> Outcome {
+fn measure(checks_fencing_token: bool) -> Outcome {
     let mut config = FleetConfig::new(policy::workspaces())
         .with_sizes(3, 6, 0)
         .with_entry_program(policy::this_program());
-    config.bundle.checks_fence = checks_fence;
+    config.bundle.checks_fencing_token = checks_fencing_token;
     let fleet = Fleet::start(config);
     let holder = wait_for_holder(&fleet, None);
     let mut spec = fleet.config.bundle.clone();
--- a/crates/notchwalk_standin/src/bench/steps.rs
+++ b/crates/notchwalk_standin/src/bench/steps.rs
@@ -36,7 +36,7 @@
         model: "m".to_owned(),
         context_tokens: 1_100_000,
         versions: vec!["v1".to_owned()],
-        checks_fence: true,
+        checks_fencing_token: true,
         service: "s".to_owned(),
         workspaces: names.collect(),
         policy: "max_requests = 1000000\n".to_owned(),
--- a/crates/notchwalk_standin/src/deployment.rs
+++ b/crates/notchwalk_standin/src/deployment.rs
@@ -82,7 +82,7 @@
 /// have one more required field.
 fn listed(ini: &IniFile, kind: &str) -> Vec<(VmSection, Option<String>)> {
     let mut sections = Vec::new();
-    for (id, section) in ini.sections_of(kind) {
+    for (id, section) in ini.sections_of_kind(kind) {
         let addr = section.required::<SocketAddr>("address");
         let failure_domain = section.required::<String>("failure_domain");
         let extra = match kind {
@@ -91,7 +91,7 @@
             _ => None,
         };
         let Ok(id) = id.parse() else {
-            section.add("", "the section's name must be a number");
+            section.report("", "the section's name must be a number");
             continue;
         };
         let (Some(addr), Some(failure_domain)) = (addr, failure_domain) else {
@@ -121,9 +121,9 @@
     let section = ini.section("platform");
     let platform = section.required::<SocketAddr>("address");
     let defaults = PlatformConfig::default();
-    let lag_ms = section.within("vm_list_lag_ms", 500, 0, 600_000);
+    let lag_ms = section.in_range("vm_list_lag_ms", 500, 0, 600_000);
     let platform_config = PlatformConfig {
-        writes_per_s: section.within("writes_per_s", defaults.writes_per_s, 1.0, 1e6),
+        writes_per_s: section.in_range("writes_per_s", defaults.writes_per_s, 1.0, 1e6),
         list_lag: Duration::from_millis(lag_ms),
         ..defaults
     };
@@ -132,9 +132,9 @@
     let model = engines.required::<String>("model").unwrap_or_default();
     let versions = engines.list("versions");
     let adapters = engines.list("adapters");
-    let time_scale = engines.within("time_scale", 1.0, 0.01, 1_000.0);
-    let capacity = engines.within("capacity_tokens", 400_000, 1_000, 100_000_000);
-    let checks_fence = engines.or("checks_fence", true);
+    let time_scale = engines.in_range("time_scale", 1.0, 0.01, 1_000.0);
+    let capacity = engines.in_range("capacity_tokens", 400_000, 1_000, 100_000_000);
+    let checks_fencing_token = engines.value_or("checks_fence", true);
     drop(engines);
     let loaded = vec![LoadedModel {
         model,
@@ -158,7 +158,7 @@
         let config = EngineConfig::new(ServerId(engine.id), loaded.clone())
             .with_time_scale(time_scale)
             .with_capacity(capacity)
-            .with_checks_fence(checks_fence);
+            .with_checks_fencing_token(checks_fencing_token);
         deployment.engines.push(EngineSpec {
             addr: engine.addr,
             config,
--- a/crates/notchwalk_standin/src/engine/api.rs
+++ b/crates/notchwalk_standin/src/engine/api.rs
@@ -461,7 +461,7 @@
             let mut fence = self.fence.borrow_mut();
             let mut sim = self.sim.borrow_mut();
             let stale = req.fencing_token < fence.highest;
-            let accepted = !(stale && sim.config.checks_fence);
+            let accepted = !(stale && sim.config.checks_fencing_token);
             if accepted {
                 fence.stale_orders_run += u64::from(stale);
                 apply_order(&mut sim, req.desired);
--- a/crates/notchwalk_standin/src/engine/config.rs
+++ b/crates/notchwalk_standin/src/engine/config.rs
@@ -30,7 +30,7 @@
     /// Delay of cache events.
     pub cache_event_lag: Duration,
     /// Whether orders with a stale fencing token are rejected.
-    pub checks_fence: bool,
+    pub checks_fencing_token: bool,
     /// Models loaded at the start.
     pub loaded: Vec<LoadedModel>,
 }
@@ -50,7 +50,7 @@
             time_scale: 1.0,
             report_lag: Duration::from_millis(100),
             cache_event_lag: Duration::from_millis(300),
-            checks_fence: true,
+            checks_fencing_token: true,
             loaded,
         }
     }
@@ -68,8 +68,8 @@
     }
 
     /// Sets whether fencing tokens are checked.
-    pub fn with_checks_fence(mut self, checks: bool) -> Self {
-        self.checks_fence = checks;
+    pub fn with_checks_fencing_token(mut self, checks: bool) -> Self {
+        self.checks_fencing_token = checks;
         self
     }
 
--- a/crates/notchwalk_standin/src/fleet.rs
+++ b/crates/notchwalk_standin/src/fleet.rs
@@ -82,7 +82,7 @@
                 model: "lampwise".to_owned(),
                 context_tokens: 1_100_000,
                 versions: vec!["v1".to_owned()],
-                checks_fence: true,
+                checks_fencing_token: true,
                 service: "bookdesk".to_owned(),
                 workspaces,
                 policy: "kind = fair\n".to_owned(),
@@ -492,7 +492,7 @@
         let mut engine = EngineConfig::new(ServerId(id), loaded.clone())
             .with_time_scale(config.time_scale)
             .with_capacity(config.capacity_tokens)
-            .with_checks_fence(config.bundle.checks_fence);
+            .with_checks_fencing_token(config.bundle.checks_fencing_token);
         engine.slots = config.slots;
         records.push(VmRecord {
             id,
--- a/crates/notchwalk_standin/src/operators.rs
+++ b/crates/notchwalk_standin/src/operators.rs
@@ -35,7 +35,7 @@
     /// Versions of the model, the default first.
     pub versions: Vec<String>,
     /// Whether the engines reject stale fencing tokens.
-    pub checks_fence: bool,
+    pub checks_fencing_token: bool,
     /// Name of the plain service.
     pub service: String,
     /// Workspaces of the fleet.
@@ -73,7 +73,7 @@
             spec.model,
             spec.context_tokens,
             spec.versions.join(", "),
-            spec.checks_fence
+            spec.checks_fencing_token
         );
         let services = format!("[service {}]\ntimeout_ms = 10000\n", spec.service);
         let mut workspaces = String::new();
--- a/crates/notchwalk_standin/src/soak/world.rs
+++ b/crates/notchwalk_standin/src/soak/world.rs
@@ -136,7 +136,7 @@
         model: "m".to_owned(),
         context_tokens: 200_000,
         versions: vec!["v1".to_owned()],
-        checks_fence: true,
+        checks_fencing_token: true,
         service: "s".to_owned(),
         workspaces: workspaces.collect(),
         policy: "retry_percent = 100\n".to_owned(),
--- a/crates/notchwalkd/src/settings.rs
+++ b/crates/notchwalkd/src/settings.rs
@@ -106,20 +106,20 @@
     let caller = daemon.required::<SocketAddr>("caller_address");
     let peer = daemon.required::<SocketAddr>("peer_address");
     let operator = daemon.required::<SocketAddr>("operator_address");
-    let entries_ttl_ms = daemon.within("entries_ttl_ms", 5_000, 100, 600_000);
+    let entries_ttl_ms = daemon.in_range("entries_ttl_ms", 5_000, 100, 600_000);
     let platform = ini.section("platform").required::<SocketAddr>("address");
     let peers = ini.section("peers");
     let keys = peers.list("keys");
     let peer_keys = PeerKeys::parse(&keys);
     if let Err(reason) = &peer_keys {
-        peers.add("keys", *reason);
+        peers.report("keys", *reason);
     }
     let limits = ini.section("limits");
-    let max_body_bytes = limits.within("max_body_bytes", 64 << 20, 1_024, 1 << 30);
-    let max_connections = limits.within("max_connections", 20_000, 1, 1_000_000);
-    let max_unread_bytes = limits.within("max_unread_bytes", 1 << 20, 4_096, 1 << 30);
+    let max_body_bytes = limits.in_range("max_body_bytes", 64 << 20, 1_024, 1 << 30);
+    let max_connections = limits.in_range("max_connections", 20_000, 1, 1_000_000);
+    let max_unread_bytes = limits.in_range("max_unread_bytes", 1 << 20, 4_096, 1 << 30);
     if limits.exists() && max_unread_bytes > max_body_bytes {
-        limits.add("max_unread_bytes", "is more than max_body_bytes");
+        limits.report("max_unread_bytes", "is more than max_body_bytes");
     }
     let listen = ListenAddresses {
         caller: caller?,
