--- a/crates/notchwalk_decide/examples/one_request.rs
+++ b/crates/notchwalk_decide/examples/one_request.rs
@@ -62,7 +62,7 @@
         id: ServerId(7),
         kind: ServerKind::Engine,
         failure_domain: "ruwi".to_owned(),
-        leaving: false,
+        draining: false,
     };
     let arrival = Arrival {
         caller: CallerKey(1),
@@ -83,13 +83,13 @@
         Event::Bundle(Arc::new(bundle())),
         Event::VmList {
             servers: vec![server],
-            entries: Vec::new(),
+            nodes: Vec::new(),
         },
         Event::Load {
             server: ServerId(7),
             report: Box::new(report()),
         },
-        Event::Arrive(Box::new(arrival)),
+        Event::Arrival(Box::new(arrival)),
     ];
     for (i, event) in events.into_iter().enumerate() {
         println!("event: {}", event.name());
--- a/crates/notchwalk_decide/src/admission.rs
+++ b/crates/notchwalk_decide/src/admission.rs
@@ -41,7 +41,7 @@
 }
 
 /// Admits a request, or refuses it as not run.
-pub(crate) fn on_arrive(node: &mut Node, cx: &mut Cx<'_>, arrival: Arrival) {
+pub(crate) fn on_arrival(node: &mut Node, cx: &mut Cx<'_>, arrival: Arrival) {
     node.counters.arrived += 1;
     let caller = arrival.caller;
     if let Err((code, retry_ms)) = admit(node, cx, arrival) {
@@ -75,7 +75,7 @@
         return Err((FailureCode::Draining, Some(DEFAULT_RETRY_AFTER_MS)));
     }
     if node.requests.len() >= bundle.policy.max_requests as usize {
-        return Err((FailureCode::EntryFull, Some(DEFAULT_RETRY_AFTER_MS)));
+        return Err((FailureCode::NodeFull, Some(DEFAULT_RETRY_AFTER_MS)));
     }
     let workspace = bundle.workspace(key);
     let slot = node.catalog.slot(key);
--- a/crates/notchwalk_decide/src/attempt.rs
+++ b/crates/notchwalk_decide/src/attempt.rs
@@ -463,7 +463,7 @@
 /// Ends the work of a disconnected caller.
 pub(crate) fn on_caller_disconnected(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey) {
     if node.requests.contains_key(key) {
-        fail(node, cx, key, FailureCode::CallerGone, None);
+        fail(node, cx, key, FailureCode::CallerDisconnected, None);
     }
 }
 
--- a/crates/notchwalk_decide/src/claim.rs
+++ b/crates/notchwalk_decide/src/claim.rs
@@ -13,7 +13,7 @@
     admission, attempt,
     catalog::name_hash,
     effect::{Effect, Failure, FailureCode},
-    event::{Arrival, ClaimAnswer, ClaimRow, Work},
+    event::{Arrival, ClaimResponse, ClaimRow, Work},
     node::{Cx, Node},
     request::{Phase, RequestKey},
     schedule,
@@ -22,7 +22,7 @@
 
 /// Time limit for a claim, after which the call fails as not run.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(4);
-/// How long to wait for one answer of the store.
+/// How long to wait for one response of the store.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Delay before the store is queried again.
 const STORE_RETRY_DELAY: Duration = Duration::from_millis(100);
@@ -112,8 +112,13 @@
         .set(cx.now.after(STORE_TIMEOUT), key, TimerKind::Claim);
 }
 
-/// Handles the store's answer.
-pub(crate) fn on_answer(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey, answer: ClaimAnswer) {
+/// Handles the store's response.
+pub(crate) fn on_response(
+    node: &mut Node,
+    cx: &mut Cx<'_>,
+    key: RequestKey,
+    response: ClaimResponse,
+) {
     let Some(req) = node.requests.get(key) else {
         return;
     };
@@ -121,13 +126,13 @@
         return;
     }
     let (arrived, deadline) = (req.arrived, req.deadline);
-    match answer {
-        ClaimAnswer::Row(row) => on_row(node, cx, key, &row),
+    match response {
+        ClaimResponse::Row(row) => on_row(node, cx, key, &row),
         _ if cx.now >= arrived.after(CLAIM_TIMEOUT).min(deadline) => {
             fail_unavailable(node, cx, key)
         }
-        ClaimAnswer::NoRow => write(node, cx, key),
-        ClaimAnswer::NoAnswer => {
+        ClaimResponse::NoRow => write(node, cx, key),
+        ClaimResponse::Unanswered => {
             let us = STORE_RETRY_DELAY.as_micros() as u64;
             let delay = Duration::from_micros(node.rng.random_range(us / 2..us * 2));
             node.timers.set(cx.now.after(delay), key, TimerKind::Claim);
@@ -135,7 +140,7 @@
     }
 }
 
-/// Reads the claim again, after a delay or because the store did not answer.
+/// Reads the claim again, after a delay or because the store did not respond.
 pub(crate) fn on_timer(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey) {
     let Some(req) = node.requests.get(key) else {
         return;
@@ -169,7 +174,7 @@
             node,
             cx,
             key,
-            FailureCode::KeyReused,
+            FailureCode::IdempotencyKeyReused,
             ExecutionOutcome::NotRun,
             None,
         );
@@ -184,7 +189,7 @@
     }
     match owner_may_be_running(node, &row.token) {
         true => {
-            let code = FailureCode::StillRunning;
+            let code = FailureCode::CallInProgress;
             reject(node, cx, key, code, ExecutionOutcome::Unknown, Some(500));
         }
         false => {
@@ -267,7 +272,7 @@
 }
 
 impl ClaimReleases {
-    /// Handles the answer to a release.
+    /// Handles the response to a release.
     pub fn on_released(&mut self, now: Instant, key: &str, confirmed: bool) {
         if confirmed {
             self.pending.remove(key);
--- a/crates/notchwalk_decide/src/config.rs
+++ b/crates/notchwalk_decide/src/config.rs
@@ -31,7 +31,7 @@
     /// Seed of the random number generator.
     pub seed: u64,
     /// How long callers may cache the list of nodes.
-    pub entries_ttl: Duration,
+    pub node_list_ttl: Duration,
     /// How long an owner may stay silent before its memory on engines is freed.
     pub max_owner_silence: Duration,
     /// How engine memory is reserved.
@@ -46,15 +46,15 @@
             boot,
             failure_domain: failure_domain.into(),
             seed,
-            entries_ttl: Duration::from_secs(5),
+            node_list_ttl: Duration::from_secs(5),
             max_owner_silence: Duration::from_secs(120),
             reserve: ReserveMode::TopUp,
         }
     }
 
     /// Sets how long callers may cache the list of nodes.
-    pub fn with_entries_ttl(mut self, ttl: Duration) -> Self {
-        self.entries_ttl = ttl;
+    pub fn with_node_list_ttl(mut self, ttl: Duration) -> Self {
+        self.node_list_ttl = ttl;
         self
     }
 
--- a/crates/notchwalk_decide/src/drain.rs
+++ b/crates/notchwalk_decide/src/drain.rs
@@ -34,7 +34,7 @@
     if node.drain.is_draining() {
         return;
     }
-    node.drain.refuse_from = Some(cx.now.after(node.cfg.entries_ttl));
+    node.drain.refuse_from = Some(cx.now.after(node.cfg.node_list_ttl));
     node.membership.start_draining();
     let facts = format!("open_requests={}", node.requests.len());
     cx.log(LogEventKind::DrainStarted, facts);
--- a/crates/notchwalk_decide/src/dump.rs
+++ b/crates/notchwalk_decide/src/dump.rs
@@ -121,7 +121,7 @@
     pub timers: usize,
     /// Retries available.
     pub retry_budget: f64,
-    /// The fencing number under which this node may send orders, if it holds
+    /// The fencing token under which this node may send orders, if it holds
     /// the lease.
     pub order_fence: Option<u64>,
     /// Counts since boot.
--- a/crates/notchwalk_decide/src/effect.rs
+++ b/crates/notchwalk_decide/src/effect.rs
@@ -27,7 +27,7 @@
 
 /// Prefills one segment of a huge prompt on a server, which retains it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SegmentOrder {
+pub struct SegmentPrefill {
     /// The request.
     pub request: RequestKey,
     /// The attempt.
@@ -50,7 +50,7 @@
     /// The daemon is draining and refuses new requests.
     Draining,
     /// The node has reached its limit of open requests.
-    EntryFull,
+    NodeFull,
     /// The workspace has reached its limit of queued requests.
     WorkspaceQueueFull,
     /// The deadline could not be met.
@@ -68,13 +68,13 @@
     /// The store did not answer, so the call was not sent.
     StoreUnavailable,
     /// A call with the same idempotency key is still running.
-    StillRunning,
+    CallInProgress,
     /// A call with the same idempotency key was made; its outcome is unknown.
     OutcomeUnknown,
     /// The idempotency key was used for a different request.
-    KeyReused,
+    IdempotencyKeyReused,
     /// The caller disconnected.
-    CallerGone,
+    CallerDisconnected,
     /// Servers failed while running requests with this content; whether the
     /// content caused it is not known yet.
     Suspected,
@@ -128,7 +128,7 @@
     /// Send an attempt.
     Dispatch(Dispatch),
     /// Prefill a segment.
-    Segment(SegmentOrder),
+    Segment(SegmentPrefill),
     /// Deliver tokens of the current frame to the caller.
     Deliver {
         /// The request.
@@ -201,9 +201,9 @@
     Order {
         /// The engine.
         server: ServerId,
-        /// The fencing number.
+        /// The fencing token.
         fencing_token: u64,
-        /// The wanted state.
+        /// The desired state.
         desired: DesiredState,
     },
     /// Send a message to a peer.
--- a/crates/notchwalk_decide/src/event.rs
+++ b/crates/notchwalk_decide/src/event.rs
@@ -38,7 +38,7 @@
     pub repeatable: bool,
     /// The idempotency key, if the caller sent one.
     pub idempotency_key: Option<String>,
-    /// A digest of method, path and body; tells a repeated call from a
+    /// A digest of method, path and body; distinguishes a repeated call from a
     /// different request under the same key.
     pub fingerprint: String,
 }
@@ -106,14 +106,14 @@
 
 /// The result of a claim's write or read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ClaimAnswer {
+pub enum ClaimResponse {
     /// The current row; the write took effect if the row holds this request's
     /// token.
     Row(ClaimRow),
     /// There is no row.
     NoRow,
     /// The store did not answer; the write may have taken effect.
-    NoAnswer,
+    Unanswered,
 }
 
 /// The kind of a backend server.
@@ -135,7 +135,7 @@
     /// Its failure domain.
     pub failure_domain: String,
     /// Whether it is draining.
-    pub leaving: bool,
+    pub draining: bool,
 }
 
 /// An entry VM in the VM list.
@@ -148,7 +148,7 @@
     /// Its failure domain.
     pub failure_domain: String,
     /// Whether it is draining.
-    pub leaving: bool,
+    pub draining: bool,
 }
 
 /// An input of the reducer.
@@ -163,12 +163,12 @@
         /// Backend servers.
         servers: Vec<ServerRecord>,
         /// The nodes, including this one.
-        entries: Vec<PeerRecord>,
+        nodes: Vec<PeerRecord>,
     },
     /// A request arrived.
-    Arrive(Box<Arrival>),
+    Arrival(Box<Arrival>),
     /// A caller disconnected.
-    CallerGone(RequestKey),
+    CallerDisconnected(RequestKey),
     /// A frame with tokens arrived.
     Frame {
         /// The request whose stream carried it.
@@ -206,7 +206,7 @@
         report: Box<LoadReport>,
     },
     /// A server did not answer a load poll.
-    LoadFailed(ServerId),
+    LoadPollFailed(ServerId),
     /// An engine listed the memory it holds.
     Allocations {
         /// The server.
@@ -235,7 +235,7 @@
         /// The request.
         request: RequestKey,
         /// The result.
-        answer: ClaimAnswer,
+        response: ClaimResponse,
     },
     /// The release of an abandoned claim ended.
     ClaimReleased {
@@ -279,13 +279,13 @@
             Self::Tick => "tick",
             Self::Bundle(_) => "bundle",
             Self::VmList { .. } => "vm_list",
-            Self::Arrive(_) => "arrive",
-            Self::CallerGone(_) => "caller_gone",
+            Self::Arrival(_) => "arrive",
+            Self::CallerDisconnected(_) => "caller_gone",
             Self::Frame { .. } => "frame",
             Self::SegmentReady { .. } => "segment_ready",
             Self::AttemptEnded { .. } => "attempt_ended",
             Self::Load { .. } => "load",
-            Self::LoadFailed(_) => "load_failed",
+            Self::LoadPollFailed(_) => "load_failed",
             Self::Allocations { .. } => "holdings",
             Self::Cache { .. } => "cache",
             Self::CancelEnded { .. } => "cancel_ended",
--- a/crates/notchwalk_decide/src/lib.rs
+++ b/crates/notchwalk_decide/src/lib.rs
@@ -41,9 +41,9 @@
 pub use claim::claim_key;
 pub use config::{NodeConfig, ReserveMode};
 pub use dump::{LaneDump, NodeDump, PeerDump, ServerDump, WorkspaceDump};
-pub use effect::{Completion, Dispatch, Effect, Failure, FailureCode, SegmentOrder};
+pub use effect::{Completion, Dispatch, Effect, Failure, FailureCode, SegmentPrefill};
 pub use event::{
-    Arrival, AttemptEnd, CallWork, ClaimAnswer, ClaimRow, Event, GenerateWork, PeerRecord,
+    Arrival, AttemptEnd, CallWork, ClaimResponse, ClaimRow, Event, GenerateWork, PeerRecord,
     ServerKind, ServerRecord, Work,
 };
 pub use lane::{Lane, LANES};
--- a/crates/notchwalk_decide/src/long_work.rs
+++ b/crates/notchwalk_decide/src/long_work.rs
@@ -16,7 +16,7 @@
 
 use crate::{
     attempt, credit,
-    effect::{Effect, SegmentOrder},
+    effect::{Effect, SegmentPrefill},
     lane::Lane,
     long_home,
     node::{Cx, Node},
@@ -297,7 +297,7 @@
     let (attempt, group, left) = (req.attempt, req.group, req.deadline.since(cx.now));
     let prefill_ms = node.costs[group.index()].prefill_us(segment_tokens) / 1_000;
     let stall_timeout_ms = SEGMENT_BASE_TIMEOUT_MS + prefill_ms * SEGMENT_PREFILL_FACTOR;
-    cx.emit(Effect::Segment(SegmentOrder {
+    cx.emit(Effect::Segment(SegmentPrefill {
         timeout_ms: stall_timeout_ms.min(left.as_millis() as u64),
         request: key,
         attempt,
--- a/crates/notchwalk_decide/src/membership.rs
+++ b/crates/notchwalk_decide/src/membership.rs
@@ -1,7 +1,7 @@
 //! Membership without consensus. The VM list, which may be late, names the
 //! nodes that may exist; heartbeats, which may be late, lost or reordered, show
 //! which are alive. A silent peer is first suspected, and declared dead only
-//! when no other node has heard from it either. All of this is soft state: a
+//! when no other node received its heartbeats either. All of this is soft state: a
 //! wrong view costs latency, not correctness.
 
 use std::{
@@ -225,17 +225,17 @@
 }
 
 /// Applies the VM list's nodes.
-pub(crate) fn on_vm_list(node: &mut Node, _cx: &mut Cx<'_>, entries: Vec<PeerRecord>) {
+pub(crate) fn on_vm_list(node: &mut Node, _cx: &mut Cx<'_>, nodes: Vec<PeerRecord>) {
     let own = node.cfg.vm;
     for peer in node.membership.peers.values_mut() {
         peer.record = None;
     }
-    for record in entries {
+    for record in nodes {
         if record.vm == own {
             node.membership.own_record = Some(record);
             continue;
         }
-        let draining = record.leaving;
+        let draining = record.draining;
         let peer = node.membership.peers.entry(record.vm);
         let peer = peer.or_insert_with(|| Peer::new(None));
         peer.record = Some(record);
@@ -479,7 +479,7 @@
 
 /// Returns the nodes callers should use: those of this failure domain first.
 /// Both groups rotate with each call, so that load spreads.
-pub(crate) fn live_entries(node: &mut Node) -> Vec<LiveNode> {
+pub(crate) fn live_nodes(node: &mut Node) -> Vec<LiveNode> {
     let view = &mut node.membership;
     view.rotation = view.rotation.wrapping_add(1);
     let usable = |p: &&Peer| p.state == PeerState::Alive && !p.draining;
@@ -500,9 +500,9 @@
         }
     }
     let ordered = local.into_iter().chain(remote);
-    let entries = ordered.map(|record| LiveNode {
+    let nodes = ordered.map(|record| LiveNode {
         caller_address: record.caller_address.clone(),
         failure_domain: record.failure_domain.clone(),
     });
-    entries.collect()
+    nodes.collect()
 }
--- a/crates/notchwalk_decide/src/node.rs
+++ b/crates/notchwalk_decide/src/node.rs
@@ -148,12 +148,14 @@
         match event {
             Event::Tick => self.tick(cx),
             Event::Bundle(bundle) => self.apply_bundle(cx, bundle),
-            Event::VmList { servers, entries } => {
-                membership::on_vm_list(self, cx, entries);
+            Event::VmList { servers, nodes } => {
+                membership::on_vm_list(self, cx, nodes);
                 sweep::on_servers(self, cx, servers);
             }
-            Event::Arrive(arrival) => admission::on_arrive(self, cx, *arrival),
-            Event::CallerGone(request) => attempt::on_caller_disconnected(self, cx, request),
+            Event::Arrival(arrival) => admission::on_arrival(self, cx, *arrival),
+            Event::CallerDisconnected(request) => {
+                attempt::on_caller_disconnected(self, cx, request)
+            }
             Event::Frame {
                 request,
                 id,
@@ -178,7 +180,7 @@
                 end,
             } => attempt::on_ended(self, cx, request, attempt, end),
             Event::Load { server, report } => schedule::on_load(self, cx, server, *report),
-            Event::LoadFailed(server) => schedule::on_load_failed(self, cx, server),
+            Event::LoadPollFailed(server) => schedule::on_load_poll_failed(self, cx, server),
             Event::Allocations {
                 server,
                 allocations,
@@ -195,7 +197,7 @@
                 id,
                 confirmed,
             } => sweep::on_cancel_ended(self, cx, server, id, confirmed),
-            Event::Claim { request, answer } => claim::on_answer(self, cx, request, answer),
+            Event::Claim { request, response } => claim::on_response(self, cx, request, response),
             Event::ClaimReleased { key, confirmed } => {
                 self.releases.on_released(cx.now, &key, confirmed);
             }
@@ -277,7 +279,7 @@
         (version > self.bundle_version()).then_some(vm)
     }
 
-    /// Returns whether an order may be sent under a fencing number now. Drivers
+    /// Returns whether an order may be sent under a fencing token now. Drivers
     /// check this right before sending.
     pub fn may_order(&self, now: Instant, fencing_token: u64) -> bool {
         self.orders.fencing_token(now) == Some(fencing_token)
@@ -295,7 +297,7 @@
     }
 
     /// Records the token count of a prompt of `bytes` bytes.
-    pub fn learn_tokens(&mut self, model: &str, bytes: usize, tokens: Tokens) {
+    pub fn record_prompt_tokens(&mut self, model: &str, bytes: usize, tokens: Tokens) {
         let Some(group) = self.catalog.model_named(model) else {
             return;
         };
@@ -315,8 +317,8 @@
     }
 
     /// Returns the live nodes, in the order in which callers should try them.
-    pub fn live_entries(&mut self) -> Vec<membership::LiveNode> {
-        membership::live_entries(self)
+    pub fn live_nodes(&mut self) -> Vec<membership::LiveNode> {
+        membership::live_nodes(self)
     }
 
     /// Returns the tracker of requests that are suspected of crashing servers.
@@ -350,8 +352,8 @@
     }
 
     /// Returns how long callers may cache the list of nodes.
-    pub fn entries_ttl(&self) -> std::time::Duration {
-        self.cfg.entries_ttl
+    pub fn node_list_ttl(&self) -> std::time::Duration {
+        self.cfg.node_list_ttl
     }
 
     pub(crate) fn policy_kind(&self) -> PolicyKind {
--- a/crates/notchwalk_decide/src/orders.rs
+++ b/crates/notchwalk_decide/src/orders.rs
@@ -1,11 +1,11 @@
 //! Orders to engines: which versions and adapters are loaded. Only the holder
-//! of a lease in the platform's table sends them, under its fencing number.
+//! of a lease in the platform's table sends them, under its fencing token.
 //!
 //! Each node judges the lease by its own monotonic clock, never by times in the
 //! row: a row that stays unchanged for the duration of the lease has expired.
 //! The holder counts from before it sent its renewal, and checks the remaining
-//! time right before each order. Engines that ignore fencing numbers get orders
-//! from a new holder only after the longest pause allowed to the old one.
+//! time right before each order. Engines that ignore fencing tokens get orders
+//! from a new holder only after the longest suspension allowed to the old one.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -58,7 +58,7 @@
     observed: Option<(LeaseRow, Instant)>,
     /// Since when there has been no row.
     absent_since: Option<Instant>,
-    /// The fencing number of the held lease, and its expiry.
+    /// The fencing token of the held lease, and its expiry.
     held: Option<(u64, Instant)>,
     /// Since when the lease has been held.
     held_since: Instant,
@@ -73,7 +73,7 @@
 }
 
 impl Orders {
-    /// Returns the fencing number under which orders may be sent now.
+    /// Returns the fencing token under which orders may be sent now.
     pub fn fencing_token(&self, now: Instant) -> Option<u64> {
         let (fencing_token, until) = self.held?;
         (now < until.before(LEASE_SAFETY_MARGIN)).then_some(fencing_token)
@@ -194,8 +194,9 @@
     let Some(bundle) = node.catalog.bundle.clone() else {
         return;
     };
-    let pause = Duration::from_millis(bundle.policy.max_order_suspension_ms);
-    let pause_elapsed = fencing_token == 1 || cx.now.since(node.orders.held_since) >= pause;
+    let suspension = Duration::from_millis(bundle.policy.max_order_suspension_ms);
+    let suspension_elapsed =
+        fencing_token == 1 || cx.now.since(node.orders.held_since) >= suspension;
     let now = cx.now;
     node.orders
         .in_flight
@@ -218,7 +219,7 @@
         let Some((model, desired)) = next_order(node, now, key, &bundle.models) else {
             continue;
         };
-        if !model.checks_fencing_token && !pause_elapsed {
+        if !model.checks_fencing_token && !suspension_elapsed {
             continue;
         }
         node.orders.in_flight.insert(id, now);
--- a/crates/notchwalk_decide/src/schedule.rs
+++ b/crates/notchwalk_decide/src/schedule.rs
@@ -304,7 +304,7 @@
 }
 
 /// Handles a load poll that was not answered.
-pub(crate) fn on_load_failed(node: &mut Node, cx: &mut Cx<'_>, id: ServerId) {
+pub(crate) fn on_load_poll_failed(node: &mut Node, cx: &mut Cx<'_>, id: ServerId) {
     if let Some(key) = node.servers.key(id) {
         suspects::on_server_unreachable(node, cx, key);
         server_failed(node, cx, key);
--- a/crates/notchwalk_decide/src/sweep.rs
+++ b/crates/notchwalk_decide/src/sweep.rs
@@ -70,7 +70,7 @@
     cx.emit(Effect::Cancel { server, id, up_to });
 }
 
-/// Handles an engine's answer to a cancel.
+/// Handles an engine's response to a cancel.
 pub(crate) fn on_cancel_ended(
     node: &mut Node,
     cx: &mut Cx<'_>,
@@ -190,7 +190,7 @@
             .servers
             .get_or_insert(record.id, record.kind, &record.failure_domain);
         node.servers.arena[key].removed = false;
-        if record.leaving {
+        if record.draining {
             schedule::mark_draining(node, cx, key);
         } else if let ServerKind::Service(name) = kind {
             let loaded = schedule::service_group(node, &name);
--- a/crates/notchwalk_decide/tests/decisions/claims.rs
+++ b/crates/notchwalk_decide/tests/decisions/claims.rs
@@ -1,24 +1,24 @@
 //! Claims: a call with an idempotency key runs at most once.
 
-use crate::common::{dispatches, failures, Rig};
-use notchwalk_decide::{ClaimAnswer, ClaimRow, Effect, Event, FailureCode, RequestKey};
+use crate::common::{dispatches, failures, TestNode};
+use notchwalk_decide::{ClaimResponse, ClaimRow, Effect, Event, FailureCode, RequestKey};
 use notchwalk_wire::ExecutionOutcome;
 
 /// Returns a node with a call that waits for its claim, the request's key and
 /// the claim's token.
-fn claiming_call() -> (Rig, RequestKey, String) {
-    let mut rig = Rig::new(1);
-    rig.call(Some("k"));
-    let found = rig.take().into_iter().find_map(|e| match e {
+fn claiming_call() -> (TestNode, RequestKey, String) {
+    let mut node = TestNode::new(1);
+    node.call(Some("k"));
+    let found = node.take().into_iter().find_map(|e| match e {
         Effect::ClaimInsert { request, token, .. } => Some((request, token)),
         _ => None,
     });
     let (request, token) = found.expect("a claim is written before the call is sent");
-    (rig, request, token)
+    (node, request, token)
 }
 
-fn row(token: &str, done: bool, fingerprint: &str) -> ClaimAnswer {
-    ClaimAnswer::Row(ClaimRow {
+fn row(token: &str, done: bool, fingerprint: &str) -> ClaimResponse {
+    ClaimResponse::Row(ClaimRow {
         token: token.to_owned(),
         done,
         fingerprint: fingerprint.to_owned(),
@@ -27,41 +27,41 @@
 
 #[test]
 fn call_is_sent_only_after_its_claim_is_owned() {
-    let (mut rig, request, token) = claiming_call();
-    assert!(dispatches(&rig.take()).is_empty());
-    let answer = row(&token, false, "f");
-    rig.feed(Event::Claim { request, answer });
-    assert_eq!(dispatches(&rig.take()).len(), 1);
+    let (mut node, request, token) = claiming_call();
+    assert!(dispatches(&node.take()).is_empty());
+    let response = row(&token, false, "f");
+    node.feed(Event::Claim { request, response });
+    assert_eq!(dispatches(&node.take()).len(), 1);
 }
 
 #[test]
 fn unanswered_claim_write_is_read_back() {
-    let (mut rig, request, token) = claiming_call();
-    let answer = ClaimAnswer::NoAnswer;
-    rig.feed(Event::Claim { request, answer });
-    rig.advance(500, 1);
-    let reads = rig.take();
+    let (mut node, request, token) = claiming_call();
+    let response = ClaimResponse::Unanswered;
+    node.feed(Event::Claim { request, response });
+    node.advance(500, 1);
+    let reads = node.take();
     assert!(
         reads.iter().any(|e| matches!(e, Effect::ClaimRead { .. })),
         "{reads:?}"
     );
-    let answer = row(&token, false, "f");
-    rig.feed(Event::Claim { request, answer });
-    assert_eq!(dispatches(&rig.take()).len(), 1);
+    let response = row(&token, false, "f");
+    node.feed(Event::Claim { request, response });
+    assert_eq!(dispatches(&node.take()).len(), 1);
 }
 
 #[test]
 fn unavailable_store_fails_call_as_not_run_and_releases_claim() {
-    let (mut rig, _, _) = claiming_call();
-    rig.advance(4_500, 1);
-    let effects = rig.take();
+    let (mut node, _, _) = claiming_call();
+    node.advance(4_500, 1);
+    let effects = node.take();
     assert!(dispatches(&effects).is_empty());
     let failure = failures(&effects)[0];
     assert_eq!(failure.code, FailureCode::StoreUnavailable);
     assert_eq!(failure.outcome, ExecutionOutcome::NotRun);
-    rig.advance(2_000, 1);
+    node.advance(2_000, 1);
     let released = |e: &Effect| matches!(e, Effect::ClaimRelease { .. });
-    let all = [effects, rig.take()].concat();
+    let all = [effects, node.take()].concat();
     assert!(
         all.iter().any(released),
         "the write may still have taken effect"
@@ -70,15 +70,18 @@
 
 #[test]
 fn second_attempt_finds_existing_claim() {
-    for (answer, expected) in [
+    for (response, expected) in [
         (row("2-9-1", false, "f"), Some(FailureCode::OutcomeUnknown)),
-        (row("2-9-1", false, "other"), Some(FailureCode::KeyReused)),
+        (
+            row("2-9-1", false, "other"),
+            Some(FailureCode::IdempotencyKeyReused),
+        ),
         (row("2-9-1", true, "f"), None),
     ] {
-        let (mut rig, request, _) = claiming_call();
-        rig.feed(Event::Claim { request, answer });
-        rig.advance(1_000, 1);
-        let effects = rig.take();
+        let (mut node, request, _) = claiming_call();
+        node.feed(Event::Claim { request, response });
+        node.advance(1_000, 1);
+        let effects = node.take();
         assert!(
             dispatches(&effects).is_empty(),
             "the call must not run again"
--- a/crates/notchwalk_decide/tests/decisions/common.rs
+++ b/crates/notchwalk_decide/tests/decisions/common.rs
@@ -47,19 +47,19 @@
 }
 
 /// A node under test.
-pub struct Rig {
+pub struct TestNode {
     /// The node.
-    pub node: Node,
+    pub inner: Node,
     /// The current time, in milliseconds.
     pub now_ms: u64,
-    /// The effects since [`Rig::take`] was last called.
+    /// The effects since [`TestNode::take`] was last called.
     pub out: Vec<Effect>,
     /// The content fingerprint of arriving requests.
     pub content: Option<Fingerprint>,
     next_caller: u64,
 }
 
-impl Rig {
+impl TestNode {
     /// Builds a node with a bundle and `engines` idle engines.
     pub fn new(engines: u32) -> Self {
         Self::with_policy(engines, "")
@@ -67,39 +67,39 @@
 
     /// Builds a node with the given policy lines.
     pub fn with_policy(engines: u32, policy: &str) -> Self {
-        let mut rig = Self {
-            node: Node::new(NodeConfig::new(VmId(1), BootNumber(5), "d", 7)),
+        let mut node = Self {
+            inner: Node::new(NodeConfig::new(VmId(1), BootNumber(5), "d", 7)),
             now_ms: 1_000,
             out: Vec::new(),
             content: None,
             next_caller: 0,
         };
         let bundle = Bundle::parse(1, &parts(policy)).expect("a valid bundle");
-        rig.feed(Event::Bundle(Arc::new(bundle)));
-        rig.apply_vm_list(engines, &[]);
-        rig.report_idle(engines);
-        rig.out.clear();
-        rig
+        node.feed(Event::Bundle(Arc::new(bundle)));
+        node.apply_vm_list(engines, &[]);
+        node.report_idle(engines);
+        node.out.clear();
+        node
     }
 
     /// Applies a VM list in which some engines are draining.
-    pub fn apply_vm_list(&mut self, engines: u32, leaving: &[u32]) {
+    pub fn apply_vm_list(&mut self, engines: u32, draining: &[u32]) {
         let mut servers: Vec<_> = (0..engines)
             .map(|id| ServerRecord {
                 id: ServerId(id),
                 kind: ServerKind::Engine,
                 failure_domain: "d".to_owned(),
-                leaving: leaving.contains(&id),
+                draining: draining.contains(&id),
             })
             .collect();
         servers.push(ServerRecord {
             id: ServerId(900),
             kind: ServerKind::Service("s".to_owned()),
             failure_domain: "d".to_owned(),
-            leaving: false,
+            draining: false,
         });
-        let entries = Vec::new();
-        self.feed(Event::VmList { servers, entries });
+        let nodes = Vec::new();
+        self.feed(Event::VmList { servers, nodes });
     }
 
     /// Reports all engines as idle.
@@ -114,7 +114,7 @@
     /// Feeds one event.
     pub fn feed(&mut self, event: Event) {
         let now = Instant::from_millis(self.now_ms);
-        self.node.step(now, event, &mut self.out);
+        self.inner.step(now, event, &mut self.out);
     }
 
     /// Advances time, with a tick every 10 ms and load reports every 500 ms.
@@ -135,7 +135,7 @@
 
     fn arrive(&mut self, work: Work, workspace: u32, priority: u8, timeout_ms: u64) {
         self.next_caller += 1;
-        self.feed(Event::Arrive(Box::new(Arrival {
+        self.feed(Event::Arrival(Box::new(Arrival {
             caller: CallerKey(self.next_caller),
             workspace: WorkspaceKey(workspace),
             work,
--- a/crates/notchwalk_decide/tests/decisions/orders.rs
+++ b/crates/notchwalk_decide/tests/decisions/orders.rs
@@ -6,11 +6,11 @@
 use notchwalk_core::{BootNumber, VmId};
 use notchwalk_decide::{Effect, Event, LeaseRow};
 
-use crate::common::{parts, Rig};
+use crate::common::{parts, TestNode};
 
 /// Builds a node whose bundle names a version that its engine lacks.
-fn rig(checks_fencing_token: bool) -> Rig {
-    let mut rig = Rig::new(1);
+fn node(checks_fencing_token: bool) -> TestNode {
+    let mut node = TestNode::new(1);
     let mut parts = parts("order_pause_ms = 3000\n");
     for part in parts.iter_mut().filter(|p| p.name == PartName::Models) {
         part.text = format!(
@@ -18,9 +18,9 @@
         );
     }
     let bundle = Bundle::parse(2, &parts).expect("a valid bundle");
-    rig.feed(Event::Bundle(Arc::new(bundle)));
-    rig.take();
-    rig
+    node.feed(Event::Bundle(Arc::new(bundle)));
+    node.take();
+    node
 }
 
 fn writes(effects: &[Effect]) -> Vec<(Option<LeaseRow>, LeaseRow)> {
@@ -48,91 +48,91 @@
     }
 }
 
-fn answer(rig: &mut Rig, row: LeaseRow, applied: bool) {
+fn respond(node: &mut TestNode, row: LeaseRow, applied: bool) {
     let row = Some(row);
-    rig.feed(Event::Lease { row, applied });
+    node.feed(Event::Lease { row, applied });
 }
 
 /// Acquires the lease after its holder became silent.
-fn acquire_lease(rig: &mut Rig) -> LeaseRow {
-    answer(rig, row_of_other_node(1), false);
-    rig.advance(5_500, 1);
-    assert!(writes(&rig.take()).is_empty(), "the lease has not expired");
-    rig.advance(3_000, 1);
-    let (expected, row) = writes(&rig.take())[0];
+fn acquire_lease(node: &mut TestNode) -> LeaseRow {
+    respond(node, row_of_other_node(1), false);
+    node.advance(5_500, 1);
+    assert!(writes(&node.take()).is_empty(), "the lease has not expired");
+    node.advance(3_000, 1);
+    let (expected, row) = writes(&node.take())[0];
     assert_eq!(expected, Some(row_of_other_node(1)));
     assert_eq!(row.fencing_token, 5);
-    answer(rig, row, true);
+    respond(node, row, true);
     row
 }
 
 #[test]
 fn renewed_lease_is_not_acquired_by_another_node() {
-    let mut rig = rig(true);
+    let mut node = node(true);
     for renewals in 0..20 {
-        answer(&mut rig, row_of_other_node(renewals), false);
-        rig.advance(2_000, 1);
+        respond(&mut node, row_of_other_node(renewals), false);
+        node.advance(2_000, 1);
     }
-    let effects = rig.take();
+    let effects = node.take();
     assert!(writes(&effects).is_empty());
     assert!(orders(&effects).is_empty());
 }
 
 #[test]
 fn expired_lease_is_acquired_with_higher_fence() {
-    let mut rig = rig(true);
-    acquire_lease(&mut rig);
-    rig.advance(1_000, 1);
-    assert_eq!(orders(&rig.take()), [5]);
+    let mut node = node(true);
+    acquire_lease(&mut node);
+    node.advance(1_000, 1);
+    assert_eq!(orders(&node.take()), [5]);
 }
 
 #[test]
 fn engines_without_fencing_get_orders_only_after_order_pause() {
-    let mut rig = rig(false);
-    let mut row = acquire_lease(&mut rig);
+    let mut node = node(false);
+    let mut row = acquire_lease(&mut node);
     for ms in [1_000, 1_500] {
-        rig.advance(ms, 1);
-        let effects = rig.take();
+        node.advance(ms, 1);
+        let effects = node.take();
         assert!(orders(&effects).is_empty());
         if let Some((_, renewed)) = writes(&effects).last() {
             row = *renewed;
         }
-        answer(&mut rig, row, true);
+        respond(&mut node, row, true);
     }
-    rig.advance(1_500, 1);
-    assert_eq!(orders(&rig.take()), [5]);
+    node.advance(1_500, 1);
+    assert_eq!(orders(&node.take()), [5]);
 }
 
 #[test]
 fn holder_that_cannot_renew_sends_no_orders() {
-    let mut rig = rig(true);
-    acquire_lease(&mut rig);
+    let mut node = node(true);
+    acquire_lease(&mut node);
     // The node is paused or cut off from the store for longer than the lease.
-    rig.now_ms += 7_000;
-    rig.feed(Event::Tick);
-    rig.report_idle(1);
-    rig.advance(2_000, 1);
-    assert!(orders(&rig.take()).is_empty());
-    let now = notchwalk_core::Instant::from_millis(rig.now_ms);
+    node.now_ms += 7_000;
+    node.feed(Event::Tick);
+    node.report_idle(1);
+    node.advance(2_000, 1);
+    assert!(orders(&node.take()).is_empty());
+    let now = notchwalk_core::Instant::from_millis(node.now_ms);
     assert!(
-        !rig.node.may_order(now, 5),
+        !node.inner.may_order(now, 5),
         "an order that is about to be sent is stopped as well"
     );
 }
 
 #[test]
 fn unanswered_renewal_does_not_extend_the_lease() {
-    let mut rig = rig(true);
-    let row = acquire_lease(&mut rig);
-    rig.advance(3_000, 1);
+    let mut node = node(true);
+    let row = acquire_lease(&mut node);
+    node.advance(3_000, 1);
     // The next write fails because an earlier, unanswered one took effect: the
     // row names this node, but the time of the write is unknown.
     let unanswered = LeaseRow {
         renewals: row.renewals + 1,
         ..row
     };
-    answer(&mut rig, unanswered, false);
-    rig.advance(3_500, 1);
-    let now = notchwalk_core::Instant::from_millis(rig.now_ms);
-    assert!(!rig.node.may_order(now, 5));
+    respond(&mut node, unanswered, false);
+    node.advance(3_500, 1);
+    let now = notchwalk_core::Instant::from_millis(node.now_ms);
+    assert!(!node.inner.may_order(now, 5));
 }
--- a/crates/notchwalk_decide/tests/decisions/policy.rs
+++ b/crates/notchwalk_decide/tests/decisions/policy.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use crate::common::{dispatches, failures, parts, Rig};
+use crate::common::{dispatches, failures, parts, TestNode};
 use notchwalk_bundle::Bundle;
 use notchwalk_decide::{Effect, Event, FailureCode};
 
@@ -10,34 +10,38 @@
 const INITIAL_REQUESTS: u64 = 8;
 
 /// Builds a node whose only engine has as many requests as the node may send.
-fn saturated_rig() -> (Rig, Vec<notchwalk_decide::Dispatch>) {
-    let mut rig = Rig::new(1);
+fn saturated_node() -> (TestNode, Vec<notchwalk_decide::Dispatch>) {
+    let mut node = TestNode::new(1);
     for _ in 0..INITIAL_REQUESTS {
-        rig.generate_for(1, 5, 100);
+        node.generate_for(1, 5, 100);
     }
-    let running = dispatches(&rig.take());
+    let running = dispatches(&node.take());
     assert!(
         running.len() < INITIAL_REQUESTS as usize,
         "some requests must be queued"
     );
-    (rig, running)
+    (node, running)
 }
 
 /// Ends running requests one at a time. Returns the sequence numbers of the
 /// next `n` dispatches, without the initial requests.
-fn serve_all(rig: &mut Rig, mut running: Vec<notchwalk_decide::Dispatch>, n: usize) -> Vec<u64> {
+fn serve_all(
+    node: &mut TestNode,
+    mut running: Vec<notchwalk_decide::Dispatch>,
+    n: usize,
+) -> Vec<u64> {
     let mut order = Vec::new();
     while order.len() < n {
         if !running.is_empty() {
             let dispatch = running.remove(0);
-            rig.feed(Event::CallerGone(dispatch.request));
+            node.feed(Event::CallerDisconnected(dispatch.request));
         }
-        rig.advance(10, 1);
-        rig.report_idle(1);
-        let next = dispatches(&rig.take());
+        node.advance(10, 1);
+        node.report_idle(1);
+        let next = dispatches(&node.take());
         for dispatch in &next {
-            let id = rig
-                .node
+            let id = node
+                .inner
                 .request_id(dispatch.request)
                 .expect("the request is open");
             if id.seq > INITIAL_REQUESTS {
@@ -51,13 +55,13 @@
 
 #[test]
 fn higher_priority_goes_first_without_starving_lower() {
-    let (mut rig, running) = saturated_rig();
-    rig.generate_for(0, 1, 100);
+    let (mut node, running) = saturated_node();
+    node.generate_for(0, 1, 100);
     for _ in 0..30 {
-        rig.generate_for(1, 9, 100);
+        node.generate_for(1, 9, 100);
     }
-    rig.take();
-    let order = serve_all(&mut rig, running, 31);
+    node.take();
+    let order = serve_all(&mut node, running, 31);
     assert_eq!(order.len(), 31);
     let low_position = order
         .iter()
@@ -72,13 +76,13 @@
 
 #[test]
 fn service_is_proportional_to_weight() {
-    let (mut rig, running) = saturated_rig();
+    let (mut node, running) = saturated_node();
     for _ in 0..40 {
-        rig.generate_for(0, 5, 100);
-        rig.generate_for(1, 5, 100);
+        node.generate_for(0, 5, 100);
+        node.generate_for(1, 5, 100);
     }
-    rig.take();
-    let order = serve_all(&mut rig, running, 40);
+    node.take();
+    let order = serve_all(&mut node, running, 40);
     // From 9 on, workspace a has the odd sequence numbers and b the even ones.
     let served_of_b = order.iter().filter(|seq| **seq % 2 == 0).count();
     assert!(
@@ -89,61 +93,61 @@
 
 #[test]
 fn older_bundle_is_refused() {
-    let mut rig = Rig::new(1);
+    let mut node = TestNode::new(1);
     let bundle = |version| Arc::new(Bundle::parse(version, &parts("")).expect("valid"));
-    rig.feed(Event::Bundle(bundle(5)));
-    assert_eq!(rig.node.bundle_version(), 5);
-    rig.feed(Event::Bundle(bundle(4)));
-    rig.feed(Event::Bundle(bundle(5)));
-    assert_eq!(rig.node.bundle_version(), 5);
+    node.feed(Event::Bundle(bundle(5)));
+    assert_eq!(node.inner.bundle_version(), 5);
+    node.feed(Event::Bundle(bundle(4)));
+    node.feed(Event::Bundle(bundle(5)));
+    assert_eq!(node.inner.bundle_version(), 5);
 }
 
 #[test]
 fn draining_server_receives_no_new_requests() {
-    let mut rig = Rig::new(2);
-    rig.apply_vm_list(2, &[0]);
+    let mut node = TestNode::new(2);
+    node.apply_vm_list(2, &[0]);
     for _ in 0..6 {
-        rig.generate_for(0, 5, 100);
+        node.generate_for(0, 5, 100);
     }
-    let sent = dispatches(&rig.take());
+    let sent = dispatches(&node.take());
     assert!(!sent.is_empty());
     assert!(sent.iter().all(|d| d.server.0 == 1), "{sent:?}");
 }
 
 #[test]
 fn draining_node_refuses_after_list_ttl_and_stops_only_when_idle() {
-    let mut rig = Rig::new(1);
-    rig.generate(100, 1, 60_000);
-    let effects = rig.take();
+    let mut node = TestNode::new(1);
+    node.generate(100, 1, 60_000);
+    let effects = node.take();
     let dispatch = crate::common::single_dispatch(&effects);
     let (_, id) = crate::common::admitted(&effects);
-    rig.feed(Event::Drain);
-    rig.generate(100, 1, 60_000);
+    node.feed(Event::Drain);
+    node.generate(100, 1, 60_000);
     assert_eq!(
-        dispatches(&rig.take()).len(),
+        dispatches(&node.take()).len(),
         1,
         "callers may still have the address cached"
     );
-    rig.advance(5_100, 1);
-    rig.generate(100, 1, 60_000);
-    assert_eq!(failures(&rig.take())[0].code, FailureCode::Draining);
-    rig.frame(&dispatch, id, 0, 1);
-    rig.complete(&dispatch, 1);
-    rig.advance(100, 1);
+    node.advance(5_100, 1);
+    node.generate(100, 1, 60_000);
+    assert_eq!(failures(&node.take())[0].code, FailureCode::Draining);
+    node.frame(&dispatch, id, 0, 1);
+    node.complete(&dispatch, 1);
+    node.advance(100, 1);
     let stopped = |effects: &[Effect]| effects.contains(&Effect::Stop);
-    assert!(!stopped(&rig.take()), "one request is still open");
-    assert_eq!(rig.node.open_requests(), 1);
+    assert!(!stopped(&node.take()), "one request is still open");
+    assert_eq!(node.inner.open_requests(), 1);
 }
 
 #[test]
 fn same_events_give_same_effects() {
     let run = || {
-        let mut rig = Rig::new(3);
+        let mut node = TestNode::new(3);
         for i in 0..200 {
-            rig.generate_for(i % 2, (i % 9) as u8, 50 + u64::from(i) * 17);
-            rig.advance(20, 3);
+            node.generate_for(i % 2, (i % 9) as u8, 50 + u64::from(i) * 17);
+            node.advance(20, 3);
         }
-        rig.take()
+        node.take()
     };
     let (first, second) = (run(), run());
     assert!(first.len() > 200);
--- a/crates/notchwalk_standin/src/bench/capacity.rs
+++ b/crates/notchwalk_standin/src/bench/capacity.rs
@@ -248,17 +248,17 @@
         id: ServerId(id as u32),
         kind: ServerKind::Engine,
         failure_domain: format!("d{}", id % 3),
-        leaving: false,
+        draining: false,
     });
     let nodes = (0..=peers).map(|id| PeerRecord {
         vm: VmId(id as u32),
         caller_address: "127.0.0.1:1".to_owned(),
         failure_domain: format!("d{}", id % 3),
-        leaving: false,
+        draining: false,
     });
     let vm_list = Event::VmList {
         servers: records.collect(),
-        entries: nodes.collect(),
+        nodes: nodes.collect(),
     };
     node.step(now, vm_list, &mut out);
     let (mut bytes, mut cpu_time) = (0_usize, Duration::ZERO);
--- a/crates/notchwalk_standin/src/bench/leaving.rs
+++ b/crates/notchwalk_standin/src/bench/leaving.rs
@@ -55,7 +55,7 @@
         .with_time_scale(policy::TIME_SCALE);
     let mut fleet = Fleet::start(config);
     let duration = Duration::from_secs(options.seconds.max(8));
-    let ttl = fleet.config.entries_ttl;
+    let ttl = fleet.config.node_list_ttl;
     let planned = plan(options, duration, ttl, fleet.config.entries);
     let started = Instant::now();
     let sending = fleet.start_sending(planned);
--- a/crates/notchwalk_standin/src/bench/steps.rs
+++ b/crates/notchwalk_standin/src/bench/steps.rs
@@ -95,12 +95,12 @@
             id: ServerId(id),
             kind: ServerKind::Engine,
             failure_domain: "d".to_owned(),
-            leaving: false,
+            draining: false,
         });
         let servers = records.collect();
         driver.feed(Event::VmList {
             servers,
-            entries: Vec::new(),
+            nodes: Vec::new(),
         });
         driver.report_loads();
         driver
@@ -144,7 +144,7 @@
             priority: None,
             timeout_ms: Some(3_600_000),
         };
-        self.feed(Event::Arrive(Box::new(arrival)));
+        self.feed(Event::Arrival(Box::new(arrival)));
     }
 
     /// Completes one running request.
--- a/crates/notchwalk_standin/src/fleet.rs
+++ b/crates/notchwalk_standin/src/fleet.rs
@@ -59,7 +59,7 @@
     /// Configuration of the stand-in platform.
     pub platform: PlatformConfig,
     /// How long callers cache the list of nodes.
-    pub entries_ttl: Duration,
+    pub node_list_ttl: Duration,
     /// The program (`notchwalk-standin`) that runs each node as a separate process. If `None`,
     /// nodes are threads of this process.
     pub node_program: Option<PathBuf>,
@@ -89,7 +89,7 @@
             },
             reserve: ReserveMode::TopUp,
             platform: PlatformConfig::default(),
-            entries_ttl: Duration::from_secs(2),
+            node_list_ttl: Duration::from_secs(2),
             node_program: None,
         }
     }
@@ -251,7 +251,7 @@
         let keys = PeerKeys::single(self.peer_key);
         DaemonSettings::new(VmId(vm), failure_domain, listen, self.platform, keys)
             .with_reserve(self.config.reserve)
-            .with_entries_ttl(self.config.entries_ttl)
+            .with_node_list_ttl(self.config.node_list_ttl)
     }
 
     fn settings_text(&self, vm: u32, failure_domain: &str) -> String {
@@ -259,7 +259,7 @@
             "[daemon]\nvm = {vm}\nfailure_domain = {failure_domain}\ncaller_address = 127.0.0.1:0\n\
              peer_address = 127.0.0.1:0\noperator_address = 127.0.0.1:0\n\
              entries_ttl_ms = {}\n[platform]\naddress = {}\n[peers]\nkeys = {}\n",
-            self.config.entries_ttl.as_millis(),
+            self.config.node_list_ttl.as_millis(),
             self.platform,
             self.peer_key.to_hex()
         )
--- a/crates/notchwalk_standin/src/soak/arrivals.rs
+++ b/crates/notchwalk_standin/src/soak/arrivals.rs
@@ -40,7 +40,7 @@
         };
         let deadline_us = self.now_us + timeout_ms * 1_000;
         self.nodes[i].pending_arrival = Some((kind, deadline_us));
-        self.feed(i, boot, Event::Arrive(Box::new(arrival)));
+        self.feed(i, boot, Event::Arrival(Box::new(arrival)));
     }
 
     fn random_generation(&mut self) -> (RequestKind, Work) {
--- a/crates/notchwalk_standin/src/soak/delivery.rs
+++ b/crates/notchwalk_standin/src/soak/delivery.rs
@@ -2,7 +2,7 @@
 //! claims and peer messages, each with random failures.
 
 use notchwalk_core::{Attempt, RequestId, ServerId, VmId};
-use notchwalk_decide::{AttemptEnd, ClaimAnswer, ClaimRow, Dispatch, Event, RequestKey};
+use notchwalk_decide::{AttemptEnd, ClaimResponse, ClaimRow, Dispatch, Event, RequestKey};
 use notchwalk_wire::PeerMessage;
 use rand::Rng;
 
@@ -272,7 +272,7 @@
                 done: false,
                 fingerprint,
             };
-            return self.send_claim_answer(i, boot, request, ClaimAnswer::Row(row));
+            return self.send_claim_response(i, boot, request, ClaimResponse::Row(row));
         }
         let delay_us = self.random_delay_us();
         self.schedule_after(delay_us, move |w| {
@@ -285,27 +285,27 @@
                         w.claims.insert(&key, &token, &fingerprint)
                     });
                 }
-                return w.send_claim_answer(i, boot, request, ClaimAnswer::NoAnswer);
+                return w.send_claim_response(i, boot, request, ClaimResponse::Unanswered);
             }
             w.claims.insert(&key, &token, &fingerprint);
-            let answer = match w.chance(15) {
-                true => ClaimAnswer::NoAnswer,
+            let response = match w.chance(15) {
+                true => ClaimResponse::Unanswered,
                 false => w.claims.read(&key),
             };
-            w.send_claim_answer(i, boot, request, answer);
+            w.send_claim_response(i, boot, request, response);
         });
     }
 
-    pub(super) fn send_claim_answer(
+    pub(super) fn send_claim_response(
         &mut self,
         i: usize,
         boot: u64,
         request: RequestKey,
-        answer: ClaimAnswer,
+        response: ClaimResponse,
     ) {
         let delay_us = self.random_delay_us();
         self.schedule_after(delay_us, move |w| {
-            w.feed(i, boot, Event::Claim { request, answer })
+            w.feed(i, boot, Event::Claim { request, response })
         });
     }
 
--- a/crates/notchwalk_standin/src/soak/fakes.rs
+++ b/crates/notchwalk_standin/src/soak/fakes.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 use notchwalk_core::{Attempt, RequestId, Tokens};
-use notchwalk_decide::{ClaimAnswer, ClaimRow};
+use notchwalk_decide::{ClaimResponse, ClaimRow};
 use notchwalk_wire::{Allocation, LoadReport, LoadedModel};
 
 /// Memory reserved on a fake engine for one attempt.
@@ -157,10 +157,10 @@
     }
 
     /// Reads a claim.
-    pub fn read(&self, key: &str) -> ClaimAnswer {
+    pub fn read(&self, key: &str) -> ClaimResponse {
         match self.rows.get(key) {
-            Some(row) => ClaimAnswer::Row(row.clone()),
-            None => ClaimAnswer::NoRow,
+            Some(row) => ClaimResponse::Row(row.clone()),
+            None => ClaimResponse::NoRow,
         }
     }
 }
--- a/crates/notchwalk_standin/src/soak/world.rs
+++ b/crates/notchwalk_standin/src/soak/world.rs
@@ -8,7 +8,7 @@
 use notchwalk_bundle::Bundle;
 use notchwalk_core::{Attempt, BootNumber, Instant, RequestId, ServerId, VmId};
 use notchwalk_decide::{
-    ClaimAnswer, Dispatch, Effect, Event, Node, NodeConfig, PeerRecord, RequestKey, ServerKind,
+    ClaimResponse, Dispatch, Effect, Event, Node, NodeConfig, PeerRecord, RequestKey, ServerKind,
     ServerRecord,
 };
 use rand::{Rng, SeedableRng};
@@ -302,7 +302,7 @@
                 id: ServerId(id as u32),
                 kind: ServerKind::Engine,
                 failure_domain: format!("d{}", id % 3),
-                leaving: lagged(engine.draining_since_us),
+                draining: lagged(engine.draining_since_us),
             });
         }
         for id in 0..SERVICE_COUNT {
@@ -310,7 +310,7 @@
                 id: ServerId(FIRST_SERVICE_ID + id),
                 kind: ServerKind::Service("s".to_owned()),
                 failure_domain: "d0".to_owned(),
-                leaving: false,
+                draining: false,
             });
         }
         let live = self
@@ -318,14 +318,14 @@
             .iter()
             .enumerate()
             .filter(|(_, slot)| !lagged(slot.down_since_us));
-        let entries = live.map(|(id, _)| PeerRecord {
+        let nodes = live.map(|(id, _)| PeerRecord {
             vm: VmId(id as u32),
             caller_address: format!("entry-{id}"),
             failure_domain: format!("d{}", id % 3),
-            leaving: false,
+            draining: false,
         });
-        let entries = entries.collect();
-        self.feed(i, boot, Event::VmList { servers, entries });
+        let nodes = nodes.collect();
+        self.feed(i, boot, Event::VmList { servers, nodes });
     }
 
     fn send_load_reports(&mut self, i: usize, boot: u64) {
@@ -333,7 +333,7 @@
             let engine = &self.engines[id];
             let server = ServerId(id as u32);
             let event = match engine.crashed || engine.hung {
-                true => Event::LoadFailed(server),
+                true => Event::LoadPollFailed(server),
                 false => Event::Load {
                     server,
                     report: Box::new(engine.load_report()),
@@ -464,11 +464,11 @@
                 let delay_us = self.random_delay_us();
                 self.schedule_after(delay_us, move |w| {
                     let lost = w.claims.unavailable || w.chance(5);
-                    let answer = match lost {
-                        true => ClaimAnswer::NoAnswer,
+                    let response = match lost {
+                        true => ClaimResponse::Unanswered,
                         false => w.claims.read(&key),
                     };
-                    w.send_claim_answer(i, boot, request, answer);
+                    w.send_claim_response(i, boot, request, response);
                 });
             }
             Effect::ClaimRelease { key, token, .. } => {
@@ -504,7 +504,7 @@
         if self.chance(4) {
             let (boot, wait_us) = (self.nodes[i].boot, self.rng.random_range(0..2_000_000));
             self.schedule_after(wait_us, move |w| {
-                w.feed(i, boot, Event::CallerGone(request))
+                w.feed(i, boot, Event::CallerDisconnected(request))
             });
         }
     }
--- a/crates/notchwalkd/src/api_error.rs
+++ b/crates/notchwalkd/src/api_error.rs
@@ -134,7 +134,7 @@
             "draining",
             "this entry is stopping; use another",
         ),
-        Code::EntryFull => (
+        Code::NodeFull => (
             TOO_MANY,
             "entry_full",
             "this entry holds as many requests as it may",
@@ -175,7 +175,7 @@
             "store_unavailable",
             "the call could not be claimed, so it was not sent",
         ),
-        Code::StillRunning => (
+        Code::CallInProgress => (
             StatusCode::CONFLICT,
             "still_running",
             "a call with this idempotency key still runs",
@@ -185,7 +185,7 @@
             "outcome_unknown",
             "a call with this idempotency key was made; its outcome can't be told",
         ),
-        Code::KeyReused => (
+        Code::IdempotencyKeyReused => (
             StatusCode::UNPROCESSABLE_ENTITY,
             "idempotency_key_reused",
             "the idempotency key was used for a different request",
@@ -200,7 +200,7 @@
             "quarantined",
             "servers that ran this request ended under it; it is sent to none",
         ),
-        Code::CallerGone => (
+        Code::CallerDisconnected => (
             StatusCode::REQUEST_TIMEOUT,
             "caller_gone",
             "the caller went away or reads too slowly",
--- a/crates/notchwalkd/src/caller_api.rs
+++ b/crates/notchwalkd/src/caller_api.rs
@@ -84,7 +84,7 @@
     fn entries(&self) -> NodeList {
         let (live_nodes, ttl) = self
             .shell
-            .with_node(|node| (node.live_entries(), node.entries_ttl()));
+            .with_node(|node| (node.live_nodes(), node.node_list_ttl()));
         let entries = live_nodes.into_iter().map(|node| NodeInfo {
             address: node.caller_address,
             failure_domain: node.failure_domain,
--- a/crates/notchwalkd/src/claim_writer.rs
+++ b/crates/notchwalkd/src/claim_writer.rs
@@ -3,7 +3,7 @@
 
 use std::{rc::Rc, time::Duration};
 
-use notchwalk_decide::{ClaimAnswer, ClaimRow, Event, RequestKey};
+use notchwalk_decide::{ClaimResponse, ClaimRow, Event, RequestKey};
 use notchwalk_wire::{Condition, Row, TableOp, TableRead, TableTransaction};
 
 use crate::{
@@ -90,11 +90,11 @@
     let shell = shell.clone();
     notchwalk_http::spawn(async move {
         let read = shell.platform.read(TableRead { keys: vec![key] }).await;
-        let answer = match read {
-            Ok(response) => claim_answer(response.rows.into_iter().next().flatten()),
-            Err(_) => ClaimAnswer::NoAnswer,
+        let response = match read {
+            Ok(response) => claim_response(response.rows.into_iter().next().flatten()),
+            Err(_) => ClaimResponse::Unanswered,
         };
-        shell.step(Event::Claim { request, answer });
+        shell.step(Event::Claim { request, response });
     });
 }
 
@@ -153,8 +153,8 @@
         let row = rows.as_ref().map(|rows| rows.get(i).cloned().flatten());
         match write.after {
             AfterWrite::ReportClaim(request) => {
-                let answer = row.map_or(ClaimAnswer::NoAnswer, claim_answer);
-                shell.step(Event::Claim { request, answer });
+                let response = row.map_or(ClaimResponse::Unanswered, claim_response);
+                shell.step(Event::Claim { request, response });
             }
             AfterWrite::RetryOutcome { attempts_left } if row.is_err() && attempts_left > 1 => {
                 let after = AfterWrite::RetryOutcome {
@@ -183,17 +183,17 @@
     push(&shell, write);
 }
 
-fn claim_answer(row: Option<Row>) -> ClaimAnswer {
+fn claim_response(row: Option<Row>) -> ClaimResponse {
     let Some(row) = row else {
-        return ClaimAnswer::NoRow;
+        return ClaimResponse::NoRow;
     };
     match serde_json::from_str::<ClaimValue>(&row.value) {
-        Ok(value) => ClaimAnswer::Row(ClaimRow {
+        Ok(value) => ClaimResponse::Row(ClaimRow {
             token: value.token,
             done: value.outcome.is_some(),
             fingerprint: value.fingerprint,
         }),
-        Err(_) => ClaimAnswer::NoAnswer,
+        Err(_) => ClaimResponse::Unanswered,
     }
 }
 
--- a/crates/notchwalkd/src/completions.rs
+++ b/crates/notchwalkd/src/completions.rs
@@ -232,7 +232,7 @@
     }
 
     fn report_disconnect(&self) {
-        self.shell.step(Event::CallerGone(self.request));
+        self.shell.step(Event::CallerDisconnected(self.request));
     }
 
     async fn send_complete(&mut self, exchange: &mut Exchange) -> Result<(), ApiFailure> {
--- a/crates/notchwalkd/src/engine_driver.rs
+++ b/crates/notchwalkd/src/engine_driver.rs
@@ -4,7 +4,7 @@
 
 use http::{Method, StatusCode};
 use notchwalk_core::{Attempt, RequestId, ServerId};
-use notchwalk_decide::{AttemptEnd, Dispatch, Event, RequestKey, SegmentOrder};
+use notchwalk_decide::{AttemptEnd, Dispatch, Event, RequestKey, SegmentPrefill};
 use notchwalk_http::prelude::*;
 use notchwalk_wire::{
     Allocations, CancelRequest, CancelResponse, EngineFinish, EngineFrame, EngineRejection,
@@ -161,7 +161,9 @@
     finish: EngineFinish,
 ) -> AttemptEnd {
     if let Some(bytes) = payload.text_bytes {
-        shell.with_node(|node| node.learn_tokens(&payload.model, bytes, finish.prompt_tokens));
+        shell.with_node(|node| {
+            node.record_prompt_tokens(&payload.model, bytes, finish.prompt_tokens)
+        });
     }
     shell.set_finish_reason(request, finish.reason);
     AttemptEnd::Complete {
@@ -182,18 +184,22 @@
 
 /// Requests the prefill of one segment of a long prompt and reports the result to
 /// the reducer.
-pub async fn prefill_segment(shell: Rc<Shell>, order: SegmentOrder, payload: Rc<GeneratePayload>) {
-    let event = match request_segment(&shell, &order, &payload).await {
+pub async fn prefill_segment(
+    shell: Rc<Shell>,
+    segment: SegmentPrefill,
+    payload: Rc<GeneratePayload>,
+) {
+    let event = match request_segment(&shell, &segment, &payload).await {
         Ok(response) => {
-            shell.add_ticket(order.request, response.ticket);
+            shell.add_ticket(segment.request, response.ticket);
             Event::SegmentReady {
-                request: order.request,
-                attempt: order.attempt,
+                request: segment.request,
+                attempt: segment.attempt,
             }
         }
         Err(end) => Event::AttemptEnded {
-            request: order.request,
-            attempt: order.attempt,
+            request: segment.request,
+            attempt: segment.attempt,
             end,
         },
     };
@@ -202,23 +208,23 @@
 
 async fn request_segment(
     shell: &Rc<Shell>,
-    order: &SegmentOrder,
+    segment: &SegmentPrefill,
     payload: &GeneratePayload,
 ) -> Result<SegmentResponse, AttemptEnd> {
     let addr = shell
-        .server_address(order.server)
+        .server_address(segment.server)
         .ok_or(AttemptEnd::NotSent)?;
-    let id = shell.with_node(|node| node.request_id(order.request));
+    let id = shell.with_node(|node| node.request_id(segment.request));
     let body = SegmentRequest {
         request: id.ok_or(AttemptEnd::NotSent)?,
-        attempt: order.attempt,
+        attempt: segment.attempt,
         model: payload.model.clone(),
-        from: order.from,
-        to: order.to,
-        imports: shell.tickets(order.request),
+        from: segment.from,
+        to: segment.to,
+        imports: shell.tickets(segment.request),
     };
     let req = OutgoingRequest::new(Method::POST, "/v1/kv/prefill").with_json(&body);
-    let timeout = Duration::from_millis(order.timeout_ms);
+    let timeout = Duration::from_millis(segment.timeout_ms);
     let sent = shell
         .client
         .send(addr, req, timeout, MAX_RESPONSE_BYTES)
--- a/crates/notchwalkd/src/engine_poll.rs
+++ b/crates/notchwalkd/src/engine_poll.rs
@@ -32,7 +32,7 @@
                 server,
                 report: Box::new(report),
             },
-            None => Event::LoadFailed(server),
+            None => Event::LoadPollFailed(server),
         });
         polls = polls.wrapping_add(1);
         if polls % LOAD_POLLS_PER_CACHE_POLL == 0 {
--- a/crates/notchwalkd/src/service_proxy.rs
+++ b/crates/notchwalkd/src/service_proxy.rs
@@ -260,7 +260,7 @@
                     monoio::select! {
                         event = self.rx.recv() => event,
                         () = disconnected => {
-                            self.shell.step(Event::CallerGone(self.request));
+                            self.shell.step(Event::CallerDisconnected(self.request));
                             exchange.abort();
                             return Ok(());
                         }
--- a/crates/notchwalkd/src/settings.rs
+++ b/crates/notchwalkd/src/settings.rs
@@ -34,7 +34,7 @@
     /// Shared keys that authenticate peers.
     pub peer_keys: PeerKeys,
     /// How long callers may cache the list of nodes.
-    pub entries_ttl: Duration,
+    pub node_list_ttl: Duration,
     /// Maximum size of a completion request body, in bytes.
     pub max_body_bytes: usize,
     /// Maximum number of concurrent connections of each HTTP listener.
@@ -60,7 +60,7 @@
             listen,
             platform,
             peer_keys,
-            entries_ttl: Duration::from_secs(5),
+            node_list_ttl: Duration::from_secs(5),
             max_body_bytes: 64 << 20,
             max_connections: 20_000,
             max_unread_bytes: 1 << 20,
@@ -75,8 +75,8 @@
     }
 
     /// Sets how long callers may cache the list of nodes.
-    pub fn with_entries_ttl(mut self, ttl: Duration) -> Self {
-        self.entries_ttl = ttl;
+    pub fn with_node_list_ttl(mut self, ttl: Duration) -> Self {
+        self.node_list_ttl = ttl;
         self
     }
 
@@ -106,7 +106,7 @@
     let caller = daemon.required::<SocketAddr>("caller_address");
     let peer = daemon.required::<SocketAddr>("peer_address");
     let operator = daemon.required::<SocketAddr>("operator_address");
-    let entries_ttl_ms = daemon.in_range("entries_ttl_ms", 5_000, 100, 600_000);
+    let node_list_ttl_ms = daemon.in_range("entries_ttl_ms", 5_000, 100, 600_000);
     let platform = ini.section("platform").required::<SocketAddr>("address");
     let peers = ini.section("peers");
     let keys = peers.list("keys");
@@ -133,7 +133,7 @@
         platform?,
         peer_keys.ok()?,
     );
-    settings.entries_ttl = Duration::from_millis(entries_ttl_ms);
+    settings.node_list_ttl = Duration::from_millis(node_list_ttl_ms);
     settings.max_body_bytes = max_body_bytes;
     settings.max_connections = max_connections;
     settings.max_unread_bytes = max_unread_bytes;
--- a/crates/notchwalkd/src/shell.rs
+++ b/crates/notchwalkd/src/shell.rs
@@ -116,7 +116,7 @@
             boot.0 ^ u64::from(settings.vm.0),
         );
         cfg = cfg
-            .with_entries_ttl(settings.entries_ttl)
+            .with_node_list_ttl(settings.node_list_ttl)
             .with_reserve(settings.reserve);
         let clock = Clock::new();
         Rc::new(Self {
@@ -223,7 +223,7 @@
             tickets: Vec::new(),
             finish_reason: None,
         });
-        self.step(Event::Arrive(Box::new(build(caller))));
+        self.step(Event::Arrival(Box::new(build(caller))));
         self.submitted.borrow_mut().take();
         if let Some(failure) = self.refusal.borrow_mut().take() {
             return Err(failure);
@@ -245,7 +245,7 @@
         *self.frame_tokens.borrow_mut() = frame.tokens;
         self.step(event);
         if self.unread_bytes(request) > self.settings.max_unread_bytes {
-            self.step(Event::CallerGone(request));
+            self.step(Event::CallerDisconnected(request));
         }
     }
 
--- a/crates/notchwalkd/src/vm_watch.rs
+++ b/crates/notchwalkd/src/vm_watch.rs
@@ -54,11 +54,11 @@
     records: Vec<VmRecord>,
 ) -> bool {
     let mut servers = Vec::new();
-    let mut entries = Vec::new();
+    let mut nodes = Vec::new();
     let mut addresses = HashMap::new();
     let mut peers = HashMap::new();
     for record in records {
-        let leaving = record.state == VmState::Draining;
+        let draining = record.state == VmState::Draining;
         let Ok(address) = record.address.parse() else {
             continue;
         };
@@ -68,11 +68,11 @@
                 if let Ok(peer_address) = peer_address.parse() {
                     peers.insert(vm, peer_address);
                 }
-                entries.push(PeerRecord {
+                nodes.push(PeerRecord {
                     vm,
                     caller_address: record.address,
                     failure_domain: record.failure_domain,
-                    leaving,
+                    draining,
                 });
                 continue;
             }
@@ -85,14 +85,14 @@
             id,
             kind,
             failure_domain: record.failure_domain,
-            leaving,
+            draining,
         });
     }
     let engines = servers.iter().filter(|s| s.kind == ServerKind::Engine);
     let engines: Vec<ServerId> = engines.map(|s| s.id).collect();
     let has_servers = !servers.is_empty();
     shell.set_server_addresses(addresses);
-    shell.step(Event::VmList { servers, entries });
+    shell.step(Event::VmList { servers, nodes });
     peers.remove(&shell.vm());
     peer_link::sync_links(shell, peers);
     for id in engines {
