--- a/crates/notchwalk_standin/src/bench/leaving.rs
+++ b/crates/notchwalk_standin/src/bench/leaving.rs
@@ -74,7 +74,7 @@
             let node = fleet.daemons[STOPPED_NODE]
                 .take()
                 .expect("node is not running");
-            node.stop();
+            node.drain();
             let _ = node.join();
             stopped_at.elapsed().as_secs_f64()
         }
--- a/crates/notchwalk_standin/src/fleet.rs
+++ b/crates/notchwalk_standin/src/fleet.rs
@@ -450,7 +450,7 @@
     /// Panics if a node's thread panicked.
     pub fn stop(&mut self) {
         for node in self.daemons.iter().flatten() {
-            node.stop();
+            node.drain();
         }
         for node in self.daemons.iter_mut() {
             if let Some(node) = node.take() {
--- a/crates/notchwalk_standin/src/node.rs
+++ b/crates/notchwalk_standin/src/node.rs
@@ -96,9 +96,9 @@
     }
 
     /// Starts a graceful shutdown.
-    pub fn stop(&self) {
+    pub fn drain(&self) {
         match &self.kind {
-            Kind::Thread(node) => node.stop(),
+            Kind::Thread(node) => node.drain(),
             Kind::Process(_) => self.signal(Signal::TERM),
         }
     }
--- a/crates/notchwalk_standin/tests/processes.rs
+++ b/crates/notchwalk_standin/tests/processes.rs
@@ -102,7 +102,7 @@
         };
         fleet.set_platform_fault(down);
         let daemon = fleet.daemons[3].take().expect("the daemon is running");
-        daemon.stop();
+        daemon.drain();
         assert!(daemon.join(), "the drained daemon must exit successfully");
         std::thread::sleep(Duration::from_secs(2));
         fleet.set_platform_fault(PlatformFault::default());
--- a/crates/notchwalkd/src/caller_api.rs
+++ b/crates/notchwalkd/src/caller_api.rs
@@ -55,8 +55,8 @@
         }
         match path.as_str() {
             "/v1/entries" => {
-                let nodes = self.entries();
-                respond(exchange, &nodes).await;
+                let list = self.node_list();
+                respond(exchange, &list).await;
             }
             "/v1/models" => {
                 let caller = self.caller(exchange)?;
@@ -81,16 +81,16 @@
         authenticate(bundle.as_ref(), exchange)
     }
 
-    fn entries(&self) -> NodeList {
+    fn node_list(&self) -> NodeList {
         let (live_nodes, ttl) = self
             .shell
             .with_node(|node| (node.live_nodes(), node.node_list_ttl()));
-        let entries = live_nodes.into_iter().map(|node| NodeInfo {
+        let nodes = live_nodes.into_iter().map(|node| NodeInfo {
             address: node.caller_address,
             failure_domain: node.failure_domain,
         });
         NodeList {
-            nodes: entries.collect(),
+            nodes: nodes.collect(),
             ttl_s: ttl.as_secs().max(1),
         }
     }
--- a/crates/notchwalkd/src/daemon.rs
+++ b/crates/notchwalkd/src/daemon.rs
@@ -153,7 +153,7 @@
 
 impl RunningDaemon {
     /// Starts the drain; the daemon stops once it is done.
-    pub fn stop(&self) {
+    pub fn drain(&self) {
         self.signals.stop.store(true, Ordering::Relaxed);
     }
 
--- a/crates/notchwalkd/src/engine_driver.rs
+++ b/crates/notchwalkd/src/engine_driver.rs
@@ -61,15 +61,15 @@
         Ok(response) if response.status == StatusCode::OK => {
             read_frames(shell, dispatch.request, payload, response).await
         }
-        Ok(response) => read_refusal(response).await,
+        Ok(response) => read_rejection(response).await,
         Err(e) if e.is_unsent() => AttemptEnd::NotSent,
         Err(_) => AttemptEnd::Broken,
     }
 }
 
 /// Reads a response that isn't a stream. The attempt counts as refused only if the
-/// body is an explicit refusal.
-async fn read_refusal(response: StreamedResponse) -> AttemptEnd {
+/// body is an explicit rejection.
+async fn read_rejection(response: StreamedResponse) -> AttemptEnd {
     let Ok(body) = response.collect(MAX_RESPONSE_BYTES).await else {
         return AttemptEnd::Broken;
     };
