--- a/crates/notchwalk_standin/src/bench/bundle.rs
+++ b/crates/notchwalk_standin/src/bench/bundle.rs
@@ -55,7 +55,7 @@
 
 /// Returns the bundle version in force on a node and how long it has been in force.
 fn in_force(fleet: &Fleet, operator: SocketAddr) -> (u64, Duration) {
-    let dump: serde_json::Value = fleet.read(operator, "/dump");
+    let dump: serde_json::Value = fleet.get_json(operator, "/dump");
     let version = dump["bundle_version"].as_u64().unwrap_or(0);
     let age = dump["bundle_age_ms"].as_u64().unwrap_or(0);
     (version, Duration::from_millis(age))
@@ -63,7 +63,7 @@
 
 fn operators(fleet: &Fleet) -> Vec<SocketAddr> {
     fleet
-        .daemons
+        .nodes
         .iter()
         .flatten()
         .map(|d| d.addresses.operator)
@@ -116,7 +116,7 @@
 fn measure_changes() -> (f64, u64) {
     let config = FleetConfig::new(policy::workspaces())
         .with_sizes(6, 2, 0)
-        .with_entry_program(policy::this_program());
+        .with_node_program(policy::this_program());
     let mut fleet = Fleet::start(config);
     let (mut worst, reversions) = (0.0_f64, AtomicU64::new(0));
     let mut i = 0;
@@ -141,9 +141,9 @@
             stop.store(true, Ordering::Relaxed);
         });
         if i < CHANGES {
-            let node_range = fleet.daemons.len() - 1;
-            fleet.kill_daemon(i % node_range);
-            fleet.start_daemon(i % node_range);
+            let node_range = fleet.nodes.len() - 1;
+            fleet.kill_node(i % node_range);
+            fleet.start_node(i % node_range);
         }
     }
     (worst, reversions.into_inner())
@@ -181,10 +181,10 @@
     let named = (0..LARGE_WORKSPACES).map(|i| WorkspaceSpec::new(&format!("workspace-{i}"), 1.0));
     let config = FleetConfig::new(named.collect())
         .with_sizes(6, 1, 0)
-        .with_entry_program(policy::this_program());
+        .with_node_program(policy::this_program());
     let fleet = Fleet::start(config);
     let fetched_bytes = || {
-        let text = fleet.read_text(operators(&fleet)[0], "/metrics");
+        let text = fleet.get_text(operators(&fleet)[0], "/metrics");
         let name = "notchwalk_bundle_bytes_total ";
         let line = text.lines().find_map(|l| l.strip_prefix(name));
         line.and_then(|n| n.parse::<f64>().ok()).unwrap_or(0.0)
--- a/crates/notchwalk_standin/src/bench/capacity.rs
+++ b/crates/notchwalk_standin/src/bench/capacity.rs
@@ -374,13 +374,13 @@
 
 /// Measures an idle fleet of six nodes and twenty engines.
 fn measure_idle_fleet(options: &BenchOptions) -> IdleFleet {
-    let config = FleetConfig::new(policy::workspaces()).with_entry_program(policy::this_program());
+    let config = FleetConfig::new(policy::workspaces()).with_node_program(policy::this_program());
     let fleet = Fleet::start(config);
-    let node = fleet.daemons[0].as_ref().expect("node is not running");
+    let node = fleet.nodes[0].as_ref().expect("node is not running");
     let pid = node.process_id().expect("node is not a process");
     let operator = node.addresses.operator;
     let bytes = || {
-        let text = fleet.read_text(operator, "/metrics");
+        let text = fleet.get_text(operator, "/metrics");
         let line = text
             .lines()
             .find(|l| l.starts_with("notchwalk_peer_bytes_total "));
--- a/crates/notchwalk_standin/src/bench/fair.rs
+++ b/crates/notchwalk_standin/src/bench/fair.rs
@@ -6,7 +6,7 @@
 use super::{policy, rounded, BenchOptions, Metrics};
 use crate::{
     fleet::Fleet,
-    workload::{run_closed, ClosedCaller, ClosedResult},
+    workload::{run_closed_loop, ClosedLoopCaller, ClosedLoopResult},
 };
 
 /// Index of the workspace that floods the fleet with long prompts.
@@ -48,7 +48,7 @@
     metrics
 }
 
-fn callers(fleet: &Fleet, options: &BenchOptions, flood: bool) -> Vec<ClosedCaller> {
+fn callers(fleet: &Fleet, options: &BenchOptions, flood: bool) -> Vec<ClosedLoopCaller> {
     let mut callers = Vec::new();
     for workspace in 0..fleet.config.bundle.workspaces.len() {
         let is_flooding = workspace == FLOODING_WORKSPACE;
@@ -61,10 +61,10 @@
         };
         for i in 0..count {
             let node_offset = if i % OTHER_NODE_EVERY == 0 { i } else { 0 };
-            callers.push(ClosedCaller {
+            callers.push(ClosedLoopCaller {
                 workspace,
-                entry: workspace + node_offset,
-                stream: policy::stream(0.0, prompts, (4, 8)),
+                node: workspace + node_offset,
+                traffic: policy::traffic(0.0, prompts, (4, 8)),
                 stop: Vec::new(),
                 seed: options.seed * 1_000_003 + (workspace * 1_000 + i) as u64,
             });
@@ -80,7 +80,7 @@
     let duration = WARM_UP + Duration::from_secs(options.seconds);
     let callers = callers(&fleet, options, flood);
     let model = &fleet.config.bundle.model;
-    let results = run_closed(&fleet.entries(), &keys, model, callers, duration);
+    let results = run_closed_loop(&fleet.caller_addrs(), &keys, model, callers, duration);
     let mut served = vec![0.0; keys.len()];
     for result in &results {
         if is_counted(result) {
@@ -90,7 +90,7 @@
     served.iter().map(|n| n / options.seconds as f64).collect()
 }
 
-fn is_counted(result: &ClosedResult) -> bool {
+fn is_counted(result: &ClosedLoopResult) -> bool {
     result.first_token_at.is_some_and(|at| at >= WARM_UP)
 }
 
--- a/crates/notchwalk_standin/src/bench/leaving.rs
+++ b/crates/notchwalk_standin/src/bench/leaving.rs
@@ -6,7 +6,7 @@
 use crate::{
     caller::CallEnd,
     fleet::{Fleet, FleetConfig},
-    workload::{Measured, PlannedCall},
+    workload::{MeasuredCall, PlannedCall},
 };
 
 /// When the engines start draining, as a fraction of the run.
@@ -51,14 +51,14 @@
 fn measure(options: &BenchOptions, drain: bool) -> Outcome {
     let config = FleetConfig::new(policy::workspaces())
         .with_sizes(6, 12, 0)
-        .with_entry_program(policy::this_program())
+        .with_node_program(policy::this_program())
         .with_time_scale(policy::TIME_SCALE);
     let mut fleet = Fleet::start(config);
     let duration = Duration::from_secs(options.seconds.max(8));
     let ttl = fleet.config.node_list_ttl;
-    let planned = plan(options, duration, ttl, fleet.config.entries);
+    let planned = plan(options, duration, ttl, fleet.config.nodes);
     let started = Instant::now();
-    let sending = fleet.start_sending(planned);
+    let sending = fleet.start_send(planned);
     sleep_until(started, duration.mul_f64(DRAIN_AT));
     let drained_at = Instant::now();
     fleet.post_control(
@@ -71,7 +71,7 @@
     let stopped_at = Instant::now();
     let stop_took_s = match drain {
         true => {
-            let node = fleet.daemons[STOPPED_NODE]
+            let node = fleet.nodes[STOPPED_NODE]
                 .take()
                 .expect("node is not running");
             node.drain();
@@ -79,7 +79,7 @@
             stopped_at.elapsed().as_secs_f64()
         }
         false => {
-            fleet.kill_daemon(STOPPED_NODE);
+            fleet.kill_node(STOPPED_NODE);
             0.0
         }
     };
@@ -109,8 +109,8 @@
     ttl: Duration,
     nodes: usize,
 ) -> Vec<PlannedCall> {
-    let short = policy::stream(60.0, (1_000, 8_000), (20, 120));
-    let long = policy::stream(2.0, (30_000, 90_000), (40, 160));
+    let short = policy::traffic(60.0, (1_000, 8_000), (20, 120));
+    let long = policy::traffic(2.0, (30_000, 90_000), (40, 160));
     let all: Vec<usize> = (0..10).collect();
     let mut planned = short.plan(options.seed, duration, &all, nodes);
     planned.extend(long.plan(options.seed + 1, duration, &all, nodes));
@@ -118,15 +118,15 @@
     let list_expired = duration.mul_f64(STOP_AT) + ttl - SAFETY_MARGIN;
     for call in planned
         .iter_mut()
-        .filter(|c| c.at > list_expired && c.entry == STOPPED_NODE)
+        .filter(|c| c.at > list_expired && c.node == STOPPED_NODE)
     {
-        call.entry = STOPPED_NODE + 1;
+        call.node = STOPPED_NODE + 1;
     }
     policy::with_timeout(planned, TIMEOUT)
 }
 
-fn is_cut_off(measured: &Measured) -> bool {
-    measured.result.end != CallEnd::Whole
+fn is_cut_off(measured: &MeasuredCall) -> bool {
+    measured.result.end != CallEnd::Complete
 }
 
 /// Returns how long after the start of its draining an engine last received new work, in
--- a/crates/notchwalk_standin/src/bench/lengths.rs
+++ b/crates/notchwalk_standin/src/bench/lengths.rs
@@ -7,7 +7,7 @@
 use crate::{
     fleet::Fleet,
     report::{class_of, Durations},
-    workload::{Measured, PlannedCall},
+    workload::{MeasuredCall, PlannedCall},
 };
 
 /// Offered load as a fraction of the fleet's prefill capacity.
@@ -68,10 +68,10 @@
         + policy::mean_prompt(LONG_PROMPT) * LONG_FRACTION;
     let per_s = policy::capacity_per_s(fleet) * LOAD / mean;
     let all: Vec<usize> = (0..fleet.config.bundle.workspaces.len()).collect();
-    let usual = policy::stream(per_s * (1.0 - LONG_FRACTION), USUAL_PROMPT, (8, 48));
-    let mut planned = usual.plan(options.seed, duration, &all, fleet.config.entries);
-    let long = policy::stream(per_s * LONG_FRACTION, LONG_PROMPT, (16, 64));
-    planned.extend(long.plan(options.seed + 1, duration, &all, fleet.config.entries));
+    let usual = policy::traffic(per_s * (1.0 - LONG_FRACTION), USUAL_PROMPT, (8, 48));
+    let mut planned = usual.plan(options.seed, duration, &all, fleet.config.nodes);
+    let long = policy::traffic(per_s * LONG_FRACTION, LONG_PROMPT, (16, 64));
+    planned.extend(long.plan(options.seed + 1, duration, &all, fleet.config.nodes));
     planned
 }
 
@@ -84,7 +84,7 @@
         .map(|(i, length)| PlannedCall {
             at: GAP * i as u32,
             workspace: 0,
-            entry: i,
+            node: i,
             prompt_tokens: *length,
             max_tokens: 4,
             timeout: policy::TIMEOUT,
@@ -94,7 +94,7 @@
     let mut times: Vec<_> = measured
         .iter()
         .filter_map(|m| {
-            let first = m.result.first_token?;
+            let first = m.result.ttft?;
             Some((m.planned.prompt_tokens as f64, first.as_secs_f64()))
         })
         .collect();
@@ -110,9 +110,14 @@
     y0 + (y1 - y0) * (tokens - x0) / (x1 - x0)
 }
 
-fn add_multiples(metrics: &mut Metrics, name: &str, measured: &[Measured], idle: &[(f64, f64)]) {
+fn add_multiples(
+    metrics: &mut Metrics,
+    name: &str,
+    measured: &[MeasuredCall],
+    idle: &[(f64, f64)],
+) {
     let multiples = measured.iter().map(|m| {
-        let ttft = m.result.first_token.unwrap_or(m.result.total);
+        let ttft = m.result.ttft.unwrap_or(m.result.total);
         let tokens = m.planned.prompt_tokens;
         (tokens, ttft.as_secs_f64() / idle_time(idle, tokens as f64))
     });
--- a/crates/notchwalk_standin/src/bench/limits.rs
+++ b/crates/notchwalk_standin/src/bench/limits.rs
@@ -8,7 +8,7 @@
 
 use super::{rounded, BenchOptions, Metrics};
 use crate::routed::{
-    limits::{LimitsWorld, BEGIN},
+    limits::{LimitsSimulation, START},
     limits_plan::{Demand, LimitsPlan},
 };
 
@@ -36,16 +36,16 @@
     options: &BenchOptions,
 ) -> Value {
     let mut plan = LimitsPlan::new(nodes, vec![limit; SERVERS], demand);
-    plan.silent = equal_shares;
+    plan.equal_shares = equal_shares;
     plan.seed = options.seed;
-    plan.lasts = Duration::from_secs((options.seconds * 3).max(30));
-    let end = BEGIN.after(plan.lasts);
-    let node_seconds = plan.lasts.as_secs_f64() * nodes as f64;
-    let outcome = LimitsWorld::new(plan).run();
-    let since: Instant = BEGIN.after(CONVERGENCE_TIME);
+    plan.duration = Duration::from_secs((options.seconds * 3).max(30));
+    let end = START.after(plan.duration);
+    let node_seconds = plan.duration.as_secs_f64() * nodes as f64;
+    let outcome = LimitsSimulation::new(plan).run();
+    let since: Instant = START.after(CONVERGENCE_TIME);
     let rates = (0..SERVERS).map(|server| outcome.rate(server, since, end) / limit);
     let rates: Vec<f64> = rates.collect();
-    let worst = (0..SERVERS).map(|server| outcome.most_within(server, WINDOW, since));
+    let worst = (0..SERVERS).map(|server| outcome.max_in_window(server, WINDOW, since));
     let worst = worst.max().unwrap_or(0) as f64 / permitted_requests(limit);
     json!({
         "entries": nodes,
--- a/crates/notchwalk_standin/src/bench/memory.rs
+++ b/crates/notchwalk_standin/src/bench/memory.rs
@@ -9,7 +9,7 @@
 use super::{policy, rounded, BenchOptions, Metrics};
 use crate::{
     fleet::{Fleet, FleetConfig},
-    workload::{run_closed, ClosedCaller},
+    workload::{run_closed_loop, ClosedLoopCaller},
 };
 
 const ENGINES: usize = 6;
@@ -65,10 +65,10 @@
     config.slots = 256;
     config.reserve = mode;
     let fleet = Fleet::start(config);
-    let callers = (0..CALLERS).map(|i| ClosedCaller {
+    let callers = (0..CALLERS).map(|i| ClosedLoopCaller {
         workspace: i % fleet.config.bundle.workspaces.len(),
-        entry: i,
-        stream: policy::stream(
+        node: i,
+        traffic: policy::traffic(
             0.0,
             PROMPT_TOKENS,
             (MAX_COMPLETION_TOKENS, MAX_COMPLETION_TOKENS),
@@ -82,9 +82,9 @@
     let (results, running) = std::thread::scope(|scope| {
         let fleet = &fleet;
         let model = fleet.config.bundle.model.as_str();
-        let nodes = fleet.entries();
+        let nodes = fleet.caller_addrs();
         let keys = &keys;
-        let sender = scope.spawn(move || run_closed(&nodes, keys, model, callers, duration));
+        let sender = scope.spawn(move || run_closed_loop(&nodes, keys, model, callers, duration));
         let running = mean_running(fleet, duration);
         (sender.join().expect("sending thread panicked"), running)
     });
@@ -107,7 +107,8 @@
     let started = std::time::Instant::now();
     while started.elapsed() < duration - WARM_UP - SAMPLE_INTERVAL {
         for i in 0..ENGINES {
-            let report: notchwalk_wire::LoadReport = fleet.read(fleet.engines[i].addr, "/v1/load");
+            let report: notchwalk_wire::LoadReport =
+                fleet.get_json(fleet.engines[i].addr, "/v1/load");
             sum += f64::from(report.running);
         }
         samples += 1;
--- a/crates/notchwalk_standin/src/bench/once.rs
+++ b/crates/notchwalk_standin/src/bench/once.rs
@@ -86,7 +86,7 @@
     };
     fleet.set_platform_fault(lossy);
     let duration = Duration::from_secs(options.seconds);
-    let nodes = fleet.entries();
+    let nodes = fleet.caller_addrs();
     let key = fleet.key(0).to_owned();
     let attempts = std::thread::scope(|scope| {
         let sender = scope.spawn(move || block_on(send_calls(nodes, key, duration, with_key)));
@@ -102,7 +102,7 @@
     });
     let mut runs: HashMap<String, u64> = HashMap::new();
     for service in &fleet.services {
-        let counted: ServiceRuns = fleet.read(service.addr, "/standin/runs");
+        let counted: ServiceRuns = fleet.get_json(service.addr, "/standin/runs");
         for (call, n) in counted.runs {
             *runs.entry(call).or_default() += n;
         }
--- a/crates/notchwalk_standin/src/bench/orders.rs
+++ b/crates/notchwalk_standin/src/bench/orders.rs
@@ -37,7 +37,7 @@
 fn measure(checks_fencing_token: bool) -> Outcome {
     let mut config = FleetConfig::new(policy::workspaces())
         .with_sizes(3, 6, 0)
-        .with_entry_program(policy::this_program());
+        .with_node_program(policy::this_program());
     config.bundle.checks_fencing_token = checks_fencing_token;
     let fleet = Fleet::start(config);
     let holder = wait_for_holder(&fleet, None);
@@ -50,7 +50,7 @@
         .expect("bundle was rejected");
     // Pauses the holder while it sends its orders.
     std::thread::sleep(Duration::from_millis(900));
-    let paused = fleet.daemons[holder].as_ref().expect("node is not running");
+    let paused = fleet.nodes[holder].as_ref().expect("node is not running");
     paused.pause();
     let paused_at = Instant::now();
     let new_holder = wait_for_holder(&fleet, Some(holder)) != holder;
@@ -74,11 +74,11 @@
 fn wait_for_holder(fleet: &Fleet, paused: Option<usize>) -> usize {
     let started = Instant::now();
     loop {
-        for (i, node) in fleet.daemons.iter().enumerate() {
+        for (i, node) in fleet.nodes.iter().enumerate() {
             let Some(node) = node.as_ref().filter(|_| paused != Some(i)) else {
                 continue;
             };
-            let dump: serde_json::Value = fleet.read(node.addresses.operator, "/dump");
+            let dump: serde_json::Value = fleet.get_json(node.addresses.operator, "/dump");
             if dump["order_fence"].is_u64() {
                 return i;
             }
@@ -94,7 +94,7 @@
 fn wait_until_loaded(fleet: &Fleet, versions: &[String]) {
     let started = Instant::now();
     let has_all = |i: usize| {
-        let report: LoadReport = fleet.read(fleet.engines[i].addr, "/v1/load");
+        let report: LoadReport = fleet.get_json(fleet.engines[i].addr, "/v1/load");
         let loaded = &report.loaded[0].versions;
         versions.iter().all(|v| loaded.contains(v))
     };
--- a/crates/notchwalk_standin/src/bench/outage.rs
+++ b/crates/notchwalk_standin/src/bench/outage.rs
@@ -21,17 +21,12 @@
     let config = FleetConfig::new(policy::workspaces())
         .with_sizes(6, 12, 0)
         .with_time_scale(policy::TIME_SCALE)
-        .with_entry_program(policy::this_program());
+        .with_node_program(policy::this_program());
     let fleet = Fleet::start(config);
     let all: Vec<usize> = (0..10).collect();
-    let stream = policy::stream(40.0, (1_000, 20_000), (20, 80));
-    let planned = stream.plan(
-        options.seed,
-        OUTAGE + MARGIN * 2,
-        &all,
-        fleet.config.entries,
-    );
-    let sending = fleet.start_sending(policy::with_timeout(planned, TIMEOUT));
+    let traffic = policy::traffic(40.0, (1_000, 20_000), (20, 80));
+    let planned = traffic.plan(options.seed, OUTAGE + MARGIN * 2, &all, fleet.config.nodes);
+    let sending = fleet.start_send(policy::with_timeout(planned, TIMEOUT));
     std::thread::sleep(MARGIN);
     let down = PlatformFault {
         down: true,
--- a/crates/notchwalk_standin/src/bench/overload.rs
+++ b/crates/notchwalk_standin/src/bench/overload.rs
@@ -7,7 +7,7 @@
     caller::CallEnd,
     fleet::{Fleet, FleetConfig},
     report::Durations,
-    workload::{Measured, PlannedCall},
+    workload::{MeasuredCall, PlannedCall},
 };
 
 const PROMPT_TOKENS: (u64, u64) = (1_000, 4_000);
@@ -59,32 +59,34 @@
     Fleet::start(config)
 }
 
-fn send(fleet: &Fleet, seed: u64, load: f64, duration: Duration) -> Vec<Measured> {
+fn send(fleet: &Fleet, seed: u64, load: f64, duration: Duration) -> Vec<MeasuredCall> {
     let per_s = policy::capacity_per_s(fleet) * load / policy::mean_prompt(PROMPT_TOKENS);
-    let mut stream = policy::stream(per_s, PROMPT_TOKENS, COMPLETION_TOKENS);
-    stream.timeout = TIMEOUT;
+    let mut traffic = policy::traffic(per_s, PROMPT_TOKENS, COMPLETION_TOKENS);
+    traffic.timeout = TIMEOUT;
     let all: Vec<usize> = (0..10).collect();
-    let planned: Vec<PlannedCall> = stream.plan(seed, duration, &all, fleet.config.entries);
+    let planned: Vec<PlannedCall> = traffic.plan(seed, duration, &all, fleet.config.nodes);
     fleet.send(planned)
 }
 
 /// Returns the complete responses per second.
-fn goodput(measured: &[Measured], duration: Duration) -> f64 {
-    let good = measured.iter().filter(|m| m.result.end == CallEnd::Whole);
+fn goodput(measured: &[MeasuredCall], duration: Duration) -> f64 {
+    let good = measured
+        .iter()
+        .filter(|m| m.result.end == CallEnd::Complete);
     good.count() as f64 / duration.as_secs_f64()
 }
 
-fn p95_ms(measured: &[Measured]) -> f64 {
+fn p95_ms(measured: &[MeasuredCall]) -> f64 {
     let mut times = Durations::default();
     for m in measured {
-        times.add(m.result.first_token.unwrap_or(m.result.total));
+        times.add(m.result.ttft.unwrap_or(m.result.total));
     }
     times.quantile_ms(0.95)
 }
 
 /// Counts requests rejected with status 429 within 500 ms.
-fn refused(measured: &[Measured]) -> usize {
-    let is_refused = |m: &&Measured| {
+fn refused(measured: &[MeasuredCall]) -> usize {
+    let is_refused = |m: &&MeasuredCall| {
         let immediate = m.result.total < Duration::from_millis(500);
         immediate && matches!(m.result.end, CallEnd::Failed { status: 429, .. })
     };
--- a/crates/notchwalk_standin/src/bench/policy.rs
+++ b/crates/notchwalk_standin/src/bench/policy.rs
@@ -7,7 +7,7 @@
     caller::CallEnd,
     fleet::{Fleet, FleetConfig},
     operators::WorkspaceSpec,
-    workload::{Measured, PlannedCall, Stream},
+    workload::{MeasuredCall, PlannedCall, TrafficClass},
 };
 
 /// Speed-up of the engines over real time.
@@ -44,13 +44,13 @@
 }
 
 /// Returns a traffic class with the given rate and ranges of prompt and completion lengths.
-pub fn stream(per_s: f64, prompts: (u64, u64), completions: (u32, u32)) -> Stream {
-    Stream {
+pub fn traffic(per_s: f64, prompts: (u64, u64), completions: (u32, u32)) -> TrafficClass {
+    TrafficClass {
         per_s,
         min_prompt: prompts.0,
         max_prompt: prompts.1,
-        min_answer: completions.0,
-        max_answer: completions.1,
+        min_completion: completions.0,
+        max_completion: completions.1,
         timeout: TIMEOUT,
     }
 }
@@ -81,7 +81,7 @@
 }
 
 /// Counts calls without a complete response.
-pub fn incomplete(measured: &[Measured]) -> usize {
-    let is_incomplete = |m: &&Measured| m.result.end != CallEnd::Whole;
+pub fn incomplete(measured: &[MeasuredCall]) -> usize {
+    let is_incomplete = |m: &&MeasuredCall| m.result.end != CallEnd::Complete;
     measured.iter().filter(is_incomplete).count()
 }
--- a/crates/notchwalk_standin/src/bench/recovery.rs
+++ b/crates/notchwalk_standin/src/bench/recovery.rs
@@ -8,7 +8,7 @@
     engine::Fault,
     fleet::{Fleet, FleetConfig},
     report::Durations,
-    workload::Measured,
+    workload::MeasuredCall,
 };
 
 /// When the node and the engines crash, as a fraction of the run.
@@ -53,49 +53,49 @@
 fn measure(options: &BenchOptions, policy_lines: &str) -> Outcome {
     let config = FleetConfig::new(policy::workspaces())
         .with_sizes(6, 12, 0)
-        .with_entry_program(policy::this_program())
+        .with_node_program(policy::this_program())
         .with_time_scale(policy::TIME_SCALE)
         .with_policy(policy_lines);
     let mut fleet = Fleet::start(config);
     let duration = Duration::from_secs(options.seconds.max(10));
-    let nodes = fleet.config.entries;
+    let nodes = fleet.config.nodes;
     let all: Vec<usize> = (0..10).collect();
-    let short = policy::stream(80.0, (1_000, 8_000), (20, 120));
+    let short = policy::traffic(80.0, (1_000, 8_000), (20, 120));
     let mut planned = short.plan(options.seed, duration, &all, nodes);
-    let long = policy::stream(2.0, (30_000, 90_000), (40, 160));
+    let long = policy::traffic(2.0, (30_000, 90_000), (40, 160));
     planned.extend(long.plan(options.seed + 1, duration, &all, nodes));
     let crashed_at = duration.mul_f64(CRASH_AT);
     // Callers of the crashed node use the next one.
     for call in planned
         .iter_mut()
-        .filter(|c| c.at > crashed_at && c.entry == CRASHED_NODE)
+        .filter(|c| c.at > crashed_at && c.node == CRASHED_NODE)
     {
-        call.entry += 1;
+        call.node += 1;
     }
     let planned = policy::with_timeout(planned, TIMEOUT);
     let started = Instant::now();
-    let sending = fleet.start_sending(planned);
+    let sending = fleet.start_send(planned);
     std::thread::sleep(crashed_at.saturating_sub(started.elapsed()));
-    fleet.kill_daemon(CRASHED_NODE);
+    fleet.kill_node(CRASHED_NODE);
     for engine in CRASHED_ENGINES {
         fleet.set_engine_fault(engine, Fault::Dead);
     }
     std::thread::sleep(Duration::from_secs(2));
-    fleet.unlist(CRASHED_NODE as u32 + 1);
+    fleet.remove_vm(CRASHED_NODE as u32 + 1);
     let measured = sending.wait();
     for line in crate::report::outcomes(&measured) {
         log::info!("{line:?}");
     }
     let (via_crashed_node, via_others): (Vec<_>, Vec<_>) = measured
         .into_iter()
-        .partition(|m| m.planned.entry == CRASHED_NODE);
+        .partition(|m| m.planned.node == CRASHED_NODE);
     let failed = via_others
         .iter()
-        .filter(|m| m.result.end != CallEnd::Whole)
+        .filter(|m| m.result.end != CallEnd::Complete)
         .count();
     let cut = via_crashed_node
         .iter()
-        .filter(|m| m.result.end != CallEnd::Whole)
+        .filter(|m| m.result.end != CallEnd::Complete)
         .count();
     Outcome {
         failed_ratio: failed as f64 / via_others.len() as f64,
@@ -108,7 +108,7 @@
 
 /// Returns the time from the crash until the p95 time to first token of short requests, over
 /// half-second windows, stays within 1.5 times its value before the crash, in seconds.
-fn recovery_s(measured: &[Measured], crashed_at: Duration) -> f64 {
+fn recovery_s(measured: &[MeasuredCall], crashed_at: Duration) -> f64 {
     const WINDOW: Duration = Duration::from_millis(500);
     const TOLERATED_RATIO: f64 = 1.5;
     let p95 = |from: Duration, to: Duration| {
@@ -116,7 +116,7 @@
         for m in measured {
             let short = m.planned.prompt_tokens <= 8_000;
             if short && m.planned.at >= from && m.planned.at < to {
-                times.add(m.result.first_token.unwrap_or(m.result.total));
+                times.add(m.result.ttft.unwrap_or(m.result.total));
             }
         }
         times.quantile_ms(0.95)
--- a/crates/notchwalk_standin/src/bench/relay.rs
+++ b/crates/notchwalk_standin/src/bench/relay.rs
@@ -76,7 +76,7 @@
 async fn first_tokens(fleet: &Fleet, seed: u64) -> (Durations, Durations) {
     let client = Client::new();
     let (mut direct, mut relayed) = (Durations::default(), Durations::default());
-    let node = fleet.entries()[0];
+    let node = fleet.caller_addrs()[0];
     for i in 0..SINGLE_REQUESTS {
         let prompt = prompt_text(seed << 32 | i, 64);
         let engine = fleet.engines[i as usize % fleet.engines.len()].addr;
@@ -85,15 +85,19 @@
         }
         let call = build_call(fleet, node, prompt, 2);
         let result = caller::call(&client, &call).await;
-        assert_eq!(result.end, CallEnd::Whole, "relayed response is incomplete");
-        relayed.add(result.first_token.unwrap_or_default());
+        assert_eq!(
+            result.end,
+            CallEnd::Complete,
+            "relayed response is incomplete"
+        );
+        relayed.add(result.ttft.unwrap_or_default());
     }
     (direct, relayed)
 }
 
-fn build_call(fleet: &Fleet, entry: SocketAddr, prompt: String, max_tokens: u32) -> Call {
+fn build_call(fleet: &Fleet, node: SocketAddr, prompt: String, max_tokens: u32) -> Call {
     Call {
-        entry,
+        node,
         key: fleet.key(0).to_owned(),
         model: fleet.config.bundle.model.clone(),
         prompt,
@@ -193,7 +197,7 @@
     let threads: Vec<_> = (0..THREADS)
         .map(|t| {
             let engines: Vec<_> = fleet.engines.iter().map(|e| e.addr).collect();
-            let node = fleet.entries()[0];
+            let node = fleet.caller_addrs()[0];
             let key = fleet.key(0).to_owned();
             let seed = options.seed + relayed as u64 * 1_000;
             std::thread::spawn(move || {
--- a/crates/notchwalk_standin/src/bench/slowdown.rs
+++ b/crates/notchwalk_standin/src/bench/slowdown.rs
@@ -6,7 +6,7 @@
 use crate::{
     caller::CallEnd,
     report::{class_of, Durations},
-    workload::{Measured, PlannedCall},
+    workload::{MeasuredCall, PlannedCall},
 };
 
 /// Total load as a fraction of the fleet's prefill capacity.
@@ -50,35 +50,35 @@
 
 fn short_plan(seed: u64, duration: Duration, capacity_per_s: f64) -> Vec<PlannedCall> {
     let per_s = capacity_per_s * LOAD * SHORT_FRACTION / policy::mean_prompt(SHORT_PROMPT);
-    policy::stream(per_s, SHORT_PROMPT, (4, 24)).plan(seed, duration, &[0, 1, 2, 3, 4], 6)
+    policy::traffic(per_s, SHORT_PROMPT, (4, 24)).plan(seed, duration, &[0, 1, 2, 3, 4], 6)
 }
 
 fn long_plan(seed: u64, duration: Duration, capacity_per_s: f64) -> Vec<PlannedCall> {
     let medium = capacity_per_s * LOAD * MEDIUM_FRACTION / policy::mean_prompt(MEDIUM_PROMPT);
-    let medium = policy::stream(medium, MEDIUM_PROMPT, (8, 40));
+    let medium = policy::traffic(medium, MEDIUM_PROMPT, (8, 40));
     let mut planned = medium.plan(seed + 1, duration, &[5, 6, 7], 6);
     let long = capacity_per_s * LOAD * (1.0 - SHORT_FRACTION - MEDIUM_FRACTION)
         / policy::mean_prompt(LONG_PROMPT);
-    let long = policy::stream(long, LONG_PROMPT, (16, 64));
+    let long = policy::traffic(long, LONG_PROMPT, (16, 64));
     planned.extend(long.plan(seed + 2, duration, &[8, 9], 6));
     planned
 }
 
-fn p95_short(measured: &[Measured]) -> f64 {
+fn p95_short(measured: &[MeasuredCall]) -> f64 {
     let mut times = Durations::default();
     for m in measured {
         if class_of(m.planned.prompt_tokens) != 0 {
             continue;
         }
         // A request without a first token counts with its total time.
-        times.add(m.result.first_token.unwrap_or(m.result.total));
+        times.add(m.result.ttft.unwrap_or(m.result.total));
     }
     times.quantile_ms(0.95)
 }
 
-fn dropped_long(measured: &[Measured]) -> usize {
+fn dropped_long(measured: &[MeasuredCall]) -> usize {
     let long = measured
         .iter()
         .filter(|m| class_of(m.planned.prompt_tokens) >= 2);
-    long.filter(|m| m.result.end != CallEnd::Whole).count()
+    long.filter(|m| m.result.end != CallEnd::Complete).count()
 }
--- a/crates/notchwalk_standin/src/bench/soak.rs
+++ b/crates/notchwalk_standin/src/bench/soak.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use super::{rounded, BenchOptions, Metrics};
-use crate::soak::{Mechanism, SoakOptions, World};
+use crate::soak::{Mechanism, Simulation, SoakOptions};
 
 /// Virtual duration of one run, in seconds.
 const RUN_SECONDS: u64 = 120;
@@ -16,9 +16,9 @@
     let mut violations = Vec::new();
     while started.elapsed() < duration {
         let seed = options.seed + runs;
-        let report = World::new(SoakOptions::new(seed, RUN_SECONDS)).run();
+        let report = Simulation::new(SoakOptions::new(seed, RUN_SECONDS)).run();
         runs += 1;
-        steps += report.steps;
+        steps += report.events;
         admitted += report.admitted;
         completed += report.completed;
         faults += report.faults;
@@ -42,8 +42,8 @@
         ("violations_without_claims", Mechanism::Claims),
     ] {
         let mut without = SoakOptions::new(options.seed, RUN_SECONDS);
-        without.without = Some(mechanism);
-        let violation_count = World::new(without).run().violations.len();
+        without.disabled = Some(mechanism);
+        let violation_count = Simulation::new(without).run().violations.len();
         metrics.insert(key.to_owned(), violation_count.into());
     }
     metrics.insert("steps_per_s".to_owned(), rounded(per_s, 0));
--- a/crates/notchwalk_standin/src/caller.rs
+++ b/crates/notchwalk_standin/src/caller.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug)]
 pub struct Call {
     /// Caller address of the node.
-    pub entry: SocketAddr,
+    pub node: SocketAddr,
     /// API key of the workspace.
     pub key: String,
     /// Model name.
@@ -51,9 +51,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallEnd {
     /// The completion was complete and matched the prompt.
-    Whole,
+    Complete,
     /// The response violated the protocol or did not match the prompt.
-    Wrong(String),
+    InvalidResponse(String),
     /// The request was rejected or failed with an API error.
     Failed {
         /// HTTP status; 0 for an error inside a stream.
@@ -66,7 +66,7 @@
         retry_after: Option<Duration>,
     },
     /// The connection failed.
-    Cut(String),
+    ConnectionLost(String),
 }
 
 /// Outcome and timings of a call.
@@ -75,23 +75,23 @@
     /// Outcome of the call.
     pub end: CallEnd,
     /// Time to first token.
-    pub first_token: Option<Duration>,
+    pub ttft: Option<Duration>,
     /// Time from sending the request to the end of the response.
     pub total: Duration,
     /// Number of tokens received.
     pub tokens: u32,
     /// Maximum inter-token latency.
-    pub longest_gap: Duration,
+    pub max_inter_token_latency: Duration,
 }
 
 impl CallResult {
     fn new(started: Instant, end: CallEnd) -> Self {
         Self {
             end,
-            first_token: None,
+            ttft: None,
             total: started.elapsed(),
             tokens: 0,
-            longest_gap: Duration::ZERO,
+            max_inter_token_latency: Duration::ZERO,
         }
     }
 }
@@ -118,18 +118,19 @@
     // missing response is reported.
     let client_timeout = call.timeout + Duration::from_secs(5);
     let exchange = async {
-        match client.stream(call.entry, req).await {
+        match client.stream(call.node, req).await {
             Ok(response) if response.status == StatusCode::OK => {
                 read_stream(call, started, response).await
             }
             Ok(response) => CallResult::new(started, read_error(response).await),
-            Err(e) => CallResult::new(started, CallEnd::Cut(e.to_string())),
+            Err(e) => CallResult::new(started, CallEnd::ConnectionLost(e.to_string())),
         }
     };
     match monoio::time::timeout(client_timeout, exchange).await {
         Ok(result) => result,
         Err(_) => {
-            let end = CallEnd::Wrong("no response within 5 s after the deadline".to_owned());
+            let end =
+                CallEnd::InvalidResponse("no response within 5 s after the deadline".to_owned());
             CallResult::new(started, end)
         }
     }
@@ -156,7 +157,7 @@
         .and_then(|ms| ms.parse().ok())
         .map(Duration::from_millis);
     let Ok(body) = response.collect(MAX_ERROR_BYTES).await else {
-        return CallEnd::Cut("connection closed within the error response".to_owned());
+        return CallEnd::ConnectionLost("connection closed within the error response".to_owned());
     };
     match body.json::<ApiError>() {
         Ok(e) => CallEnd::Failed {
@@ -165,7 +166,9 @@
             outcome: e.error.outcome,
             retry_after,
         },
-        Err(e) => CallEnd::Wrong(format!("status {status} without a valid error body: {e}")),
+        Err(e) => {
+            CallEnd::InvalidResponse(format!("status {status} without a valid error body: {e}"))
+        }
     }
 }
 
@@ -175,7 +178,7 @@
         match response.next().await {
             Ok(Some(chunk)) => reader.feed(&chunk),
             Ok(None) => break reader.finish(),
-            Err(e) => break CallEnd::Cut(e.to_string()),
+            Err(e) => break CallEnd::ConnectionLost(e.to_string()),
         }
     };
     response.release();
@@ -207,7 +210,7 @@
             violation: None,
             failed: None,
             done: false,
-            result: CallResult::new(started, CallEnd::Whole),
+            result: CallResult::new(started, CallEnd::Complete),
         }
     }
 
@@ -251,10 +254,11 @@
     fn handle_token(&mut self, text: &str) {
         let now = Instant::now();
         let result = &mut self.result;
-        if result.first_token.is_none() {
-            result.first_token = Some(now - self.started);
+        if result.ttft.is_none() {
+            result.ttft = Some(now - self.started);
         } else {
-            result.longest_gap = result.longest_gap.max(now - self.last_token_at);
+            result.max_inter_token_latency =
+                result.max_inter_token_latency.max(now - self.last_token_at);
         }
         self.last_token_at = now;
         let expected = self.seed.token(result.tokens);
@@ -267,18 +271,18 @@
 
     fn finish(&mut self) -> CallEnd {
         if let Some(violation) = self.violation.take() {
-            return CallEnd::Wrong(violation);
+            return CallEnd::InvalidResponse(violation);
         }
         if let Some(failed) = self.failed.take() {
             return failed;
         }
         if !self.done || self.result.tokens != self.expected_tokens {
             let tokens = self.result.tokens;
-            return CallEnd::Wrong(format!(
+            return CallEnd::InvalidResponse(format!(
                 "completion truncated: got {tokens} of {} tokens",
                 self.expected_tokens
             ));
         }
-        CallEnd::Whole
+        CallEnd::Complete
     }
 }
--- a/crates/notchwalk_standin/src/demo.rs
+++ b/crates/notchwalk_standin/src/demo.rs
@@ -16,7 +16,7 @@
     fleet::{Fleet, FleetConfig},
     operators::WorkspaceSpec,
     report,
-    workload::{Measured, PlannedCall, Stream},
+    workload::{MeasuredCall, PlannedCall, TrafficClass},
 };
 
 /// Speed-up of the demo's engines over real time.
@@ -37,35 +37,35 @@
     .to_vec()
 }
 
-fn short() -> Stream {
-    Stream {
+fn short() -> TrafficClass {
+    TrafficClass {
         per_s: 40.0,
         min_prompt: 1_000,
         max_prompt: 4_000,
-        min_answer: 10,
-        max_answer: 60,
+        min_completion: 10,
+        max_completion: 60,
         timeout: Duration::from_secs(20),
     }
 }
 
-fn medium() -> Stream {
-    Stream {
+fn medium() -> TrafficClass {
+    TrafficClass {
         per_s: 4.0,
         min_prompt: 5_000,
         max_prompt: 30_000,
-        min_answer: 20,
-        max_answer: 80,
+        min_completion: 20,
+        max_completion: 80,
         timeout: Duration::from_secs(25),
     }
 }
 
-fn long() -> Stream {
-    Stream {
+fn long() -> TrafficClass {
+    TrafficClass {
         per_s: 1.5,
         min_prompt: 60_000,
         max_prompt: 300_000,
-        min_answer: 20,
-        max_answer: 80,
+        min_completion: 20,
+        max_completion: 80,
         timeout: Duration::from_secs(30),
     }
 }
@@ -82,7 +82,7 @@
     planned.push(PlannedCall {
         at: Duration::from_millis(500),
         workspace: 3,
-        entry: 2,
+        node: 2,
         prompt_tokens: 1_000_000,
         max_tokens: 40,
         timeout: Duration::from_secs(30),
@@ -100,10 +100,10 @@
         "Ready after {:.1} s. Sending short prompts only ...",
         started.elapsed().as_secs_f64()
     );
-    let alone = fleet.send(short_plan(11, fleet.config.entries));
+    let alone = fleet.send(short_plan(11, fleet.config.nodes));
     println!("Sending short and long prompts together ...");
-    let mut mixed = short_plan(12, fleet.config.entries);
-    mixed.extend(long_plan(fleet.config.entries));
+    let mut mixed = short_plan(12, fleet.config.nodes);
+    mixed.extend(long_plan(fleet.config.nodes));
     let mixed = fleet.send(mixed);
     fleet.stop();
     println!(
@@ -111,9 +111,9 @@
     );
     println!("{}", report::first_token_table(&mixed));
     println!("{}", slowdown_table(&alone, &mixed));
-    let all: Vec<Measured> = alone.into_iter().chain(mixed).collect();
+    let all: Vec<MeasuredCall> = alone.into_iter().chain(mixed).collect();
     println!("{}", report::outcome_table(&all));
-    let all_complete = report::all_whole(&all);
+    let all_complete = report::all_complete(&all);
     let verdict = match all_complete {
         true => "Every response was complete and matched its prompt.",
         false => "NOT every response was complete.",
@@ -125,7 +125,7 @@
     all_complete
 }
 
-fn slowdown_table(alone: &[Measured], mixed: &[Measured]) -> comfy_table::Table {
+fn slowdown_table(alone: &[MeasuredCall], mixed: &[MeasuredCall]) -> comfy_table::Table {
     let (alone, mixed) = (report::first_tokens(alone), report::first_tokens(mixed));
     let mut table = report::table(&["short prompts", "alone", "with long prompts", "slowdown"]);
     for (name, q) in [("p50", 0.5), ("p95", 0.95)] {
@@ -151,9 +151,9 @@
         signal_hook::flag::register(signal, stop.clone())?;
     }
     let mut fleet = Fleet::start(FleetConfig::new(workspaces()).with_time_scale(TIME_SCALE));
-    let nodes: Vec<_> = fleet.entries().iter().map(|a| a.to_string()).collect();
+    let nodes: Vec<_> = fleet.caller_addrs().iter().map(|a| a.to_string()).collect();
     let operator = fleet
-        .daemons
+        .nodes
         .iter()
         .flatten()
         .next()
--- a/crates/notchwalk_standin/src/fleet.rs
+++ b/crates/notchwalk_standin/src/fleet.rs
@@ -24,7 +24,7 @@
     platform::{serve_platform, PlatformConfig, PlatformFault},
     service::serve_service,
     thread::{block_on, ServingThread},
-    workload::{self, Measured, PlannedCall},
+    workload::{self, MeasuredCall, PlannedCall},
 };
 
 /// VM id of the first engine.
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug)]
 pub struct FleetConfig {
     /// Number of nodes.
-    pub entries: usize,
+    pub nodes: usize,
     /// Number of engines.
     pub engines: usize,
     /// Number of servers of the plain service.
@@ -70,7 +70,7 @@
     /// service.
     pub fn new(workspaces: Vec<WorkspaceSpec>) -> Self {
         Self {
-            entries: 6,
+            nodes: 6,
             engines: 20,
             services: 3,
             failure_domains: ["ruwi", "ghala", "seeb"].map(str::to_owned).to_vec(),
@@ -96,7 +96,7 @@
 
     /// Sets the numbers of nodes, engines and service servers.
     pub fn with_sizes(mut self, nodes: usize, engines: usize, services: usize) -> Self {
-        self.entries = nodes;
+        self.nodes = nodes;
         self.engines = engines;
         self.services = services;
         self
@@ -109,7 +109,7 @@
     }
 
     /// Runs each node as a separate process of `program`.
-    pub fn with_entry_program(mut self, program: impl Into<PathBuf>) -> Self {
+    pub fn with_node_program(mut self, program: impl Into<PathBuf>) -> Self {
         self.node_program = Some(program.into());
         self
     }
@@ -131,7 +131,7 @@
 }
 
 /// A handle to calls in flight.
-pub struct SendHandle(JoinHandle<Vec<Measured>>);
+pub struct SendHandle(JoinHandle<Vec<MeasuredCall>>);
 
 impl SendHandle {
     /// Waits for all calls and returns their results.
@@ -139,7 +139,7 @@
     /// # Panics
     ///
     /// Panics if the sending thread panicked.
-    pub fn wait(self) -> Vec<Measured> {
+    pub fn wait(self) -> Vec<MeasuredCall> {
         self.0.join().expect("sending thread panicked")
     }
 }
@@ -149,7 +149,7 @@
     /// Configuration of the fleet.
     pub config: FleetConfig,
     /// The nodes by index; `None` for a killed node.
-    pub daemons: Vec<Option<NodeHandle>>,
+    pub nodes: Vec<Option<NodeHandle>>,
     /// Engines by index.
     pub engines: Vec<FleetServer>,
     /// Servers of the plain service.
@@ -191,7 +191,7 @@
             serve_platform(listener, platform_config, vms).expect("failed to start the platform");
         }));
         let mut fleet = Self {
-            daemons: Vec::new(),
+            nodes: Vec::new(),
             engines,
             services,
             platform,
@@ -201,9 +201,9 @@
             config,
             _threads: threads,
         };
-        for i in 0..fleet.config.entries {
-            fleet.daemons.push(None);
-            fleet.start_daemon(i);
+        for i in 0..fleet.config.nodes {
+            fleet.nodes.push(None);
+            fleet.start_node(i);
         }
         fleet.submit_first_bundle();
         fleet.wait_until_ready();
@@ -215,7 +215,7 @@
     /// # Panics
     ///
     /// Panics if the node can't start.
-    pub fn start_daemon(&mut self, i: usize) {
+    pub fn start_node(&mut self, i: usize) {
         let vm = i as u32 + 1;
         let failure_domain =
             self.config.failure_domains[i % self.config.failure_domains.len()].clone();
@@ -238,7 +238,7 @@
         };
         self.records.retain(|r| r.id != vm);
         self.records.push(record);
-        self.daemons[i] = Some(node);
+        self.nodes[i] = Some(node);
         self.publish_vms();
     }
 
@@ -266,15 +266,15 @@
     }
 
     /// Kills node `i` without draining. The VM list still contains it.
-    pub fn kill_daemon(&mut self, i: usize) {
-        if let Some(mut node) = self.daemons[i].take() {
+    pub fn kill_node(&mut self, i: usize) {
+        if let Some(mut node) = self.nodes[i].take() {
             node.kill();
             let _ = node.join();
         }
     }
 
     /// Removes a VM from the VM list.
-    pub fn unlist(&mut self, id: u32) {
+    pub fn remove_vm(&mut self, id: u32) {
         self.records.retain(|r| r.id != id);
         self.publish_vms();
     }
@@ -315,23 +315,23 @@
         response.expect("no response")
     }
 
-    /// Reads JSON from a stand-in or an operator address.
+    /// Gets JSON from a stand-in or an operator address.
     ///
     /// # Panics
     ///
     /// Panics if there is no response or its body is not of type `T`.
-    pub fn read<T: DeserializeOwned>(&self, addr: SocketAddr, path: &str) -> T {
+    pub fn get_json<T: DeserializeOwned>(&self, addr: SocketAddr, path: &str) -> T {
         self.get(addr, path)
             .json()
             .expect("unexpected response body")
     }
 
-    /// Reads text from a stand-in or an operator address.
+    /// Gets text from a stand-in or an operator address.
     ///
     /// # Panics
     ///
     /// Panics if there is no response.
-    pub fn read_text(&self, addr: SocketAddr, path: &str) -> String {
+    pub fn get_text(&self, addr: SocketAddr, path: &str) -> String {
         String::from_utf8_lossy(&self.get(addr, path).body).into_owned()
     }
 
@@ -347,12 +347,12 @@
 
     /// Returns the counters of an engine.
     pub fn engine_counts(&self, i: usize) -> EngineCounts {
-        self.read(self.engines[i].addr, "/standin/counts")
+        self.get_json(self.engines[i].addr, "/standin/counts")
     }
 
     /// Returns the caller addresses of the running nodes.
-    pub fn entries(&self) -> Vec<SocketAddr> {
-        self.daemons
+    pub fn caller_addrs(&self) -> Vec<SocketAddr> {
+        self.nodes
             .iter()
             .flatten()
             .map(|d| d.addresses.caller)
@@ -366,13 +366,13 @@
     }
 
     /// Sends planned calls to the running nodes and waits for the results.
-    pub fn send(&self, planned: Vec<PlannedCall>) -> Vec<Measured> {
-        self.start_sending(planned).wait()
+    pub fn send(&self, planned: Vec<PlannedCall>) -> Vec<MeasuredCall> {
+        self.start_send(planned).wait()
     }
 
     /// Starts sending planned calls to the running nodes.
-    pub fn start_sending(&self, planned: Vec<PlannedCall>) -> SendHandle {
-        let (nodes, keys) = (self.entries(), self.keys());
+    pub fn start_send(&self, planned: Vec<PlannedCall>) -> SendHandle {
+        let (nodes, keys) = (self.caller_addrs(), self.keys());
         let model = self.config.bundle.model.clone();
         let send = move || workload::run_open_loop(&nodes, &keys, &model, planned);
         SendHandle(std::thread::spawn(send))
@@ -412,7 +412,7 @@
         let started = Instant::now();
         loop {
             let not_ready = self
-                .daemons
+                .nodes
                 .iter()
                 .flatten()
                 .filter(|d| !self.is_ready(d))
@@ -430,7 +430,7 @@
 
     /// Returns whether a node is ready and has received reports from all peers and servers.
     fn is_ready(&self, node: &NodeHandle) -> bool {
-        let dump: serde_json::Value = self.read(node.addresses.operator, "/dump");
+        let dump: serde_json::Value = self.get_json(node.addresses.operator, "/dump");
         let servers = dump["servers"].as_array().map_or(0, |servers| {
             let serves = |s: &&serde_json::Value| !s["serves"].as_array().is_none_or(Vec::is_empty);
             servers.iter().filter(serves).count()
@@ -440,7 +440,7 @@
         });
         dump["ready"] == true
             && servers >= self.engines.len() + self.services.len()
-            && peers + 1 >= self.daemons.iter().flatten().count()
+            && peers + 1 >= self.nodes.iter().flatten().count()
     }
 
     /// Drains all nodes and waits until they exit.
@@ -449,10 +449,10 @@
     ///
     /// Panics if a node's thread panicked.
     pub fn stop(&mut self) {
-        for node in self.daemons.iter().flatten() {
+        for node in self.nodes.iter().flatten() {
             node.drain();
         }
-        for node in self.daemons.iter_mut() {
+        for node in self.nodes.iter_mut() {
             if let Some(node) = node.take() {
                 let _ = node.join();
             }
@@ -462,10 +462,10 @@
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        for node in self.daemons.iter_mut().flatten() {
+        for node in self.nodes.iter_mut().flatten() {
             node.kill();
         }
-        for node in self.daemons.iter_mut() {
+        for node in self.nodes.iter_mut() {
             if let Some(node) = node.take() {
                 let _ = node.join();
             }
--- a/crates/notchwalk_standin/src/main.rs
+++ b/crates/notchwalk_standin/src/main.rs
@@ -10,7 +10,7 @@
     node::run_node,
     processes::{self, LoadOptions},
     routed::{self, bound::Counted, policy::POLICIES},
-    workload::Stream,
+    workload::TrafficClass,
 };
 
 /// Stand-ins of the systems around notchwalk, a load tool, a demo and
@@ -155,12 +155,12 @@
                 nodes: entry,
                 key,
                 model,
-                stream: Stream {
+                traffic: TrafficClass {
                     per_s,
                     min_prompt,
                     max_prompt,
-                    min_answer: answer,
-                    max_answer: answer,
+                    min_completion: answer,
+                    max_completion: answer,
                     timeout: TIMEOUT,
                 },
                 duration: Duration::from_secs(seconds),
@@ -204,14 +204,14 @@
     let chosen = policies.filter(|policy| only.is_none_or(|name| name == policy.name));
     let seeds = 1..seeds.saturating_add(1);
     let mut reports: Vec<_> = chosen
-        .map(|&policy| routed::play(policy, seeds.clone(), load))
+        .map(|&policy| routed::simulate(policy, seeds.clone(), load))
         .collect();
     if reports.is_empty() {
         let names: Vec<&str> = POLICIES.iter().map(|policy| policy.name).collect();
         return fail(&format!("unknown policy; available: {names:?}"));
     }
     if only.is_none() {
-        let bounds = [Counted::Reading, Counted::All];
+        let bounds = [Counted::Prefill, Counted::All];
         reports.extend(bounds.map(|counted| routed::bound(counted, seeds.clone(), load)));
     }
     println!("{}", routed::report::table(&reports));
--- a/crates/notchwalk_standin/src/processes.rs
+++ b/crates/notchwalk_standin/src/processes.rs
@@ -13,7 +13,7 @@
     report,
     service::serve_service,
     thread::block_on,
-    workload::{self, Stream},
+    workload::{self, TrafficClass},
 };
 
 async fn run_forever() {
@@ -82,7 +82,7 @@
     /// Model name.
     pub model: String,
     /// Traffic profile.
-    pub stream: Stream,
+    pub traffic: TrafficClass,
     /// Duration of the load.
     pub duration: Duration,
     /// Seed of the traffic.
@@ -94,11 +94,11 @@
 pub fn load(options: &LoadOptions) -> bool {
     let nodes = options.nodes.len();
     let planned = options
-        .stream
+        .traffic
         .plan(options.seed, options.duration, &[0], nodes);
     let keys = [options.key.clone()];
     let measured = workload::run_open_loop(&options.nodes, &keys, &options.model, planned);
     println!("{}", report::first_token_table(&measured));
     println!("{}", report::outcome_table(&measured));
-    report::all_whole(&measured)
+    report::all_complete(&measured)
 }
--- a/crates/notchwalk_standin/src/report.rs
+++ b/crates/notchwalk_standin/src/report.rs
@@ -6,7 +6,7 @@
 use hdrhistogram::Histogram;
 use notchwalk_wire::ExecutionOutcome;
 
-use crate::{caller::CallEnd, workload::Measured};
+use crate::{caller::CallEnd, workload::MeasuredCall};
 
 /// Prompt length classes: the maximum length in tokens and the name.
 pub const CLASSES: [(u64, &str); 4] = [
@@ -59,10 +59,10 @@
 }
 
 /// Returns times to first token by prompt length class.
-pub fn first_tokens(measured: &[Measured]) -> [Durations; 4] {
+pub fn first_tokens(measured: &[MeasuredCall]) -> [Durations; 4] {
     let mut classes: [Durations; 4] = Default::default();
     for m in measured {
-        if let Some(ttft) = m.result.first_token {
+        if let Some(ttft) = m.result.ttft {
             classes[class_of(m.planned.prompt_tokens)].add(ttft);
         }
     }
@@ -72,9 +72,9 @@
 /// Formats the outcome of a call.
 pub fn outcome_text(end: &CallEnd) -> String {
     match end {
-        CallEnd::Whole => "complete".to_owned(),
-        CallEnd::Wrong(reason) => format!("INVALID: {reason}"),
-        CallEnd::Cut(reason) => format!("connection lost: {reason}"),
+        CallEnd::Complete => "complete".to_owned(),
+        CallEnd::InvalidResponse(reason) => format!("INVALID: {reason}"),
+        CallEnd::ConnectionLost(reason) => format!("connection lost: {reason}"),
         CallEnd::Failed { code, outcome, .. } => {
             let outcome_name = match outcome {
                 ExecutionOutcome::NotRun => "not run",
@@ -87,7 +87,7 @@
 }
 
 /// Counts calls by outcome.
-pub fn outcomes(measured: &[Measured]) -> BTreeMap<String, usize> {
+pub fn outcomes(measured: &[MeasuredCall]) -> BTreeMap<String, usize> {
     let mut counts = BTreeMap::new();
     for m in measured {
         *counts.entry(outcome_text(&m.result.end)).or_default() += 1;
@@ -96,8 +96,8 @@
 }
 
 /// Returns whether every response was complete.
-pub fn all_whole(measured: &[Measured]) -> bool {
-    measured.iter().all(|m| m.result.end == CallEnd::Whole)
+pub fn all_complete(measured: &[MeasuredCall]) -> bool {
+    measured.iter().all(|m| m.result.end == CallEnd::Complete)
 }
 
 /// Returns an empty table with headings. All columns but the first are right-aligned.
@@ -111,7 +111,7 @@
 }
 
 /// Returns the table of times to first token.
-pub fn first_token_table(measured: &[Measured]) -> Table {
+pub fn first_token_table(measured: &[MeasuredCall]) -> Table {
     let mut table = table(&[
         "prompt, tokens",
         "requests",
@@ -133,7 +133,7 @@
 }
 
 /// Returns the table of outcomes.
-pub fn outcome_table(measured: &[Measured]) -> Table {
+pub fn outcome_table(measured: &[MeasuredCall]) -> Table {
     let mut table = table(&["outcome", "requests"]);
     for (outcome, count) in outcomes(measured) {
         table.add_row([outcome, count.to_string()]);
--- a/crates/notchwalk_standin/src/routed/bound.rs
+++ b/crates/notchwalk_standin/src/routed/bound.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Counted {
     /// Prefill, within the latency objective.
-    Reading,
+    Prefill,
     /// Prefill and decode, until the last event if each takes the whole inter-token
     /// objective.
     All,
@@ -89,7 +89,7 @@
     let p = parameters();
     let cost = EngineCost::new(&p);
     let prefill_ms = cost.prefill_ms(arrival.prompt, arrival.prompt);
-    if counted == Counted::Reading {
+    if counted == Counted::Prefill {
         return prefill_ms;
     }
     let events = f64::from(arrival.events);
@@ -103,7 +103,7 @@
     let kind = &KINDS[arrival.kind];
     let first = arrival.at.after(kind.objective);
     match counted {
-        Counted::Reading => (arrival.at, first),
+        Counted::Prefill => (arrival.at, first),
         Counted::All => (
             arrival.at,
             first.after(kind.inter_token_objective * arrival.events),
@@ -123,7 +123,7 @@
 }
 
 /// Returns for each arrival the share of its in-time value that the relaxed schedule earns.
-pub fn in_time(arrivals: &[Arrival], counted: Counted) -> Vec<f64> {
+pub fn served_shares(arrivals: &[Arrival], counted: Counted) -> Vec<f64> {
     let interval_us = INTERVAL.as_micros() as u64;
     let jobs = arrivals.iter().enumerate().map(|(index, arrival)| {
         let (from, until) = window(arrival, counted);
--- a/crates/notchwalk_standin/src/routed/engine.rs
+++ b/crates/notchwalk_standin/src/routed/engine.rs
@@ -15,24 +15,24 @@
 
 /// A prompt, or a segment of one, to prefill.
 #[derive(Clone, Copy, Debug)]
-pub struct Part {
+pub struct Segment {
     /// The request.
     pub request: RequestIndex,
     /// Remaining tokens to prefill on this engine.
     pub tokens: f64,
-    /// Tokens of the whole prompt.
-    pub whole: f64,
+    /// Tokens of the complete prompt.
+    pub prompt_tokens: f64,
     /// Whether another engine decodes.
-    pub helps: bool,
+    pub is_remote: bool,
 }
 
 /// Progress of a request in an engine step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
     /// The prefill of a segment is complete.
-    Read(RequestIndex),
+    Prefilled(RequestIndex),
     /// A decoding request produced an event.
-    Wrote(RequestIndex),
+    Decoded(RequestIndex),
 }
 
 /// An engine step in progress.
@@ -48,10 +48,10 @@
 pub struct SimulatedEngine {
     parameters: EngineParameters,
     /// Segments in the order in which they are prefilled.
-    prefill_queue: VecDeque<Part>,
+    prefill_queue: VecDeque<Segment>,
     /// Prompts that wait for a slot or memory, with the tokens of memory that they need, in
     /// order of arrival.
-    waiting: VecDeque<(Part, f64)>,
+    waiting: VecDeque<(Segment, f64)>,
     /// Context of each decoding request, in tokens.
     decoding: BTreeMap<RequestIndex, f64>,
     /// Memory allocated to each request, in tokens.
@@ -73,13 +73,13 @@
     }
 
     /// Enqueues a segment of a request that decodes on another engine.
-    pub fn help(&mut self, segment: Part) {
+    pub fn enqueue_remote_segment(&mut self, segment: Segment) {
         self.prefill_queue.push_front(segment);
     }
 
     /// Enqueues a prompt, or this engine's segment of one, that decodes on this engine and
     /// needs `memory` tokens.
-    pub fn take(&mut self, segment: Part, memory: f64) {
+    pub fn enqueue_prompt(&mut self, segment: Segment, memory: f64) {
         self.waiting.push_back((segment, memory));
         self.admit();
     }
@@ -90,7 +90,7 @@
             let prefilling = self
                 .prefill_queue
                 .iter()
-                .filter(|segment| !segment.helps)
+                .filter(|segment| !segment.is_remote)
                 .count();
             let full = self.decoding.len() + prefilling >= self.parameters.slots as usize;
             if full || used + memory > self.parameters.memory_tokens as f64 {
@@ -114,7 +114,7 @@
 
     /// Starts to decode a request whose prefill is complete, with a context of `context`
     /// tokens on this engine.
-    pub fn generate(&mut self, request: RequestIndex, context: f64) {
+    pub fn begin_decode(&mut self, request: RequestIndex, context: f64) {
         self.decoding.insert(request, context);
     }
 
@@ -131,7 +131,7 @@
 
     /// Begins the next engine step if there is work and none is in progress. Returns its
     /// duration in milliseconds.
-    pub fn begin_pass(&mut self) -> Option<f64> {
+    pub fn begin_step(&mut self) -> Option<f64> {
         if self.step.is_some() || (self.decoding.is_empty() && self.prefill_queue.is_empty()) {
             return None;
         }
@@ -163,7 +163,7 @@
             if tokens <= 0.0 {
                 break;
             }
-            ms += cost.prefill_ms(tokens, segment.whole);
+            ms += cost.prefill_ms(tokens, segment.prompt_tokens);
             budget -= tokens;
             segment.tokens -= tokens;
             if segment.tokens <= 0.0 {
@@ -176,13 +176,13 @@
 
     /// Ends the engine step in progress. Returns its progress; events of requests that were
     /// removed meanwhile are omitted.
-    pub fn end_pass(&mut self) -> Vec<Progress> {
+    pub fn end_step(&mut self) -> Vec<Progress> {
         let Some(step) = self.step.take() else {
             return Vec::new();
         };
-        let prefilled = step.prefilled.into_iter().map(Progress::Read);
+        let prefilled = step.prefilled.into_iter().map(Progress::Prefilled);
         let decoding = step.decoding.into_iter();
         let decoded = decoding.filter(|request| self.decoding.contains_key(request));
-        prefilled.chain(decoded.map(Progress::Wrote)).collect()
+        prefilled.chain(decoded.map(Progress::Decoded)).collect()
     }
 }
--- a/crates/notchwalk_standin/src/routed/limits.rs
+++ b/crates/notchwalk_standin/src/routed/limits.rs
@@ -18,7 +18,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use super::limits_plan::{Demand, LimitsOutcome, LimitsPlan, Trouble};
+use super::limits_plan::{Demand, LimitsOutcome, LimitsPlan, NodeFault};
 
 const SERVICE: &str = "desk";
 /// Interval of a router's ticks, as in the daemon.
@@ -33,7 +33,7 @@
 const SERVICE_TIME: Duration = Duration::from_millis(60);
 /// Timeout of a request, including its time in the queue.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Number of servers without a limit if [`LimitsPlan::others`] is set.
+/// Number of servers without a limit if [`LimitsPlan::has_unlimited_servers`] is set.
 pub const UNLIMITED_SERVERS: usize = 2;
 
 /// A scheduled event. Requests and responses hold the node, its incarnation, the request, the
@@ -51,7 +51,7 @@
     },
     RequestReachesServer(usize, u64, RequestKey, usize, Instant),
     ResponseArrives(usize, u64, RequestKey, usize, Instant, Option<RateLimit>),
-    FaultBegins(usize, Trouble),
+    FaultBegins(usize, NodeFault),
     Restart(usize),
     SendKnownLimits(usize),
 }
@@ -69,7 +69,7 @@
 }
 
 /// A simulation of nodes that share servers with rate limits.
-pub struct LimitsWorld {
+pub struct LimitsSimulation {
     plan: LimitsPlan,
     now: Instant,
     nodes: Vec<Node>,
@@ -81,7 +81,7 @@
 }
 
 /// Start time of a run. It is not zero, so that earlier times can be represented.
-pub const BEGIN: Instant = Instant::from_millis(10_000);
+pub const START: Instant = Instant::from_millis(10_000);
 
 fn node_name(node: usize) -> String {
     format!("entry-{node}")
@@ -131,20 +131,20 @@
     }
 }
 
-impl LimitsWorld {
+impl LimitsSimulation {
     /// Creates a simulation at its start.
     pub fn new(plan: LimitsPlan) -> Self {
         let servers = plan.limits.len();
         let mut simulation = Self {
-            now: BEGIN,
+            now: START,
             nodes: Vec::new(),
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
             sequence: 0,
             rng: Pcg64Mcg::seed_from_u64(plan.seed),
             outcome: LimitsOutcome {
-                reached: vec![Vec::new(); servers],
-                heard_end: vec![None; plan.nodes],
+                requests: vec![Vec::new(); servers],
+                limit_end_received: vec![None; plan.nodes],
                 ..LimitsOutcome::default()
             },
             plan,
@@ -157,7 +157,7 @@
             let phase = HEARTBEAT.mul_f64(simulation.rng.random_range(0.0..1.0));
             simulation.schedule(phase, Scheduled::Heartbeat(node));
         }
-        for (at, node, fault) in simulation.plan.troubles.clone() {
+        for (at, node, fault) in simulation.plan.faults.clone() {
             simulation.schedule(at, Scheduled::FaultBegins(node, fault));
         }
         simulation.schedule(Duration::ZERO, Scheduled::RequestArrives);
@@ -173,7 +173,7 @@
             retry_window: Duration::from_secs(10),
             seed: self.plan.seed + node as u64,
         });
-        let others = if self.plan.others {
+        let others = if self.plan.has_unlimited_servers {
             UNLIMITED_SERVERS
         } else {
             0
@@ -218,7 +218,7 @@
 
     /// Runs the simulation to its end.
     pub fn run(mut self) -> LimitsOutcome {
-        let end = BEGIN.after(self.plan.lasts);
+        let end = START.after(self.plan.duration);
         while let Some(Reverse((at, sequence))) = self.queue.pop() {
             if at >= end {
                 break;
@@ -270,17 +270,17 @@
         }
     }
 
-    fn inject_fault(&mut self, node: usize, fault: Trouble) {
+    fn inject_fault(&mut self, node: usize, fault: NodeFault) {
         let now = self.now;
         let node_state = &mut self.nodes[node];
         match fault {
-            Trouble::Kill(time) => {
+            NodeFault::Crash(time) => {
                 node_state.is_running = false;
                 node_state.incarnation += 1;
                 self.schedule(time, Scheduled::Restart(node));
             }
-            Trouble::Suspend(time) => node_state.suspended_until = now.after(time),
-            Trouble::Cut(time) => node_state.partitioned_until = now.after(time),
+            NodeFault::Suspend(time) => node_state.suspended_until = now.after(time),
+            NodeFault::Isolate(time) => node_state.partitioned_until = now.after(time),
         }
     }
 
@@ -348,7 +348,7 @@
         limits: Vec<LimitUpdate>,
         is_heartbeat: bool,
     ) {
-        if self.plan.silent {
+        if self.plan.equal_shares {
             return;
         }
         let all = 0..self.plan.nodes;
@@ -359,7 +359,10 @@
         for to in targets {
             self.outcome.messages += 1;
             let is_partitioned = |node: usize| self.nodes[node].partitioned_until > self.now;
-            if is_partitioned(from) || is_partitioned(to) || self.rng.random_bool(self.plan.lost) {
+            if is_partitioned(from)
+                || is_partitioned(to)
+                || self.rng.random_bool(self.plan.message_loss)
+            {
                 continue;
             }
             let latency = self.sample_latency();
@@ -398,7 +401,7 @@
     }
 
     fn handle_arrival(&mut self) {
-        let gap = -self.rng.random_range(1e-9f64..1.0).ln() / self.plan.asked_per_s;
+        let gap = -self.rng.random_range(1e-9f64..1.0).ln() / self.plan.requests_per_s;
         self.schedule(Duration::from_secs_f64(gap), Scheduled::RequestArrives);
         let node = match self.plan.demand {
             Demand::Even => self.rng.random_range(0..self.plan.nodes),
@@ -461,7 +464,7 @@
             Effect::Send { request, to } => {
                 let waited = self.nodes[node].arrived_at.get(&request);
                 let waited = waited.map(|&at| self.now.since(at)).unwrap_or_default();
-                self.outcome.waited += usize::from(waited >= Duration::from_millis(20));
+                self.outcome.delayed += usize::from(waited >= Duration::from_millis(20));
                 let server = to.instance.trim_start_matches("i-").parse();
                 let server = server.expect("instance names end in a server index");
                 let (incarnation, latency) = (self.nodes[node].incarnation, self.sample_latency());
@@ -477,7 +480,7 @@
                 notice: ServerNotice::Limit { limit: None, .. },
                 ..
             } => {
-                self.outcome.heard_end[node].get_or_insert(self.now);
+                self.outcome.limit_end_received[node].get_or_insert(self.now);
             }
             _ => {}
         }
@@ -492,11 +495,11 @@
         sent_at: Instant,
     ) {
         let limits = &self.plan.limits;
-        if let Some(reached) = self.outcome.reached.get_mut(server) {
-            reached.push((self.now, node));
+        if let Some(requests) = self.outcome.requests.get_mut(server) {
+            requests.push((self.now, node));
         }
-        let ended = self.plan.ends_at;
-        let ended = ended.is_some_and(|at| self.now.after(SERVICE_TIME) >= BEGIN.after(at));
+        let ended = self.plan.limits_end_after;
+        let ended = ended.is_some_and(|at| self.now.after(SERVICE_TIME) >= START.after(at));
         let limit = limits.get(server).filter(|_| !ended);
         let limit = limit.and_then(|&limit| RateLimit::per_second(limit));
         let delay = SERVICE_TIME + self.sample_latency();
--- a/crates/notchwalk_standin/src/routed/limits_plan.rs
+++ b/crates/notchwalk_standin/src/routed/limits_plan.rs
@@ -15,13 +15,13 @@
 
 /// A fault of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum NodeFault {
     /// The process crashes and restarts after this time, without its state.
-    Kill(Duration),
+    Crash(Duration),
     /// The machine is suspended for this time.
     Suspend(Duration),
     /// The node is partitioned from its peers for this time, but not from servers.
-    Cut(Duration),
+    Isolate(Duration),
 }
 
 /// The parameters of a run.
@@ -32,21 +32,21 @@
     /// The limit of each limited server, in requests per second.
     pub limits: Vec<f64>,
     /// Whether there are also servers without a limit.
-    pub others: bool,
+    pub has_unlimited_servers: bool,
     /// Distribution of requests over the nodes.
     pub demand: Demand,
     /// Requests per second to all nodes together.
-    pub asked_per_s: f64,
+    pub requests_per_s: f64,
     /// Probability that a message between nodes is lost.
-    pub lost: f64,
+    pub message_loss: f64,
     /// Whether nodes send no messages to each other, so that each has an equal share.
-    pub silent: bool,
+    pub equal_shares: bool,
     /// Faults: time since the start, node, fault.
-    pub troubles: Vec<(Duration, usize, Trouble)>,
+    pub faults: Vec<(Duration, usize, NodeFault)>,
     /// Time since the start from which servers announce that they have no limit.
-    pub ends_at: Option<Duration>,
+    pub limits_end_after: Option<Duration>,
     /// Duration of the run.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// Seed of the random number generator.
     pub seed: u64,
 }
@@ -58,14 +58,14 @@
         Self {
             nodes,
             limits,
-            others: false,
+            has_unlimited_servers: false,
             demand,
-            asked_per_s: (3.0 * total_per_s).max(20.0),
-            lost: 0.0,
-            silent: false,
-            troubles: Vec::new(),
-            ends_at: None,
-            lasts: Duration::from_secs(24),
+            requests_per_s: (3.0 * total_per_s).max(20.0),
+            message_loss: 0.0,
+            equal_shares: false,
+            faults: Vec::new(),
+            limits_end_after: None,
+            duration: Duration::from_secs(24),
             seed: 1,
         }
     }
@@ -75,15 +75,15 @@
 #[derive(Clone, Debug, Default)]
 pub struct LimitsOutcome {
     /// For each limited server, the time and the node of each request that reached it.
-    pub reached: Vec<Vec<(Instant, usize)>>,
+    pub requests: Vec<Vec<(Instant, usize)>>,
     /// Number of requests served.
     pub served: usize,
     /// Number of requests refused.
     pub refused: usize,
     /// Number of requests that were sent to a server 20 ms or more after their arrival.
-    pub waited: usize,
+    pub delayed: usize,
     /// When each node first received the end of a limit.
-    pub heard_end: Vec<Option<Instant>>,
+    pub limit_end_received: Vec<Option<Instant>>,
     /// Restarts: node and time.
     pub restarts: Vec<(usize, Instant)>,
     /// Number of messages between nodes.
@@ -97,15 +97,15 @@
 impl LimitsOutcome {
     /// Returns the maximum number of requests that reached a server in any `window` from
     /// `since` on, without those of recently restarted nodes.
-    pub fn most_within(&self, server: usize, window: Duration, since: Instant) -> usize {
+    pub fn max_in_window(&self, server: usize, window: Duration, since: Instant) -> usize {
         let in_grace_period = |node: usize, at: Instant| {
             let mut restarts = self.restarts.iter();
             restarts.any(|&(restarted, from)| {
                 restarted == node && at >= from && at < from.after(RESTART_GRACE_PERIOD)
             })
         };
-        let reached = self.reached[server].iter();
-        let counted = reached.filter(|&&(at, node)| at >= since && !in_grace_period(node, at));
+        let requests = self.requests[server].iter();
+        let counted = requests.filter(|&&(at, node)| at >= since && !in_grace_period(node, at));
         let at: Vec<Instant> = counted.map(|(at, _)| *at).collect();
         let within = |(first, from): (usize, &Instant)| {
             at[first..]
@@ -124,7 +124,7 @@
     }
 
     fn times(&self, server: usize, since: Instant) -> Vec<Instant> {
-        let reached = self.reached[server].iter().map(|(at, _)| *at);
-        reached.filter(|at| *at >= since).collect()
+        let requests = self.requests[server].iter().map(|(at, _)| *at);
+        requests.filter(|at| *at >= since).collect()
     }
 }
--- a/crates/notchwalk_standin/src/routed/mod.rs
+++ b/crates/notchwalk_standin/src/routed/mod.rs
@@ -9,7 +9,7 @@
 //! | `limits_plan` | input and outcome of a run of `limits` |
 //! | `policy` | routing policies and the site configuration |
 //! | `traffic` | kinds of requests, waves, arrivals |
-//! | `world` | routers and engines, and the outcome of each arrival |
+//! | `simulation` | routers and engines, and the outcome of each arrival |
 //! | `report` | shares of value by kind and wave, as a table and a plot |
 
 pub mod bound;
@@ -18,8 +18,8 @@
 pub mod limits_plan;
 pub mod policy;
 pub mod report;
+pub mod simulation;
 pub mod traffic;
-pub mod world;
 
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -27,25 +27,25 @@
 use bound::Counted;
 use policy::Policy;
 use report::Report;
-use world::Simulation;
+use simulation::Simulation;
 
 /// Returns the upper bound on what any policy can earn over the same seeds.
 pub fn bound(counted: Counted, seeds: std::ops::Range<u64>, load: f64) -> Report {
     let name = match counted {
-        Counted::Reading => "bound_reading",
+        Counted::Prefill => "bound_reading",
         Counted::All => "bound_all_work",
     };
     let mut report = Report::new(name);
     for seed in seeds {
         let arrivals = traffic::arrivals(&mut Pcg64Mcg::seed_from_u64(seed), load);
-        let shares = bound::in_time(&arrivals, counted);
+        let shares = bound::served_shares(&arrivals, counted);
         report.add_shares(arrivals.iter().zip(shares));
     }
     report
 }
 
 /// Simulates one policy over several seeds, with `load` times the reference traffic.
-pub fn play(policy: Policy, seeds: std::ops::Range<u64>, load: f64) -> Report {
+pub fn simulate(policy: Policy, seeds: std::ops::Range<u64>, load: f64) -> Report {
     let mut report = Report::new(policy.name);
     for seed in seeds {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
--- a/crates/notchwalk_standin/src/routed/report.rs
+++ b/crates/notchwalk_standin/src/routed/report.rs
@@ -5,8 +5,8 @@
 use plotters::prelude::*;
 
 use super::{
+    simulation::Outcome,
     traffic::{Arrival, KINDS, WAVES},
-    world::Outcome,
 };
 
 /// Share of its value that a late answer earns.
@@ -58,7 +58,7 @@
             let earned = match outcome {
                 Outcome::InTime => value,
                 Outcome::LateFirstEvent | Outcome::LongGap => value * LATE_VALUE_SHARE,
-                Outcome::Open | Outcome::Refused | Outcome::Abandoned => 0.0,
+                Outcome::Pending | Outcome::Refused | Outcome::Abandoned => 0.0,
             };
             let sum = self.groups.entry((arrival.kind, arrival.wave)).or_default();
             sum.offered += value;
@@ -83,17 +83,17 @@
     }
 
     /// Returns the earned share of the total value.
-    pub fn worth(&self) -> f64 {
+    pub fn value_share(&self) -> f64 {
         self.share_of(|_, _| true)
     }
 
     /// Returns the earned share of the value of a kind, by index in [`KINDS`].
-    pub fn worth_of_kind(&self, kind: usize) -> f64 {
+    pub fn value_share_of_kind(&self, kind: usize) -> f64 {
         self.share_of(|of, _| of == kind)
     }
 
     /// Returns the earned share of the value of a wave, by index in [`WAVES`].
-    pub fn worth_of_wave(&self, wave: usize) -> f64 {
+    pub fn value_share_of_wave(&self, wave: usize) -> f64 {
         self.share_of(|_, of| of == wave)
     }
 
@@ -109,7 +109,7 @@
     }
 
     /// Returns the share of the total value that was lost with an outcome.
-    pub fn lost_by(&self, outcome: Outcome) -> f64 {
+    pub fn loss_share(&self, outcome: Outcome) -> f64 {
         self.losses.get(&outcome).copied().unwrap_or(0.0) / self.offered.max(1.0)
     }
 }
@@ -129,10 +129,15 @@
     header.extend(LOSSES.iter().map(|(name, _)| format!("lost: {name}")));
     table.set_header(header);
     for report in reports {
-        let mut row = vec![report.name.to_owned(), format!("{:.3}", report.worth())];
-        row.extend((0..KINDS.len()).map(|kind| format!("{:.3}", report.worth_of_kind(kind))));
-        row.extend((0..WAVES.len()).map(|wave| format!("{:.3}", report.worth_of_wave(wave))));
-        let losses = LOSSES.iter().map(|&(_, outcome)| report.lost_by(outcome));
+        let mut row = vec![
+            report.name.to_owned(),
+            format!("{:.3}", report.value_share()),
+        ];
+        row.extend((0..KINDS.len()).map(|kind| format!("{:.3}", report.value_share_of_kind(kind))));
+        row.extend((0..WAVES.len()).map(|wave| format!("{:.3}", report.value_share_of_wave(wave))));
+        let losses = LOSSES
+            .iter()
+            .map(|&(_, outcome)| report.loss_share(outcome));
         row.extend(losses.map(|share| format!("{share:.3}")));
         table.add_row(row);
     }
@@ -172,8 +177,8 @@
         let width = 0.8 / BARS as f64;
         let bars = reports.iter().enumerate().map(|(index, report)| {
             let share = match bar < KINDS.len() {
-                true => report.worth_of_kind(bar),
-                false => report.worth(),
+                true => report.value_share_of_kind(bar),
+                false => report.value_share(),
             };
             let left = index as f64 + 0.1 + width * bar as f64;
             Rectangle::new([(left, 0.0), (left + width, share)], style)
--- a/crates/notchwalk_standin/src/routed/world.rs
+++ b/crates/notchwalk_standin/src/routed/simulation.rs
@@ -16,7 +16,7 @@
 };
 
 use super::{
-    engine::{Part, Progress, RequestIndex, SimulatedEngine},
+    engine::{Progress, RequestIndex, Segment, SimulatedEngine},
     policy::{parameters, record, site, Policy, ENGINES, NETWORK_LATENCY},
     traffic::{Arrival, KINDS, TOKENS_PER_EVENT},
 };
@@ -34,7 +34,7 @@
 pub enum Outcome {
     /// Not finished.
     #[default]
-    Open,
+    Pending,
     /// Complete and within its objectives.
     InTime,
     /// Complete, but the first event was late.
@@ -188,7 +188,7 @@
             open = match open {
                 0 => 0,
                 _ => requests
-                    .filter(|request| request.outcome == Outcome::Open)
+                    .filter(|request| request.outcome == Outcome::Pending)
                     .count(),
             };
             if open == 0 {
@@ -382,11 +382,11 @@
             .filter(|&engine| engine != decoding_engine)
             .collect();
         let segments = workers.len() + 1;
-        let segment = Part {
+        let segment = Segment {
             request: index,
             tokens: arrival.prompt / segments as f64,
-            whole: arrival.prompt,
-            helps: false,
+            prompt_tokens: arrival.prompt,
+            is_remote: false,
         };
         let request = &mut self.requests[index];
         request.segments_left = segments;
@@ -397,10 +397,10 @@
         request.engines = std::iter::once(decoding_engine)
             .chain(workers.clone())
             .collect();
-        self.engines[decoding_engine].take(segment, memory);
+        self.engines[decoding_engine].enqueue_prompt(segment, memory);
         for engine in workers {
-            self.engines[engine].help(Part {
-                helps: true,
+            self.engines[engine].enqueue_remote_segment(Segment {
+                is_remote: true,
                 ..segment
             });
             self.begin_step(engine);
@@ -409,17 +409,17 @@
     }
 
     fn begin_step(&mut self, engine: usize) {
-        if let Some(ms) = self.engines[engine].begin_pass() {
+        if let Some(ms) = self.engines[engine].begin_step() {
             let after = Duration::from_secs_f64(ms / 1e3);
             self.schedule(after, Scheduled::StepEnds(engine));
         }
     }
 
     fn end_step(&mut self, engine: usize) {
-        for progress in self.engines[engine].end_pass() {
+        for progress in self.engines[engine].end_step() {
             match progress {
-                Progress::Read(index) => self.segment_prefilled(index, engine),
-                Progress::Wrote(index) => self.event_decoded(index),
+                Progress::Prefilled(index) => self.segment_prefilled(index, engine),
+                Progress::Decoded(index) => self.event_decoded(index),
             }
         }
         self.begin_step(engine);
@@ -428,7 +428,7 @@
     fn segment_prefilled(&mut self, index: RequestIndex, engine: usize) {
         let prompt = self.arrivals[index].prompt;
         let request = &mut self.requests[index];
-        if request.engines.is_empty() || request.outcome != Outcome::Open {
+        if request.engines.is_empty() || request.outcome != Outcome::Pending {
             return;
         }
         request.segments_left -= 1;
@@ -437,7 +437,7 @@
         }
         let decoding_engine = request.engines[0];
         let context = prompt / request.engines.len() as f64;
-        self.engines[decoding_engine].generate(index, context);
+        self.engines[decoding_engine].begin_decode(index, context);
         match decoding_engine == engine {
             // The step that completes the prefill also yields the first event.
             true => self.event_decoded(index),
@@ -448,7 +448,7 @@
     fn event_decoded(&mut self, index: RequestIndex) {
         let now = self.now.after(NETWORK_LATENCY + CALLER_LATENCY);
         let request = &mut self.requests[index];
-        if request.outcome != Outcome::Open {
+        if request.outcome != Outcome::Pending {
             return;
         }
         if let Some(last) = request.last_event_at {
@@ -491,7 +491,7 @@
 
     fn handle_caller_timeout(&mut self, index: RequestIndex) {
         let request = &mut self.requests[index];
-        let is_waiting = request.outcome == Outcome::Open && request.first_event_at.is_none();
+        let is_waiting = request.outcome == Outcome::Pending && request.first_event_at.is_none();
         let is_registered = self.by_key.contains_key(&(request.node, request.key));
         if !is_waiting || !is_registered {
             return;
--- a/crates/notchwalk_standin/src/soak/arrivals.rs
+++ b/crates/notchwalk_standin/src/soak/arrivals.rs
@@ -4,9 +4,9 @@
 use notchwalk_decide::{Arrival, CallWork, CallerKey, Event, GenerateWork, Work};
 use rand::Rng;
 
-use super::{callers::RequestKind, world::World};
+use super::{callers::RequestKind, simulation::Simulation};
 
-impl World {
+impl Simulation {
     pub(super) fn schedule_arrivals(&mut self, end_us: u64) {
         let gap_us = self.rng.random_range(2_000..40_000);
         self.schedule_after(gap_us, move |w| {
--- a/crates/notchwalk_standin/src/soak/delivery.rs
+++ b/crates/notchwalk_standin/src/soak/delivery.rs
@@ -8,10 +8,10 @@
 
 use super::{
     callers::RequestKind,
-    world::{Mechanism, World},
+    simulation::{Mechanism, Simulation},
 };
 
-impl World {
+impl Simulation {
     /// Returns whether the node has closed the attempt's connection.
     pub(super) fn is_closed(&self, id: RequestId, attempt: Attempt) -> bool {
         self.closed.contains(&(id, Attempt(u16::MAX)))
--- a/crates/notchwalk_standin/src/soak/faults.rs
+++ b/crates/notchwalk_standin/src/soak/faults.rs
@@ -2,7 +2,7 @@
 
 use rand::Rng;
 
-use super::world::World;
+use super::simulation::Simulation;
 
 const MAX_FAULT_DURATION_US: u64 = 6_000_000;
 
@@ -41,7 +41,7 @@
     Fault::NodePause,
 ];
 
-impl World {
+impl Simulation {
     /// Injects one random fault.
     pub(super) fn inject_fault(&mut self) {
         let fault = match self.rng.random_range(0..40) {
--- a/crates/notchwalk_standin/src/soak/mod.rs
+++ b/crates/notchwalk_standin/src/soak/mod.rs
@@ -10,6 +10,6 @@
 mod delivery;
 mod fakes;
 mod faults;
-mod world;
+mod simulation;
 
-pub use world::{Mechanism, SoakOptions, SoakReport, World};
+pub use simulation::{Mechanism, Simulation, SoakOptions, SoakReport};
--- a/crates/notchwalk_standin/src/soak/world.rs
+++ b/crates/notchwalk_standin/src/soak/simulation.rs
@@ -41,7 +41,7 @@
     /// The random seed. Equal options give identical runs.
     pub seed: u64,
     /// How long requests are submitted, in seconds of virtual time.
-    pub seconds: u64,
+    pub virtual_seconds: u64,
     /// The number of nodes.
     pub nodes: usize,
     /// The number of engines.
@@ -49,7 +49,7 @@
     /// Whether faults are injected.
     pub faults: bool,
     /// A mechanism to disable, to check that the simulation detects its absence.
-    pub without: Option<Mechanism>,
+    pub disabled: Option<Mechanism>,
 }
 
 /// A mechanism that can be disabled.
@@ -63,14 +63,14 @@
 
 impl SoakOptions {
     /// Creates options for three nodes and six engines, with faults.
-    pub fn new(seed: u64, seconds: u64) -> Self {
+    pub fn new(seed: u64, virtual_seconds: u64) -> Self {
         Self {
             seed,
-            seconds,
+            virtual_seconds,
             nodes: 3,
             engines: 6,
             faults: true,
-            without: None,
+            disabled: None,
         }
     }
 }
@@ -79,7 +79,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SoakReport {
     /// Events processed by nodes.
-    pub steps: u64,
+    pub events: u64,
     /// Requests admitted.
     pub admitted: u64,
     /// Requests that completed.
@@ -92,7 +92,7 @@
     pub violations: Vec<String>,
 }
 
-type Action = Box<dyn FnOnce(&mut World)>;
+type Action = Box<dyn FnOnce(&mut Simulation)>;
 
 /// A node across its incarnations.
 pub(super) struct NodeSlot {
@@ -106,7 +106,7 @@
 }
 
 /// A simulation of nodes, fake engines, services and a claim table.
-pub struct World {
+pub struct Simulation {
     pub(super) now_us: u64,
     pub(super) rng: Pcg64Mcg,
     pub(super) nodes: Vec<NodeSlot>,
@@ -144,10 +144,10 @@
     Bundle::parse(1, &Operators::new(1).parts(&spec)).expect("a valid bundle")
 }
 
-impl World {
+impl Simulation {
     /// Creates a simulation and starts its nodes.
     pub fn new(options: SoakOptions) -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             now_us: 10_000_000,
             rng: Pcg64Mcg::seed_from_u64(options.seed),
             nodes: Vec::new(),
@@ -168,7 +168,7 @@
             latest_attempts: HashMap::new(),
         };
         for i in 0..options.nodes {
-            world.nodes.push(NodeSlot {
+            simulation.nodes.push(NodeSlot {
                 node: None,
                 boot: 0,
                 paused_until_us: 0,
@@ -176,14 +176,14 @@
                 requests: OpenRequests::default(),
                 pending_arrival: None,
             });
-            world.start_node(i);
+            simulation.start_node(i);
         }
-        world
+        simulation
     }
 
     /// Runs the simulation to its end and returns the results.
     pub fn run(mut self) -> SoakReport {
-        let end_us = self.now_us + self.options.seconds * 1_000_000;
+        let end_us = self.now_us + self.options.virtual_seconds * 1_000_000;
         self.schedule_arrivals(end_us);
         if self.options.faults {
             self.schedule_faults(end_us);
@@ -206,23 +206,35 @@
         }
     }
 
-    pub(super) fn schedule_at(&mut self, at_us: u64, action: impl FnOnce(&mut World) + 'static) {
+    pub(super) fn schedule_at(
+        &mut self,
+        at_us: u64,
+        action: impl FnOnce(&mut Simulation) + 'static,
+    ) {
         self.next_action += 1;
         let key = (at_us.max(self.now_us), self.next_action);
         self.actions.insert(key, Box::new(action));
     }
 
-    pub(super) fn schedule_after(&mut self, us: u64, action: impl FnOnce(&mut World) + 'static) {
+    pub(super) fn schedule_after(
+        &mut self,
+        us: u64,
+        action: impl FnOnce(&mut Simulation) + 'static,
+    ) {
         self.schedule_at(self.now_us + us, action);
     }
 
     /// Schedules the end of a fault.
-    pub(super) fn clear_fault_after(&mut self, us: u64, clear: impl FnOnce(&mut World) + 'static) {
+    pub(super) fn clear_fault_after(
+        &mut self,
+        us: u64,
+        clear: impl FnOnce(&mut Simulation) + 'static,
+    ) {
         self.schedule_after(us, clear);
     }
 
     pub(super) fn is_disabled(&self, mechanism: Mechanism) -> bool {
-        self.options.without == Some(mechanism)
+        self.options.disabled == Some(mechanism)
     }
 
     pub(super) fn chance(&mut self, percent: u32) -> bool {
@@ -265,7 +277,7 @@
         });
     }
 
-    fn run_every(&mut self, i: usize, boot: u64, us: u64, f: fn(&mut World, usize, u64)) {
+    fn run_every(&mut self, i: usize, boot: u64, us: u64, f: fn(&mut Simulation, usize, u64)) {
         if self.nodes[i].boot != boot || self.nodes[i].node.is_none() {
             return;
         }
@@ -375,7 +387,7 @@
         };
         let mut out = Vec::new();
         node.step(Instant::from_micros(self.now_us), event, &mut out);
-        self.report.steps += 1;
+        self.report.events += 1;
         for effect in out {
             self.apply_effect(i, boot, effect, frame);
         }
--- a/crates/notchwalk_standin/src/workload.rs
+++ b/crates/notchwalk_standin/src/workload.rs
@@ -20,7 +20,7 @@
 /// Prompt bytes per token.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// A call planned by [`Stream::plan`].
+/// A call planned by [`TrafficClass::plan`].
 #[derive(Clone, Debug)]
 pub struct PlannedCall {
     /// Send time, from the start of the run.
@@ -28,7 +28,7 @@
     /// Index of the workspace.
     pub workspace: usize,
     /// Index of the node.
-    pub entry: usize,
+    pub node: usize,
     /// Prompt length, in tokens.
     pub prompt_tokens: u64,
     /// Completion length, in tokens.
@@ -61,7 +61,7 @@
 
 /// A planned call and its result.
 #[derive(Clone, Debug)]
-pub struct Measured {
+pub struct MeasuredCall {
     /// The planned call.
     pub planned: PlannedCall,
     /// Its result.
@@ -70,7 +70,7 @@
 
 /// A class of traffic: its rate and the ranges of its lengths.
 #[derive(Clone, Copy, Debug)]
-pub struct Stream {
+pub struct TrafficClass {
     /// Mean calls per second.
     pub per_s: f64,
     /// Minimum prompt length, in tokens.
@@ -78,14 +78,14 @@
     /// Maximum prompt length, in tokens.
     pub max_prompt: u64,
     /// Minimum completion length, in tokens.
-    pub min_answer: u32,
+    pub min_completion: u32,
     /// Maximum completion length, in tokens.
-    pub max_answer: u32,
+    pub max_completion: u32,
     /// Requested timeout.
     pub timeout: Duration,
 }
 
-impl Stream {
+impl TrafficClass {
     /// Plans calls with Poisson arrivals for a duration. The workspace and the node of each
     /// call are drawn uniformly.
     pub fn plan(
@@ -114,9 +114,9 @@
             planned.push(PlannedCall {
                 at,
                 workspace: workspaces[rng.random_range(0..workspaces.len())],
-                entry: rng.random_range(0..nodes),
+                node: rng.random_range(0..nodes),
                 prompt_tokens: length.round() as u64,
-                max_tokens: rng.random_range(self.min_answer..=self.max_answer),
+                max_tokens: rng.random_range(self.min_completion..=self.max_completion),
                 timeout: self.timeout,
                 salt: rng.random(),
             });
@@ -134,7 +134,7 @@
     keys: &[String],
     model: &str,
     mut planned: Vec<PlannedCall>,
-) -> Vec<Measured> {
+) -> Vec<MeasuredCall> {
     const THREADS: usize = 3;
     planned.sort_by_key(|p| p.at);
     let started = Instant::now();
@@ -161,7 +161,7 @@
     nodes: &[SocketAddr],
     keys: &[String],
     model: &str,
-) -> Vec<Measured> {
+) -> Vec<MeasuredCall> {
     let client = Client::new();
     let results = Rc::new(RefCell::new(Vec::new()));
     let mut tasks = Vec::new();
@@ -171,7 +171,7 @@
             monoio::time::sleep(wait).await;
         }
         let call = Call {
-            entry: nodes[planned.entry % nodes.len()],
+            node: nodes[planned.node % nodes.len()],
             key: keys[planned.workspace].clone(),
             model: model.to_owned(),
             prompt: planned.prompt(),
@@ -182,7 +182,7 @@
         let (client, results) = (client.clone(), results.clone());
         tasks.push(monoio::spawn(async move {
             let result = caller::call(&client, &call).await;
-            results.borrow_mut().push(Measured { planned, result });
+            results.borrow_mut().push(MeasuredCall { planned, result });
         }));
     }
     for task in tasks {
@@ -193,13 +193,13 @@
 
 /// A closed-loop caller, which sends its next request when the previous one has ended.
 #[derive(Clone, Debug)]
-pub struct ClosedCaller {
+pub struct ClosedLoopCaller {
     /// Index of the workspace.
     pub workspace: usize,
     /// Index of the node.
-    pub entry: usize,
+    pub node: usize,
     /// Lengths and timeout of its calls; the rate is ignored.
-    pub stream: Stream,
+    pub traffic: TrafficClass,
     /// Stop sequences.
     pub stop: Vec<String>,
     /// Seed of its prompts and lengths.
@@ -208,7 +208,7 @@
 
 /// The result of a closed-loop caller's request.
 #[derive(Clone, Debug)]
-pub struct ClosedResult {
+pub struct ClosedLoopResult {
     /// Index of the workspace.
     pub workspace: usize,
     /// Prompt length, in tokens.
@@ -224,16 +224,16 @@
 /// # Panics
 ///
 /// Panics if a sending thread panics.
-pub fn run_closed(
+pub fn run_closed_loop(
     nodes: &[SocketAddr],
     keys: &[String],
     model: &str,
-    callers: Vec<ClosedCaller>,
+    callers: Vec<ClosedLoopCaller>,
     duration: Duration,
-) -> Vec<ClosedResult> {
+) -> Vec<ClosedLoopResult> {
     const THREADS: usize = 3;
     let started = Instant::now();
-    let mut batches: Vec<Vec<ClosedCaller>> = vec![Vec::new(); THREADS];
+    let mut batches: Vec<Vec<ClosedLoopCaller>> = vec![Vec::new(); THREADS];
     for (i, caller) in callers.into_iter().enumerate() {
         batches[i % THREADS].push(caller);
     }
@@ -246,13 +246,13 @@
                     let results = Rc::new(RefCell::new(Vec::new()));
                     let client = Client::new();
                     for caller in batch {
-                        let entry = nodes[caller.entry % nodes.len()];
+                        let node = nodes[caller.node % nodes.len()];
                         let key = keys[caller.workspace].clone();
                         let (client, model) = (client.clone(), model.clone());
                         let results = results.clone();
                         notchwalk_http::spawn(async move {
-                            run_closed_caller(
-                                &client, started, entry, key, model, caller, &results,
+                            run_closed_loop_caller(
+                                &client, started, node, key, model, caller, &results,
                             )
                             .await;
                         });
@@ -270,21 +270,21 @@
     results.collect()
 }
 
-async fn run_closed_caller(
+async fn run_closed_loop_caller(
     client: &Client,
     started: Instant,
-    entry: SocketAddr,
+    node: SocketAddr,
     key: String,
     model: String,
-    caller: ClosedCaller,
-    results: &RefCell<Vec<ClosedResult>>,
+    caller: ClosedLoopCaller,
+    results: &RefCell<Vec<ClosedLoopResult>>,
 ) {
     let mut rng = Pcg64Mcg::seed_from_u64(caller.seed);
-    let stream = &caller.stream;
+    let traffic = &caller.traffic;
     loop {
         let (low, high) = (
-            (stream.min_prompt as f64).ln(),
-            (stream.max_prompt as f64).ln(),
+            (traffic.min_prompt as f64).ln(),
+            (traffic.max_prompt as f64).ln(),
         );
         let length = if high > low {
             rng.random_range(low..high).exp()
@@ -293,13 +293,13 @@
         };
         let prompt_tokens = length.round() as u64;
         let call = Call {
-            entry,
+            node,
             key: key.clone(),
             model: model.clone(),
             prompt: prompt_text(rng.random(), prompt_tokens),
-            max_tokens: rng.random_range(stream.min_answer..=stream.max_answer),
+            max_tokens: rng.random_range(traffic.min_completion..=traffic.max_completion),
             stop: caller.stop.clone(),
-            timeout: stream.timeout,
+            timeout: traffic.timeout,
         };
         let sent_at = started.elapsed();
         let result = caller::call(client, &call).await;
@@ -307,10 +307,10 @@
             caller::CallEnd::Failed { retry_after, .. } => *retry_after,
             _ => None,
         };
-        results.borrow_mut().push(ClosedResult {
+        results.borrow_mut().push(ClosedLoopResult {
             workspace: caller.workspace,
             prompt_tokens,
-            first_token_at: result.first_token.map(|first| sent_at + first),
+            first_token_at: result.ttft.map(|first| sent_at + first),
             result,
         });
         if let Some(delay) = retry_after {
--- a/crates/notchwalk_standin/tests/bad_input.rs
+++ b/crates/notchwalk_standin/tests/bad_input.rs
@@ -28,8 +28,8 @@
         let workspaces = vec![WorkspaceSpec::new("desk", 1.0)];
         let config = FleetConfig::new(workspaces).with_sizes(1, 1, 1);
         let fleet = Fleet::start(config);
-        let node_addr = fleet.entries()[0];
-        let operator_addr = fleet.daemons[0]
+        let node_addr = fleet.caller_addrs()[0];
+        let operator_addr = fleet.nodes[0]
             .as_ref()
             .expect("the daemon is running")
             .addresses
@@ -239,7 +239,8 @@
          content-length: {}\r\n\r\n{body}",
         body.len()
     );
-    let mut stream = TcpStream::connect(fleet.entries()[0]).expect("the node accepts connections");
+    let mut stream =
+        TcpStream::connect(fleet.caller_addrs()[0]).expect("the node accepts connections");
     stream.write_all(raw.as_bytes()).expect("sent");
     wait_until(&fleet, "the response did not start within 60 s", |counts| {
         counts.generated_tokens > 0
@@ -290,7 +291,7 @@
 #[test]
 fn invalid_peer_connections_are_closed() {
     let fleet = shared().fleet.lock().expect("the mutex is not poisoned");
-    let peer_addr = fleet.daemons[0]
+    let peer_addr = fleet.nodes[0]
         .as_ref()
         .expect("the daemon is running")
         .addresses
--- a/crates/notchwalk_standin/tests/bundles.rs
+++ b/crates/notchwalk_standin/tests/bundles.rs
@@ -16,12 +16,12 @@
 }
 
 fn bundle_version(fleet: &Fleet, i: usize) -> u64 {
-    let operator = fleet.daemons[i]
+    let operator = fleet.nodes[i]
         .as_ref()
         .expect("the daemon is running")
         .addresses
         .operator;
-    let dump: serde_json::Value = fleet.read(operator, "/dump");
+    let dump: serde_json::Value = fleet.get_json(operator, "/dump");
     dump["bundle_version"].as_u64().unwrap_or(0)
 }
 
@@ -50,8 +50,8 @@
         ..PlatformFault::default()
     };
     fleet.set_platform_fault(down);
-    fleet.kill_daemon(1);
-    fleet.start_daemon(1);
+    fleet.kill_node(1);
+    fleet.start_node(1);
     wait_for_version(&fleet, 1, 2);
 }
 
--- a/crates/notchwalk_standin/tests/descriptors.rs
+++ b/crates/notchwalk_standin/tests/descriptors.rs
@@ -6,7 +6,7 @@
 use notchwalk_standin::{
     fleet::{Fleet, FleetConfig},
     operators::WorkspaceSpec,
-    workload::{run_closed, ClosedCaller, Stream},
+    workload::{run_closed_loop, ClosedLoopCaller, TrafficClass},
 };
 
 const CALLERS: usize = 40;
@@ -21,25 +21,25 @@
         .with_sizes(2, 2, 1)
         .with_time_scale(4.0);
     let fleet = Fleet::start(config);
-    let stream = Stream {
+    let traffic = TrafficClass {
         per_s: 0.0,
         min_prompt: 2_000,
         max_prompt: 20_000,
-        min_answer: 4,
-        max_answer: 8,
+        min_completion: 4,
+        max_completion: 8,
         timeout: Duration::from_secs(60),
     };
-    let callers = (0..CALLERS).map(|i| ClosedCaller {
+    let callers = (0..CALLERS).map(|i| ClosedLoopCaller {
         workspace: 0,
-        entry: i,
-        stream,
+        node: i,
+        traffic,
         stop: Vec::new(),
         seed: i as u64,
     });
     let model = fleet.config.bundle.model.clone();
     let over = Duration::from_millis(700);
-    run_closed(
-        &fleet.entries(),
+    run_closed_loop(
+        &fleet.caller_addrs(),
         &fleet.keys(),
         &model,
         callers.collect(),
--- a/crates/notchwalk_standin/tests/processes.rs
+++ b/crates/notchwalk_standin/tests/processes.rs
@@ -9,7 +9,7 @@
     operators::WorkspaceSpec,
     platform::PlatformFault,
     report,
-    workload::{Measured, Stream},
+    workload::{MeasuredCall, TrafficClass},
 };
 
 const LOAD_DURATION: Duration = Duration::from_secs(8);
@@ -18,22 +18,22 @@
     let config = FleetConfig::new(vec![WorkspaceSpec::new("desk", 1.0)])
         .with_sizes(4, 4, 0)
         .with_time_scale(10.0)
-        .with_entry_program(env!("CARGO_BIN_EXE_notchwalk-standin"));
+        .with_node_program(env!("CARGO_BIN_EXE_notchwalk-standin"));
     Fleet::start(config)
 }
 
 /// Runs `faults` two seconds into a load and returns the load's results.
-fn run_load(fleet: &mut Fleet, faults: impl FnOnce(&mut Fleet)) -> Vec<Measured> {
-    let stream = Stream {
+fn run_load(fleet: &mut Fleet, faults: impl FnOnce(&mut Fleet)) -> Vec<MeasuredCall> {
+    let traffic = TrafficClass {
         per_s: 25.0,
         min_prompt: 500,
         max_prompt: 20_000,
-        min_answer: 20,
-        max_answer: 200,
+        min_completion: 20,
+        max_completion: 200,
         timeout: Duration::from_secs(40),
     };
-    let planned = stream.plan(5, LOAD_DURATION, &[0], fleet.config.entries);
-    let sending = fleet.start_sending(planned);
+    let planned = traffic.plan(5, LOAD_DURATION, &[0], fleet.config.nodes);
+    let sending = fleet.start_send(planned);
     std::thread::sleep(Duration::from_secs(2));
     faults(fleet);
     sending.wait()
@@ -61,15 +61,15 @@
 fn killed_node_interrupts_only_its_own_requests_and_leaks_no_memory() {
     let mut fleet = start_fleet();
     let measured = run_load(&mut fleet, |fleet| {
-        fleet.kill_daemon(1);
+        fleet.kill_node(1);
         std::thread::sleep(Duration::from_secs(1));
-        fleet.unlist(2);
+        fleet.remove_vm(2);
     });
     for m in &measured {
-        let complete = m.result.end == CallEnd::Whole;
-        let wrong = matches!(m.result.end, CallEnd::Wrong(_)) && m.planned.entry != 1;
-        assert!(complete || m.planned.entry == 1, "{m:?}");
-        assert!(!wrong, "{m:?}");
+        let complete = m.result.end == CallEnd::Complete;
+        let invalid = matches!(m.result.end, CallEnd::InvalidResponse(_)) && m.planned.node != 1;
+        assert!(complete || m.planned.node == 1, "{m:?}");
+        assert!(!invalid, "{m:?}");
     }
     assert_memory_is_released(&fleet);
 }
@@ -78,14 +78,14 @@
 fn node_suspended_beyond_its_leases_resumes_its_requests() {
     let mut fleet = start_fleet();
     let measured = run_load(&mut fleet, |fleet| {
-        let daemon = fleet.daemons[1].as_ref().expect("the daemon is running");
-        daemon.pause();
+        let node = fleet.nodes[1].as_ref().expect("the daemon is running");
+        node.pause();
         // The longest lease, for orders, is valid for six seconds.
         std::thread::sleep(Duration::from_secs(7));
-        daemon.resume();
+        node.resume();
     });
     assert!(
-        report::all_whole(&measured),
+        report::all_complete(&measured),
         "{:?}",
         report::outcomes(&measured)
     );
@@ -101,18 +101,18 @@
             ..PlatformFault::default()
         };
         fleet.set_platform_fault(down);
-        let daemon = fleet.daemons[3].take().expect("the daemon is running");
-        daemon.drain();
-        assert!(daemon.join(), "the drained daemon must exit successfully");
+        let node = fleet.nodes[3].take().expect("the daemon is running");
+        node.drain();
+        assert!(node.join(), "the drained daemon must exit successfully");
         std::thread::sleep(Duration::from_secs(2));
         fleet.set_platform_fault(PlatformFault::default());
     });
     // Callers use the drained node's address for up to two seconds. Their
     // connections may be refused, but no accepted request may be interrupted.
     for m in &measured {
-        let refused = matches!(m.result.end, CallEnd::Cut(_)) && m.planned.entry == 3;
+        let refused = matches!(m.result.end, CallEnd::ConnectionLost(_)) && m.planned.node == 3;
         let draining = matches!(&m.result.end, CallEnd::Failed { code, .. } if code == "draining");
-        let complete = m.result.end == CallEnd::Whole;
+        let complete = m.result.end == CallEnd::Complete;
         assert!(
             complete || draining || (refused && m.result.tokens == 0),
             "{m:?}"
--- a/crates/notchwalk_standin/tests/random_runs.rs
+++ b/crates/notchwalk_standin/tests/random_runs.rs
@@ -1,12 +1,12 @@
 //! Randomised fault simulations with fixed seeds. `notchwalk-standin bench soak`
 //! runs longer ones.
 
-use notchwalk_standin::soak::{Mechanism, SoakOptions, World};
+use notchwalk_standin::soak::{Mechanism, Simulation, SoakOptions};
 
 const VIRTUAL_SECONDS: u64 = 60;
 
 fn assert_no_violations(options: SoakOptions) {
-    let report = World::new(options).run();
+    let report = Simulation::new(options).run();
     assert!(report.violations.is_empty(), "{:#?}", report.violations);
     assert!(report.admitted > 500, "{report:?}");
     assert!(report.completed * 3 > report.admitted, "{report:?}");
@@ -36,7 +36,7 @@
 
 #[test]
 fn equal_seeds_give_identical_runs() {
-    let run = || World::new(SoakOptions::new(9, 20)).run();
+    let run = || Simulation::new(SoakOptions::new(9, 20)).run();
     assert_eq!(run(), run());
 }
 
@@ -44,8 +44,8 @@
 fn disabled_mechanism_causes_violations() {
     for mechanism in [Mechanism::Cancels, Mechanism::Claims] {
         let mut options = SoakOptions::new(1, VIRTUAL_SECONDS);
-        options.without = Some(mechanism);
-        let report = World::new(options).run();
+        options.disabled = Some(mechanism);
+        let report = Simulation::new(options).run();
         assert!(!report.violations.is_empty(), "{mechanism:?}");
     }
 }
--- a/crates/notchwalk_standin/tests/routed.rs
+++ b/crates/notchwalk_standin/tests/routed.rs
@@ -4,21 +4,21 @@
 use notchwalk_core::Instant;
 use notchwalk_standin::routed::{
     bound,
-    bound::{in_time, Counted},
-    engine::{Part, Progress, SimulatedEngine},
-    play,
+    bound::{served_shares, Counted},
+    engine::{Progress, Segment, SimulatedEngine},
     policy::{parameters, Policy, POLICIES},
     report::Report,
+    simulate,
+    simulation::Outcome,
     traffic::{Arrival, KINDS},
-    world::Outcome,
 };
 
-fn segment(request: usize, tokens: f64, helps: bool) -> Part {
-    Part {
+fn segment(request: usize, tokens: f64, is_remote: bool) -> Segment {
+    Segment {
         request,
         tokens,
-        whole: tokens,
-        helps,
+        prompt_tokens: tokens,
+        is_remote,
     }
 }
 
@@ -26,10 +26,10 @@
 /// completion and the elapsed time in milliseconds.
 fn prefill_all(engine: &mut SimulatedEngine) -> (Vec<usize>, f64) {
     let (mut order, mut ms) = (Vec::new(), 0.0);
-    while let Some(step_ms) = engine.begin_pass() {
+    while let Some(step_ms) = engine.begin_step() {
         ms += step_ms;
-        for progress in engine.end_pass() {
-            if let Progress::Read(request) = progress {
+        for progress in engine.end_step() {
+            if let Progress::Prefilled(request) = progress {
                 order.push(request);
             }
         }
@@ -40,10 +40,10 @@
 #[test]
 fn engine_prefills_newest_remote_segment_first_and_own_prompts_last() {
     let mut engine = SimulatedEngine::new(parameters());
-    engine.take(segment(1, 5_000.0, false), 5_000.0);
-    engine.take(segment(2, 5_000.0, false), 5_000.0);
-    engine.help(segment(3, 9_000.0, true));
-    engine.help(segment(4, 9_000.0, true));
+    engine.enqueue_prompt(segment(1, 5_000.0, false), 5_000.0);
+    engine.enqueue_prompt(segment(2, 5_000.0, false), 5_000.0);
+    engine.enqueue_remote_segment(segment(3, 9_000.0, true));
+    engine.enqueue_remote_segment(segment(4, 9_000.0, true));
     assert_eq!(prefill_all(&mut engine).0, [4, 3, 1, 2]);
 }
 
@@ -51,7 +51,7 @@
 #[test]
 fn prefill_time_matches_the_cost_model() {
     let mut engine = SimulatedEngine::new(parameters());
-    engine.take(segment(1, 45_000.0, false), 45_000.0);
+    engine.enqueue_prompt(segment(1, 45_000.0, false), 45_000.0);
     let (_, ms) = prefill_all(&mut engine);
     assert!((ms - 440.5 - 22.0 * 0.85).abs() < 1.0, "{ms}");
 }
@@ -59,8 +59,8 @@
 #[test]
 fn prompt_waits_for_memory() {
     let mut engine = SimulatedEngine::new(parameters());
-    engine.take(segment(1, 200_000.0, false), 200_000.0);
-    engine.take(segment(2, 200_000.0, false), 200_000.0);
+    engine.enqueue_prompt(segment(1, 200_000.0, false), 200_000.0);
+    engine.enqueue_prompt(segment(2, 200_000.0, false), 200_000.0);
     assert_eq!(prefill_all(&mut engine).0, [1]);
     engine.drop_request(1);
     assert_eq!(prefill_all(&mut engine).0, [2]);
@@ -69,18 +69,18 @@
 #[test]
 fn engine_step_yields_one_event_per_decoding_request() {
     let mut engine = SimulatedEngine::new(parameters());
-    engine.generate(1, 5_000.0);
-    engine.generate(2, 5_000.0);
-    let ms = engine.begin_pass().unwrap();
+    engine.begin_decode(1, 5_000.0);
+    engine.begin_decode(2, 5_000.0);
+    let ms = engine.begin_step().unwrap();
     assert!(
         (ms - 51.0 * (0.85 + 2.0 * 0.00425 + 10.0 * 0.00285)).abs() < 0.01,
         "{ms}"
     );
-    let mut progress = engine.end_pass();
+    let mut progress = engine.end_step();
     progress.sort_by_key(|p| match p {
-        Progress::Wrote(request) | Progress::Read(request) => *request,
+        Progress::Decoded(request) | Progress::Prefilled(request) => *request,
     });
-    assert_eq!(progress, [Progress::Wrote(1), Progress::Wrote(2)]);
+    assert_eq!(progress, [Progress::Decoded(1), Progress::Decoded(2)]);
 }
 
 fn policy(name: &str) -> Policy {
@@ -91,7 +91,7 @@
 }
 
 fn run_policy(name: &str) -> Report {
-    play(policy(name), 1..9, 1.0)
+    simulate(policy(name), 1..9, 1.0)
 }
 
 /// Guards against loss of value when decisions are distributed over nodes. Seeds are
@@ -100,22 +100,26 @@
 fn six_nodes_that_exchange_updates_perform_nearly_like_one_node() {
     let product = run_policy("product");
     let one = run_policy("one_entry");
-    assert!(product.worth() > 0.88, "{}", product.worth());
-    assert!(product.worth() > one.worth() - 0.03, "{}", one.worth());
+    assert!(product.value_share() > 0.88, "{}", product.value_share());
+    assert!(
+        product.value_share() > one.value_share() - 0.03,
+        "{}",
+        one.value_share()
+    );
     for (kind, facts) in KINDS.iter().enumerate() {
-        let share = product.worth_of_kind(kind);
+        let share = product.value_share_of_kind(kind);
         assert!(share > 0.75, "{}: {share}", facts.name);
     }
-    assert_eq!(product.lost_by(Outcome::Open), 0.0);
+    assert_eq!(product.loss_share(Outcome::Pending), 0.0);
 }
 
 /// Stale updates from peers must cost value, and missing ones more.
 #[test]
 fn delayed_updates_reduce_value_and_missing_updates_reduce_it_more() {
-    let product = run_policy("product").worth();
-    let ticks = run_policy("told_on_ticks").worth();
-    let late = run_policy("late_knowledge").worth();
-    let none = run_policy("no_knowledge").worth();
+    let product = run_policy("product").value_share();
+    let ticks = run_policy("told_on_ticks").value_share();
+    let late = run_policy("late_knowledge").value_share();
+    let none = run_policy("no_knowledge").value_share();
     assert!(product > ticks && ticks > late && late > none);
 }
 
@@ -134,11 +138,11 @@
 #[test]
 fn bound_accepts_only_work_that_fits() {
     let fitting: Vec<Arrival> = (0..10).map(|_| arrival(0, 2, 154_000.0)).collect();
-    assert!(in_time(&fitting, Counted::Reading)
+    assert!(served_shares(&fitting, Counted::Prefill)
         .iter()
         .all(|&share| share > 0.999));
     let excess: Vec<Arrival> = (0..40).map(|_| arrival(0, 2, 154_000.0)).collect();
-    let taken: f64 = in_time(&excess, Counted::Reading).iter().sum();
+    let taken: f64 = served_shares(&excess, Counted::Prefill).iter().sum();
     assert!((17.0..19.0).contains(&taken), "{taken}");
 }
 
@@ -147,19 +151,19 @@
 fn bound_prefers_higher_value_per_work() {
     let mut all: Vec<Arrival> = (0..40).map(|_| arrival(0, 2, 400_000.0)).collect();
     all.extend((0..20).map(|number| arrival(100 * number, 0, 5_000.0)));
-    let shares = in_time(&all, Counted::Reading);
+    let shares = served_shares(&all, Counted::Prefill);
     assert!(shares[40..].iter().all(|&share| share > 0.999));
     assert!(shares[..40].iter().sum::<f64>() < 20.0);
 }
 
 #[test]
 fn no_policy_exceeds_the_bound() {
-    let product = play(POLICIES[0], 1..3, 1.0);
-    for counted in [Counted::Reading, Counted::All] {
+    let product = simulate(POLICIES[0], 1..3, 1.0);
+    for counted in [Counted::Prefill, Counted::All] {
         let bound = bound(counted, 1..3, 1.0);
-        assert!(bound.worth() >= product.worth());
+        assert!(bound.value_share() >= product.value_share());
         for kind in 0..KINDS.len() {
-            assert!(bound.worth_of_kind(kind) <= 1.0 + 1e-9);
+            assert!(bound.value_share_of_kind(kind) <= 1.0 + 1e-9);
         }
     }
 }
@@ -169,7 +173,7 @@
 #[test]
 fn wave_of_more_questions_than_slots_does_not_delay_all_of_them() {
     const QUESTIONS_WAVE: usize = 3;
-    let product = play(POLICIES[0], 1..5, 1.5);
-    let earned = product.worth_of_wave(QUESTIONS_WAVE);
+    let product = simulate(POLICIES[0], 1..5, 1.5);
+    let earned = product.value_share_of_wave(QUESTIONS_WAVE);
     assert!(earned > 0.42, "{earned}");
 }
--- a/crates/notchwalk_standin/tests/shared_limits.rs
+++ b/crates/notchwalk_standin/tests/shared_limits.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use notchwalk_standin::routed::{
-    limits::{LimitsWorld, BEGIN},
-    limits_plan::{Demand, LimitsOutcome, LimitsPlan, Trouble},
+    limits::{LimitsSimulation, START},
+    limits_plan::{Demand, LimitsOutcome, LimitsPlan, NodeFault},
 };
 use proptest::prelude::*;
 
@@ -23,7 +23,7 @@
 fn exceeded_limits(plan: &LimitsPlan, outcome: &LimitsOutcome) -> Vec<String> {
     let mut exceeded = Vec::new();
     for (server, &limit) in plan.limits.iter().enumerate() {
-        let most = outcome.most_within(server, WINDOW, BEGIN.after(ENFORCED_AFTER));
+        let most = outcome.max_in_window(server, WINDOW, START.after(ENFORCED_AFTER));
         if most > allowed_requests(limit) {
             exceeded.push(format!(
                 "{most} requests in 4 s at a limit of {limit} per second, {} allowed",
@@ -34,10 +34,14 @@
     exceeded
 }
 
-fn fault() -> impl Strategy<Value = Trouble> {
+fn fault() -> impl Strategy<Value = NodeFault> {
     let time = (100u64..6_000).prop_map(Duration::from_millis);
-    let of = |make: fn(Duration) -> Trouble| time.clone().prop_map(make);
-    prop_oneof![of(Trouble::Kill), of(Trouble::Suspend), of(Trouble::Cut)]
+    let of = |make: fn(Duration) -> NodeFault| time.clone().prop_map(make);
+    prop_oneof![
+        of(NodeFault::Crash),
+        of(NodeFault::Suspend),
+        of(NodeFault::Isolate)
+    ]
 }
 
 fn plan() -> impl Strategy<Value = LimitsPlan> {
@@ -54,19 +58,21 @@
         any::<u64>(),
         any::<bool>(),
     )
-        .prop_map(|(nodes, limits, demand, lost, faults, seed, others)| {
-            let faults = faults.into_iter();
-            let faults =
-                faults.map(|(at, node, fault)| (Duration::from_millis(at), node % nodes, fault));
-            LimitsPlan {
-                lost,
-                troubles: faults.collect(),
-                seed: seed % 1_000_000,
-                others,
-                lasts: Duration::from_secs(18),
-                ..LimitsPlan::new(nodes, limits, demand)
-            }
-        })
+        .prop_map(
+            |(nodes, limits, demand, message_loss, faults, seed, has_unlimited_servers)| {
+                let faults = faults.into_iter();
+                let faults = faults
+                    .map(|(at, node, fault)| (Duration::from_millis(at), node % nodes, fault));
+                LimitsPlan {
+                    message_loss,
+                    faults: faults.collect(),
+                    seed: seed % 1_000_000,
+                    has_unlimited_servers,
+                    duration: Duration::from_secs(18),
+                    ..LimitsPlan::new(nodes, limits, demand)
+                }
+            },
+        )
 }
 
 /// Returns the number of random plans and their seed. Both can be set, as in
@@ -90,7 +96,7 @@
     /// count as well.
     #[test]
     fn no_plan_exceeds_a_server_limit(plan in plan()) {
-        let outcome = LimitsWorld::new(plan.clone()).run();
+        let outcome = LimitsSimulation::new(plan.clone()).run();
         let exceeded = exceeded_limits(&plan, &outcome);
         prop_assert!(exceeded.is_empty(), "{exceeded:?}");
     }
@@ -102,11 +108,11 @@
         for demand in [Demand::Even, Demand::One] {
             for limit in [0.2, 1.0, 6.0, 20.0] {
                 let plan = LimitsPlan::new(nodes, vec![limit; 3], demand);
-                let end = BEGIN.after(plan.lasts);
-                let outcome = LimitsWorld::new(plan.clone()).run();
+                let end = START.after(plan.duration);
+                let outcome = LimitsSimulation::new(plan.clone()).run();
                 assert_eq!(exceeded_limits(&plan, &outcome), Vec::<String>::new());
                 let rates =
-                    (0..3).map(|server| outcome.rate(server, BEGIN.after(ENFORCED_AFTER), end));
+                    (0..3).map(|server| outcome.rate(server, START.after(ENFORCED_AFTER), end));
                 let share = rates.sum::<f64>() / (3.0 * limit);
                 let used = (0.7..=1.0).contains(&share);
                 assert!(used, "{share} of {limit} used by {nodes} nodes, {demand:?}");
@@ -119,10 +125,10 @@
 fn limits_neither_delay_nor_refuse_requests_while_other_servers_are_available() {
     for demand in [Demand::Even, Demand::One] {
         let mut plan = LimitsPlan::new(6, vec![1.0, 6.0], demand);
-        plan.others = true;
-        plan.asked_per_s = 100.0;
-        let outcome = LimitsWorld::new(plan).run();
-        assert_eq!((outcome.refused, outcome.waited), (0, 0), "{demand:?}");
+        plan.has_unlimited_servers = true;
+        plan.requests_per_s = 100.0;
+        let outcome = LimitsSimulation::new(plan).run();
+        assert_eq!((outcome.refused, outcome.delayed), (0, 0), "{demand:?}");
     }
 }
 
@@ -132,17 +138,17 @@
 fn all_nodes_receive_the_end_of_a_limit_in_time() {
     for nodes in [2, 6, 30] {
         let mut plan = LimitsPlan::new(nodes, vec![1.0], Demand::Even);
-        plan.ends_at = Some(Duration::from_secs(10));
-        let ends = BEGIN.after(Duration::from_secs(10));
-        let outcome = LimitsWorld::new(plan).run();
-        let first = outcome.reached[0].iter().map(|(at, _)| *at);
+        plan.limits_end_after = Some(Duration::from_secs(10));
+        let ends = START.after(Duration::from_secs(10));
+        let outcome = LimitsSimulation::new(plan).run();
+        let first = outcome.requests[0].iter().map(|(at, _)| *at);
         let first = first
             .filter(|at| *at >= ends)
             .min()
             .expect("the server receives requests");
-        let mut later = outcome.reached[0].iter().filter(|(at, _)| *at > first);
+        let mut later = outcome.requests[0].iter().filter(|(at, _)| *at > first);
         let after = |at: notchwalk_core::Instant| at.since(first);
-        let received = outcome.heard_end.iter();
+        let received = outcome.limit_end_received.iter();
         let delays: Vec<_> = received.map(|at| at.map(after)).collect();
         let within = |time: &Option<Duration>| time.is_some_and(|t| t < Duration::from_secs(1));
         assert!(delays.iter().all(within), "{nodes} nodes: {delays:?}");
@@ -155,14 +161,14 @@
 fn partitioned_nodes_stay_within_the_limit_together() {
     let mut plan = LimitsPlan::new(6, vec![6.0; 2], Demand::Even);
     let duration = Duration::from_secs(14);
-    plan.troubles = (0..6)
-        .map(|node| (Duration::from_secs(4), node, Trouble::Cut(duration)))
+    plan.faults = (0..6)
+        .map(|node| (Duration::from_secs(4), node, NodeFault::Isolate(duration)))
         .collect();
-    let outcome = LimitsWorld::new(plan.clone()).run();
+    let outcome = LimitsSimulation::new(plan.clone()).run();
     assert_eq!(exceeded_limits(&plan, &outcome), Vec::<String>::new());
     let (from, until) = (
-        BEGIN.after(Duration::from_secs(8)),
-        BEGIN.after(Duration::from_secs(18)),
+        START.after(Duration::from_secs(8)),
+        START.after(Duration::from_secs(18)),
     );
     for server in 0..2 {
         let rate = outcome.rate(server, from, until);
--- a/crates/notchwalk_standin/tests/whole_path.rs
+++ b/crates/notchwalk_standin/tests/whole_path.rs
@@ -12,17 +12,17 @@
     workload::prompt_text,
 };
 
-fn start_fleet(entries: usize, engines: usize) -> Fleet {
+fn start_fleet(nodes: usize, engines: usize) -> Fleet {
     let workspaces = vec![WorkspaceSpec::new("desk", 1.0)];
     let config = FleetConfig::new(workspaces)
-        .with_sizes(entries, engines, 0)
+        .with_sizes(nodes, engines, 0)
         .with_time_scale(20.0);
     Fleet::start(config)
 }
 
 fn complete(fleet: &Fleet, tokens: u64, max_tokens: u32) -> CallResult {
     let call = Call {
-        entry: fleet.entries()[0],
+        node: fleet.caller_addrs()[0],
         key: fleet.key(0).to_owned(),
         model: fleet.config.bundle.model.clone(),
         prompt: prompt_text(42, tokens),
@@ -37,7 +37,7 @@
 fn streamed_completion_is_complete() {
     let fleet = start_fleet(1, 1);
     let result = complete(&fleet, 1_000, 50);
-    assert_eq!(result.end, CallEnd::Whole);
+    assert_eq!(result.end, CallEnd::Complete);
     assert_eq!(result.tokens, 50);
 }
 
@@ -45,5 +45,5 @@
 fn prompt_exceeding_twice_the_engine_memory_is_completed() {
     let fleet = start_fleet(2, 4);
     let result = complete(&fleet, 1_000_000, 10);
-    assert_eq!(result.end, CallEnd::Whole);
+    assert_eq!(result.end, CallEnd::Complete);
 }
