--- a/crates/notchwalk_decide/src/admission.rs
+++ b/crates/notchwalk_decide/src/admission.rs
@@ -5,7 +5,7 @@
 
 use notchwalk_bundle::{PolicyKind, WorkspaceKey};
 use notchwalk_core::{Attempt, RequestId, Tokens};
-use notchwalk_wire::OutcomeWord;
+use notchwalk_wire::ExecutionOutcome;
 use rand::Rng;
 
 use crate::{
@@ -41,7 +41,7 @@
 }
 
 /// Admits a request, or refuses it as not run.
-pub(crate) fn on_arrive(node: &mut Node, cx: &mut Cx<'_>, arrival: Arrival) {
+pub(crate) fn on_arrival(node: &mut Node, cx: &mut Cx<'_>, arrival: Arrival) {
     node.counters.arrived += 1;
     let caller = arrival.caller;
     if let Err((code, retry_ms)) = admit(node, cx, arrival) {
@@ -53,7 +53,7 @@
         };
         let failure = Failure {
             code,
-            outcome: OutcomeWord::NotRun,
+            outcome: ExecutionOutcome::NotRun,
             retry_after_ms,
         };
         cx.emit(Effect::Refuse { caller, failure });
@@ -75,7 +75,7 @@
         return Err((FailureCode::Draining, Some(DEFAULT_RETRY_AFTER_MS)));
     }
     if node.requests.len() >= bundle.policy.max_requests as usize {
-        return Err((FailureCode::EntryFull, Some(DEFAULT_RETRY_AFTER_MS)));
+        return Err((FailureCode::NodeFull, Some(DEFAULT_RETRY_AFTER_MS)));
     }
     let workspace = bundle.workspace(key);
     let slot = node.catalog.slot(key);
@@ -108,7 +108,7 @@
     node.counters.refused += 1;
     Some(Failure {
         code,
-        outcome: OutcomeWord::NotRun,
+        outcome: ExecutionOutcome::NotRun,
         retry_after_ms: retry_ms.and_then(|ms| retry_after(node, ms)),
     })
 }
--- a/crates/notchwalk_decide/src/dump.rs
+++ b/crates/notchwalk_decide/src/dump.rs
@@ -121,7 +121,7 @@
     pub timers: usize,
     /// Retries available.
     pub retry_budget: f64,
-    /// The fencing number under which this node may send orders, if it holds
+    /// The fencing token under which this node may send orders, if it holds
     /// the lease.
     pub order_fence: Option<u64>,
     /// Counts since boot.
@@ -153,7 +153,7 @@
             open_claim_releases: self.releases.len(),
             timers: self.timers.len(),
             retry_budget: self.retry.available(),
-            order_fence: self.orders.fence(now),
+            order_fence: self.orders.fencing_token(now),
             counters: self.counters.clone(),
             lanes: dump_lanes(self),
             workspaces: dump_workspaces(self),
--- a/crates/notchwalk_decide/src/schedule.rs
+++ b/crates/notchwalk_decide/src/schedule.rs
@@ -250,13 +250,13 @@
         return;
     };
     suspects::on_server_reachable(node, key);
-    if report.leaving {
+    if report.draining {
         mark_draining(node, cx, key);
     }
     let loaded = loaded_groups(node, &report);
     for group in &loaded {
         let cost = node.cost(group.group);
-        cost.record_token_times(report.prompt_token_ns, report.answer_token_ns);
+        cost.record_token_times(report.prefill_token_ns, report.decode_token_ns);
     }
     node.servers.set_loaded(key, loaded);
     node.servers.arena[key].report = Some((cx.now, report));
@@ -304,7 +304,7 @@
 }
 
 /// Handles a load poll that was not answered.
-pub(crate) fn on_load_failed(node: &mut Node, cx: &mut Cx<'_>, id: ServerId) {
+pub(crate) fn on_load_poll_failed(node: &mut Node, cx: &mut Cx<'_>, id: ServerId) {
     if let Some(key) = node.servers.key(id) {
         suspects::on_server_unreachable(node, cx, key);
         server_failed(node, cx, key);
--- a/crates/notchwalk_relay/src/server_watch.rs
+++ b/crates/notchwalk_relay/src/server_watch.rs
@@ -118,7 +118,7 @@
             return;
         };
         if known.record.started_ms != record.started_ms {
-            self.shell.client.forget_idle_at(known.record.addr);
+            self.shell.client.close_idle_to(known.record.addr);
         }
     }
 
@@ -176,7 +176,7 @@
     fn is_behind(&self) -> bool {
         let newest = self.shell.peers.borrow().newest_server_change();
         let known = self.shell.server_table_version.get();
-        newest > known || self.shell.newest_epoch() > known.era
+        newest > known || self.shell.newest_epoch() > known.epoch
     }
 
     fn has_pending(&self) -> bool {
@@ -220,7 +220,7 @@
         self.shell.server_table_version.set(version);
         // Publishes the new epoch even if no row changed.
         self.shell
-            .observe_server_change(StoreVersion::new(version.era, 0));
+            .observe_server_change(StoreVersion::new(version.epoch, 0));
         self.remove_overdue();
         self.shell.servers_refreshed_at.set(self.shell.now());
         self.shell.metrics.servers.set(self.known.len() as i64);
--- a/crates/notchwalk_relay/src/shell.rs
+++ b/crates/notchwalk_relay/src/shell.rs
@@ -135,8 +135,8 @@
     /// most once can't be retried after it failed on one.
     pub fn check_suspension(&self) {
         if self.suspension.check(&self.clock) {
-            self.client.forget_idle();
-            self.store.renew_connections();
+            self.client.close_idle();
+            self.store.reset_connections();
         }
     }
 
@@ -162,7 +162,7 @@
     /// Returns the newest epoch of the store that this node or a peer has seen. A
     /// peer may be first: a pending poll may detect a restore only when its wait ends.
     pub fn newest_epoch(&self) -> u64 {
-        let peers = self.peers.borrow().newest_server_change().era;
+        let peers = self.peers.borrow().newest_server_change().epoch;
         self.store_epoch().max(peers)
     }
 
@@ -182,19 +182,19 @@
     /// was restored from a snapshot.
     pub fn observe_store_version(&self, version: StoreVersion) {
         let former = self.store_epoch.get();
-        if former.is_some_and(|former| version.era <= former) {
+        if former.is_some_and(|former| version.epoch <= former) {
             return;
         }
-        self.store_epoch.set(Some(version.era));
-        self.metrics.store_epoch.set(version.era as i64);
+        self.store_epoch.set(Some(version.epoch));
+        self.metrics.store_epoch.set(version.epoch as i64);
         let Some(former) = former else {
             return;
         };
         self.store_restores.set(self.store_restores.get() + 1);
-        self.observe_server_change(StoreVersion::new(version.era, 0));
+        self.observe_server_change(StoreVersion::new(version.epoch, 0));
         self.epoch_to_publish.set(true);
         self.publish_wake.notify();
-        let facts = format!("era={} former_era={former}", version.era);
+        let facts = format!("era={} former_era={former}", version.epoch);
         LogEvent::new(LogEventKind::StoreRestored, facts).emit();
     }
 
--- a/crates/notchwalk_standin/src/bench/capacity.rs
+++ b/crates/notchwalk_standin/src/bench/capacity.rs
@@ -220,14 +220,14 @@
         slots: 64,
         backlog_tokens: 12_345,
         backlog_by_priority: vec![(125, 345), (45, 12_000)],
-        prompt_token_ns: 40_000,
-        answer_token_ns: 100_000,
+        prefill_token_ns: 40_000,
+        decode_token_ns: 100_000,
         loaded: vec![LoadedModel {
             model: "lampwise".to_owned(),
             versions: vec!["v1".to_owned()],
             adapters: vec!["tour".to_owned()],
         }],
-        leaving: false,
+        draining: false,
         evictions: 3,
     }
 }
@@ -248,17 +248,17 @@
         id: ServerId(id as u32),
         kind: ServerKind::Engine,
         failure_domain: format!("d{}", id % 3),
-        leaving: false,
+        draining: false,
     });
     let nodes = (0..=peers).map(|id| PeerRecord {
         vm: VmId(id as u32),
         caller_address: "127.0.0.1:1".to_owned(),
         failure_domain: format!("d{}", id % 3),
-        leaving: false,
+        draining: false,
     });
     let vm_list = Event::VmList {
         servers: records.collect(),
-        entries: nodes.collect(),
+        nodes: nodes.collect(),
     };
     node.step(now, vm_list, &mut out);
     let (mut bytes, mut cpu_time) = (0_usize, Duration::ZERO);
@@ -297,14 +297,14 @@
         vm: VmId(vm),
         boot: BootNumber(1),
         seq,
-        leaving: false,
+        draining: false,
         bundle_version: 1,
-        heard: Vec::new(),
+        peer_contacts: Vec::new(),
         demand: vec![(1, 4_000)],
         shares: Vec::new(),
         served: Vec::new(),
-        leaving_servers: Vec::new(),
-        long_holds: Vec::new(),
+        draining_servers: Vec::new(),
+        long_reservations: Vec::new(),
     };
     Event::Peer {
         from: VmId(vm),
@@ -318,7 +318,7 @@
         model: "lampwise".to_owned(),
         context_tokens: 1_100_000,
         versions: vec!["v1".to_owned()],
-        checks_fence: true,
+        checks_fencing_token: true,
         service: "bookdesk".to_owned(),
         workspaces: named.collect(),
         policy: String::new(),
@@ -374,13 +374,13 @@
 
 /// Measures an idle fleet of six nodes and twenty engines.
 fn measure_idle_fleet(options: &BenchOptions) -> IdleFleet {
-    let config = FleetConfig::new(policy::workspaces()).with_entry_program(policy::this_program());
+    let config = FleetConfig::new(policy::workspaces()).with_node_program(policy::this_program());
     let fleet = Fleet::start(config);
-    let node = fleet.daemons[0].as_ref().expect("node is not running");
+    let node = fleet.nodes[0].as_ref().expect("node is not running");
     let pid = node.process_id().expect("node is not a process");
     let operator = node.addresses.operator;
     let bytes = || {
-        let text = fleet.read_text(operator, "/metrics");
+        let text = fleet.get_text(operator, "/metrics");
         let line = text
             .lines()
             .find(|l| l.starts_with("notchwalk_peer_bytes_total "));
--- a/crates/notchwalk_standin/src/bench/once.rs
+++ b/crates/notchwalk_standin/src/bench/once.rs
@@ -11,7 +11,7 @@
 
 use http::{header, HeaderName, HeaderValue, Method};
 use notchwalk_http::prelude::*;
-use notchwalk_wire::{ApiError, OutcomeWord};
+use notchwalk_wire::{ApiError, ExecutionOutcome};
 
 use super::{policy, rounded, BenchOptions, Metrics};
 use crate::{
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AttemptOutcome {
     Completed,
-    Failed(OutcomeWord),
+    Failed(ExecutionOutcome),
     ConnectionLost,
 }
 
@@ -86,7 +86,7 @@
     };
     fleet.set_platform_fault(lossy);
     let duration = Duration::from_secs(options.seconds);
-    let nodes = fleet.entries();
+    let nodes = fleet.caller_addrs();
     let key = fleet.key(0).to_owned();
     let attempts = std::thread::scope(|scope| {
         let sender = scope.spawn(move || block_on(send_calls(nodes, key, duration, with_key)));
@@ -102,7 +102,7 @@
     });
     let mut runs: HashMap<String, u64> = HashMap::new();
     for service in &fleet.services {
-        let counted: ServiceRuns = fleet.read(service.addr, "/standin/runs");
+        let counted: ServiceRuns = fleet.get_json(service.addr, "/standin/runs");
         for (call, n) in counted.runs {
             *runs.entry(call).or_default() += n;
         }
@@ -114,8 +114,8 @@
     let all_outcomes: Vec<AttemptOutcome> = attempts.values().flatten().copied().collect();
     let unknown = all_outcomes
         .iter()
-        .filter(|e| **e == AttemptOutcome::Failed(OutcomeWord::Unknown));
-    let not_run = AttemptOutcome::Failed(OutcomeWord::NotRun);
+        .filter(|e| **e == AttemptOutcome::Failed(ExecutionOutcome::Unknown));
+    let not_run = AttemptOutcome::Failed(ExecutionOutcome::NotRun);
     let never_run = attempts
         .iter()
         .filter(|(_, outcomes)| outcomes.iter().all(|e| *e == not_run));
--- a/crates/notchwalk_standin/src/bench/steps.rs
+++ b/crates/notchwalk_standin/src/bench/steps.rs
@@ -36,7 +36,7 @@
         model: "m".to_owned(),
         context_tokens: 1_100_000,
         versions: vec!["v1".to_owned()],
-        checks_fence: true,
+        checks_fencing_token: true,
         service: "s".to_owned(),
         workspaces: names.collect(),
         policy: "max_requests = 1000000\n".to_owned(),
@@ -54,14 +54,14 @@
         backlog_tokens: 1_000,
         backlog_by_priority: vec![(120, 1_000)],
         // Minimal, so that the engines are never the bottleneck.
-        prompt_token_ns: 1,
-        answer_token_ns: 1,
+        prefill_token_ns: 1,
+        decode_token_ns: 1,
         loaded: vec![LoadedModel {
             model: "m".to_owned(),
             versions: vec!["v1".to_owned()],
             adapters: Vec::new(),
         }],
-        leaving: false,
+        draining: false,
         evictions: 0,
     }
 }
@@ -95,12 +95,12 @@
             id: ServerId(id),
             kind: ServerKind::Engine,
             failure_domain: "d".to_owned(),
-            leaving: false,
+            draining: false,
         });
         let servers = records.collect();
         driver.feed(Event::VmList {
             servers,
-            entries: Vec::new(),
+            nodes: Vec::new(),
         });
         driver.report_loads();
         driver
@@ -144,7 +144,7 @@
             priority: None,
             timeout_ms: Some(3_600_000),
         };
-        self.feed(Event::Arrive(Box::new(arrival)));
+        self.feed(Event::Arrival(Box::new(arrival)));
     }
 
     /// Completes one running request.
--- a/crates/notchwalk_standin/src/soak/arrivals.rs
+++ b/crates/notchwalk_standin/src/soak/arrivals.rs
@@ -4,9 +4,9 @@
 use notchwalk_decide::{Arrival, CallWork, CallerKey, Event, GenerateWork, Work};
 use rand::Rng;
 
-use super::{callers::RequestKind, world::World};
+use super::{callers::RequestKind, simulation::Simulation};
 
-impl World {
+impl Simulation {
     pub(super) fn schedule_arrivals(&mut self, end_us: u64) {
         let gap_us = self.rng.random_range(2_000..40_000);
         self.schedule_after(gap_us, move |w| {
@@ -40,7 +40,7 @@
         };
         let deadline_us = self.now_us + timeout_ms * 1_000;
         self.nodes[i].pending_arrival = Some((kind, deadline_us));
-        self.feed(i, boot, Event::Arrive(Box::new(arrival)));
+        self.feed(i, boot, Event::Arrival(Box::new(arrival)));
     }
 
     fn random_generation(&mut self) -> (RequestKind, Work) {
--- a/crates/notchwalk_standin/src/soak/world.rs
+++ b/crates/notchwalk_standin/src/soak/simulation.rs
@@ -8,7 +8,7 @@
 use notchwalk_bundle::Bundle;
 use notchwalk_core::{Attempt, BootNumber, Instant, RequestId, ServerId, VmId};
 use notchwalk_decide::{
-    ClaimAnswer, Dispatch, Effect, Event, Node, NodeConfig, PeerRecord, RequestKey, ServerKind,
+    ClaimResponse, Dispatch, Effect, Event, Node, NodeConfig, PeerRecord, RequestKey, ServerKind,
     ServerRecord,
 };
 use rand::{Rng, SeedableRng};
@@ -41,7 +41,7 @@
     /// The random seed. Equal options give identical runs.
     pub seed: u64,
     /// How long requests are submitted, in seconds of virtual time.
-    pub seconds: u64,
+    pub virtual_seconds: u64,
     /// The number of nodes.
     pub nodes: usize,
     /// The number of engines.
@@ -49,7 +49,7 @@
     /// Whether faults are injected.
     pub faults: bool,
     /// A mechanism to disable, to check that the simulation detects its absence.
-    pub without: Option<Mechanism>,
+    pub disabled: Option<Mechanism>,
 }
 
 /// A mechanism that can be disabled.
@@ -63,14 +63,14 @@
 
 impl SoakOptions {
     /// Creates options for three nodes and six engines, with faults.
-    pub fn new(seed: u64, seconds: u64) -> Self {
+    pub fn new(seed: u64, virtual_seconds: u64) -> Self {
         Self {
             seed,
-            seconds,
+            virtual_seconds,
             nodes: 3,
             engines: 6,
             faults: true,
-            without: None,
+            disabled: None,
         }
     }
 }
@@ -79,7 +79,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SoakReport {
     /// Events processed by nodes.
-    pub steps: u64,
+    pub events: u64,
     /// Requests admitted.
     pub admitted: u64,
     /// Requests that completed.
@@ -92,7 +92,7 @@
     pub violations: Vec<String>,
 }
 
-type Action = Box<dyn FnOnce(&mut World)>;
+type Action = Box<dyn FnOnce(&mut Simulation)>;
 
 /// A node across its incarnations.
 pub(super) struct NodeSlot {
@@ -106,7 +106,7 @@
 }
 
 /// A simulation of nodes, fake engines, services and a claim table.
-pub struct World {
+pub struct Simulation {
     pub(super) now_us: u64,
     pub(super) rng: Pcg64Mcg,
     pub(super) nodes: Vec<NodeSlot>,
@@ -136,7 +136,7 @@
         model: "m".to_owned(),
         context_tokens: 200_000,
         versions: vec!["v1".to_owned()],
-        checks_fence: true,
+        checks_fencing_token: true,
         service: "s".to_owned(),
         workspaces: workspaces.collect(),
         policy: "retry_percent = 100\n".to_owned(),
@@ -144,10 +144,10 @@
     Bundle::parse(1, &Operators::new(1).parts(&spec)).expect("a valid bundle")
 }
 
-impl World {
+impl Simulation {
     /// Creates a simulation and starts its nodes.
     pub fn new(options: SoakOptions) -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             now_us: 10_000_000,
             rng: Pcg64Mcg::seed_from_u64(options.seed),
             nodes: Vec::new(),
@@ -168,7 +168,7 @@
             latest_attempts: HashMap::new(),
         };
         for i in 0..options.nodes {
-            world.nodes.push(NodeSlot {
+            simulation.nodes.push(NodeSlot {
                 node: None,
                 boot: 0,
                 paused_until_us: 0,
@@ -176,14 +176,14 @@
                 requests: OpenRequests::default(),
                 pending_arrival: None,
             });
-            world.start_node(i);
+            simulation.start_node(i);
         }
-        world
+        simulation
     }
 
     /// Runs the simulation to its end and returns the results.
     pub fn run(mut self) -> SoakReport {
-        let end_us = self.now_us + self.options.seconds * 1_000_000;
+        let end_us = self.now_us + self.options.virtual_seconds * 1_000_000;
         self.schedule_arrivals(end_us);
         if self.options.faults {
             self.schedule_faults(end_us);
@@ -206,23 +206,35 @@
         }
     }
 
-    pub(super) fn schedule_at(&mut self, at_us: u64, action: impl FnOnce(&mut World) + 'static) {
+    pub(super) fn schedule_at(
+        &mut self,
+        at_us: u64,
+        action: impl FnOnce(&mut Simulation) + 'static,
+    ) {
         self.next_action += 1;
         let key = (at_us.max(self.now_us), self.next_action);
         self.actions.insert(key, Box::new(action));
     }
 
-    pub(super) fn schedule_after(&mut self, us: u64, action: impl FnOnce(&mut World) + 'static) {
+    pub(super) fn schedule_after(
+        &mut self,
+        us: u64,
+        action: impl FnOnce(&mut Simulation) + 'static,
+    ) {
         self.schedule_at(self.now_us + us, action);
     }
 
     /// Schedules the end of a fault.
-    pub(super) fn clear_fault_after(&mut self, us: u64, clear: impl FnOnce(&mut World) + 'static) {
+    pub(super) fn clear_fault_after(
+        &mut self,
+        us: u64,
+        clear: impl FnOnce(&mut Simulation) + 'static,
+    ) {
         self.schedule_after(us, clear);
     }
 
     pub(super) fn is_disabled(&self, mechanism: Mechanism) -> bool {
-        self.options.without == Some(mechanism)
+        self.options.disabled == Some(mechanism)
     }
 
     pub(super) fn chance(&mut self, percent: u32) -> bool {
@@ -265,7 +277,7 @@
         });
     }
 
-    fn run_every(&mut self, i: usize, boot: u64, us: u64, f: fn(&mut World, usize, u64)) {
+    fn run_every(&mut self, i: usize, boot: u64, us: u64, f: fn(&mut Simulation, usize, u64)) {
         if self.nodes[i].boot != boot || self.nodes[i].node.is_none() {
             return;
         }
@@ -302,7 +314,7 @@
                 id: ServerId(id as u32),
                 kind: ServerKind::Engine,
                 failure_domain: format!("d{}", id % 3),
-                leaving: lagged(engine.draining_since_us),
+                draining: lagged(engine.draining_since_us),
             });
         }
         for id in 0..SERVICE_COUNT {
@@ -310,7 +322,7 @@
                 id: ServerId(FIRST_SERVICE_ID + id),
                 kind: ServerKind::Service("s".to_owned()),
                 failure_domain: "d0".to_owned(),
-                leaving: false,
+                draining: false,
             });
         }
         let live = self
@@ -318,14 +330,14 @@
             .iter()
             .enumerate()
             .filter(|(_, slot)| !lagged(slot.down_since_us));
-        let entries = live.map(|(id, _)| PeerRecord {
+        let nodes = live.map(|(id, _)| PeerRecord {
             vm: VmId(id as u32),
             caller_address: format!("entry-{id}"),
             failure_domain: format!("d{}", id % 3),
-            leaving: false,
+            draining: false,
         });
-        let entries = entries.collect();
-        self.feed(i, boot, Event::VmList { servers, entries });
+        let nodes = nodes.collect();
+        self.feed(i, boot, Event::VmList { servers, nodes });
     }
 
     fn send_load_reports(&mut self, i: usize, boot: u64) {
@@ -333,7 +345,7 @@
             let engine = &self.engines[id];
             let server = ServerId(id as u32);
             let event = match engine.crashed || engine.hung {
-                true => Event::LoadFailed(server),
+                true => Event::LoadPollFailed(server),
                 false => Event::Load {
                     server,
                     report: Box::new(engine.load_report()),
@@ -375,7 +387,7 @@
         };
         let mut out = Vec::new();
         node.step(Instant::from_micros(self.now_us), event, &mut out);
-        self.report.steps += 1;
+        self.report.events += 1;
         for effect in out {
             self.apply_effect(i, boot, effect, frame);
         }
@@ -436,15 +448,22 @@
                     w.cancel_on_engine(i, boot, server, id, up_to)
                 });
             }
-            Effect::AskHoldings(server) => {
+            Effect::QueryAllocations(server) => {
                 let engine = &self.engines[server.0 as usize];
                 if engine.crashed || engine.hung {
                     return;
                 }
-                let holdings = engine.holdings(self.now_us);
+                let allocations = engine.allocations(self.now_us);
                 let delay_us = self.random_delay_us();
                 self.schedule_after(delay_us, move |w| {
-                    w.feed(i, boot, Event::Holdings { server, holdings })
+                    w.feed(
+                        i,
+                        boot,
+                        Event::Allocations {
+                            server,
+                            allocations,
+                        },
+                    )
                 });
             }
             Effect::ClaimInsert {
@@ -457,11 +476,11 @@
                 let delay_us = self.random_delay_us();
                 self.schedule_after(delay_us, move |w| {
                     let lost = w.claims.unavailable || w.chance(5);
-                    let answer = match lost {
-                        true => ClaimAnswer::NoAnswer,
+                    let response = match lost {
+                        true => ClaimResponse::Unanswered,
                         false => w.claims.read(&key),
                     };
-                    w.send_claim_answer(i, boot, request, answer);
+                    w.send_claim_response(i, boot, request, response);
                 });
             }
             Effect::ClaimRelease { key, token, .. } => {
@@ -497,7 +516,7 @@
         if self.chance(4) {
             let (boot, wait_us) = (self.nodes[i].boot, self.rng.random_range(0..2_000_000));
             self.schedule_after(wait_us, move |w| {
-                w.feed(i, boot, Event::CallerGone(request))
+                w.feed(i, boot, Event::CallerDisconnected(request))
             });
         }
     }
@@ -524,7 +543,7 @@
             Ok(open) => {
                 if let Err(failure) = result {
                     self.report.failed += 1;
-                    if failure.outcome == notchwalk_wire::OutcomeWord::NotRun {
+                    if failure.outcome == notchwalk_wire::ExecutionOutcome::NotRun {
                         self.reported_not_run.insert(open.id);
                     }
                 } else {
--- a/crates/notchwalkd/src/caller_api.rs
+++ b/crates/notchwalkd/src/caller_api.rs
@@ -5,7 +5,7 @@
 use http::{HeaderMap, HeaderValue, Method, StatusCode};
 use notchwalk_core::{LogEvent, LogEventKind};
 use notchwalk_http::{Exchange, HttpError, LocalBoxFuture, Service};
-use notchwalk_wire::{EntriesAnswer, EntryInfo, ModelInfo, ModelList};
+use notchwalk_wire::{ModelInfo, ModelList, NodeInfo, NodeList};
 
 use crate::{
     api_error::ApiFailure,
@@ -55,8 +55,8 @@
         }
         match path.as_str() {
             "/v1/entries" => {
-                let nodes = self.entries();
-                respond(exchange, &nodes).await;
+                let list = self.node_list();
+                respond(exchange, &list).await;
             }
             "/v1/models" => {
                 let caller = self.caller(exchange)?;
@@ -81,16 +81,16 @@
         authenticate(bundle.as_ref(), exchange)
     }
 
-    fn entries(&self) -> EntriesAnswer {
+    fn node_list(&self) -> NodeList {
         let (live_nodes, ttl) = self
             .shell
-            .with_node(|node| (node.live_entries(), node.entries_ttl()));
-        let entries = live_nodes.into_iter().map(|node| EntryInfo {
+            .with_node(|node| (node.live_nodes(), node.node_list_ttl()));
+        let nodes = live_nodes.into_iter().map(|node| NodeInfo {
             address: node.caller_address,
             failure_domain: node.failure_domain,
         });
-        EntriesAnswer {
-            entries: entries.collect(),
+        NodeList {
+            nodes: nodes.collect(),
             ttl_s: ttl.as_secs().max(1),
         }
     }
@@ -142,7 +142,7 @@
         })
     }
 
-    fn refuse<'a>(
+    fn reject<'a>(
         &'a self,
         exchange: &'a mut Exchange,
         error: HttpError,
@@ -153,7 +153,7 @@
         })
     }
 
-    fn panicked(&self) {
+    fn on_panic(&self) {
         LogEvent::new(LogEventKind::RequestPanicked, "side=caller").emit();
     }
 }
--- a/crates/notchwalkd/src/engine_driver.rs
+++ b/crates/notchwalkd/src/engine_driver.rs
@@ -4,11 +4,11 @@
 
 use http::{Method, StatusCode};
 use notchwalk_core::{Attempt, RequestId, ServerId};
-use notchwalk_decide::{AttemptEnd, Dispatch, Event, RequestKey, SegmentOrder};
+use notchwalk_decide::{AttemptEnd, Dispatch, Event, RequestKey, SegmentPrefill};
 use notchwalk_http::prelude::*;
 use notchwalk_wire::{
-    CancelAnswer, CancelRequest, EngineFinish, EngineFrame, EngineRefusal, GenerateRequest,
-    Holdings, Prompt, SegmentAnswer, SegmentRequest,
+    Allocations, CancelRequest, CancelResponse, EngineFinish, EngineFrame, EngineRejection,
+    GenerateRequest, Prompt, SegmentRequest, SegmentResponse,
 };
 
 use crate::{
@@ -16,7 +16,7 @@
     sse::SseReader,
 };
 
-/// Timeout of cancel and holdings calls.
+/// Timeout of cancel and allocation calls.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Maximum size of a response that isn't streamed, in bytes.
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
@@ -61,20 +61,22 @@
         Ok(response) if response.status == StatusCode::OK => {
             read_frames(shell, dispatch.request, payload, response).await
         }
-        Ok(response) => read_refusal(response).await,
-        Err(e) if e.nothing_sent() => AttemptEnd::NotSent,
+        Ok(response) => read_rejection(response).await,
+        Err(e) if e.is_unsent() => AttemptEnd::NotSent,
         Err(_) => AttemptEnd::Broken,
     }
 }
 
 /// Reads a response that isn't a stream. The attempt counts as refused only if the
-/// body is an explicit refusal.
-async fn read_refusal(response: StreamedResponse) -> AttemptEnd {
-    let Ok(body) = response.whole(MAX_RESPONSE_BYTES).await else {
+/// body is an explicit rejection.
+async fn read_rejection(response: StreamedResponse) -> AttemptEnd {
+    let Ok(body) = response.collect(MAX_RESPONSE_BYTES).await else {
         return AttemptEnd::Broken;
     };
-    match body.json::<EngineRefusal>() {
-        Ok(refusal) => AttemptEnd::Refused { code: refusal.code },
+    match body.json::<EngineRejection>() {
+        Ok(rejection) => AttemptEnd::Refused {
+            code: rejection.code,
+        },
         Err(_) => AttemptEnd::Broken,
     }
 }
@@ -159,7 +161,9 @@
     finish: EngineFinish,
 ) -> AttemptEnd {
     if let Some(bytes) = payload.text_bytes {
-        shell.with_node(|node| node.learn_tokens(&payload.model, bytes, finish.prompt_tokens));
+        shell.with_node(|node| {
+            node.record_prompt_tokens(&payload.model, bytes, finish.prompt_tokens)
+        });
     }
     shell.set_finish_reason(request, finish.reason);
     AttemptEnd::Complete {
@@ -180,18 +184,22 @@
 
 /// Requests the prefill of one segment of a long prompt and reports the result to
 /// the reducer.
-pub async fn prefill_segment(shell: Rc<Shell>, order: SegmentOrder, payload: Rc<GeneratePayload>) {
-    let event = match request_segment(&shell, &order, &payload).await {
+pub async fn prefill_segment(
+    shell: Rc<Shell>,
+    segment: SegmentPrefill,
+    payload: Rc<GeneratePayload>,
+) {
+    let event = match request_segment(&shell, &segment, &payload).await {
         Ok(response) => {
-            shell.add_ticket(order.request, response.ticket);
+            shell.add_ticket(segment.request, response.ticket);
             Event::SegmentReady {
-                request: order.request,
-                attempt: order.attempt,
+                request: segment.request,
+                attempt: segment.attempt,
             }
         }
         Err(end) => Event::AttemptEnded {
-            request: order.request,
-            attempt: order.attempt,
+            request: segment.request,
+            attempt: segment.attempt,
             end,
         },
     };
@@ -200,33 +208,35 @@
 
 async fn request_segment(
     shell: &Rc<Shell>,
-    order: &SegmentOrder,
+    segment: &SegmentPrefill,
     payload: &GeneratePayload,
-) -> Result<SegmentAnswer, AttemptEnd> {
+) -> Result<SegmentResponse, AttemptEnd> {
     let addr = shell
-        .server_address(order.server)
+        .server_address(segment.server)
         .ok_or(AttemptEnd::NotSent)?;
-    let id = shell.with_node(|node| node.request_id(order.request));
+    let id = shell.with_node(|node| node.request_id(segment.request));
     let body = SegmentRequest {
         request: id.ok_or(AttemptEnd::NotSent)?,
-        attempt: order.attempt,
+        attempt: segment.attempt,
         model: payload.model.clone(),
-        from: order.from,
-        to: order.to,
-        imports: shell.tickets(order.request),
+        from: segment.from,
+        to: segment.to,
+        imports: shell.tickets(segment.request),
     };
     let req = OutgoingRequest::new(Method::POST, "/v1/kv/prefill").with_json(&body);
-    let timeout = Duration::from_millis(order.timeout_ms);
+    let timeout = Duration::from_millis(segment.timeout_ms);
     let sent = shell
         .client
         .send(addr, req, timeout, MAX_RESPONSE_BYTES)
         .await;
-    let response = sent.map_err(|e| match e.nothing_sent() {
+    let response = sent.map_err(|e| match e.is_unsent() {
         true => AttemptEnd::NotSent,
         false => AttemptEnd::Broken,
     })?;
-    if let Ok(refusal) = response.json::<EngineRefusal>() {
-        return Err(AttemptEnd::Refused { code: refusal.code });
+    if let Ok(rejection) = response.json::<EngineRejection>() {
+        return Err(AttemptEnd::Refused {
+            code: rejection.code,
+        });
     }
     response.json().map_err(|_| AttemptEnd::Broken)
 }
@@ -241,7 +251,7 @@
                 .client
                 .send(addr, req, CALL_TIMEOUT, MAX_RESPONSE_BYTES)
                 .await;
-            response.is_ok_and(|a| a.status.is_success() && a.json::<CancelAnswer>().is_ok())
+            response.is_ok_and(|a| a.status.is_success() && a.json::<CancelResponse>().is_ok())
         }
         None => false,
     };
@@ -253,7 +263,7 @@
 }
 
 /// Queries the memory an engine holds for requests and reports it to the reducer.
-pub async fn query_holdings(shell: Rc<Shell>, server: ServerId) {
+pub async fn query_allocations(shell: Rc<Shell>, server: ServerId) {
     let Some(addr) = shell.server_address(server) else {
         return;
     };
@@ -265,10 +275,10 @@
     else {
         return;
     };
-    if let Ok(holdings) = response.json::<Holdings>() {
-        shell.step(Event::Holdings {
+    if let Ok(allocations) = response.json::<Allocations>() {
+        shell.step(Event::Allocations {
             server,
-            holdings: holdings.holdings,
+            allocations: allocations.allocations,
         });
     }
 }
