--- a/crates/notchwalk_decide/benches/prefix.rs
+++ b/crates/notchwalk_decide/benches/prefix.rs
@@ -1,4 +1,5 @@
-//! Block hashing of prompts, which every text prompt pays for.
+//! Cost of hashing the blocks of a text prompt, incurred by every request with
+//! one.
 
 // `criterion_group!` generates an undocumented public function.
 #![allow(missing_docs)]
--- a/crates/notchwalk_decide/src/admission.rs
+++ b/crates/notchwalk_decide/src/admission.rs
@@ -47,7 +47,7 @@
     if let Err((code, retry_ms)) = admit(node, cx, arrival) {
         node.counters.refused += 1;
         let retry_after_ms = match code {
-            // This is the end of the quarantine, so it gets no jitter.
+            // The remaining quarantine is exact, so it gets no jitter.
             FailureCode::Quarantined => retry_ms,
             _ => retry_ms.and_then(|ms| retry_after(node, ms)),
         };
@@ -60,6 +60,7 @@
     }
 }
 
+/// The reason of a refusal, and the delay before a retry in milliseconds.
 type Refusal = (FailureCode, Option<u64>);
 
 /// `Retry-After` of a temporary refusal, in milliseconds.
@@ -81,8 +82,8 @@
     let slot = node.catalog.slot(key);
     let state = node.catalog.workspace(slot);
     let queue_is_full = state.queued >= workspace.max_queued;
-    let all_run = state.in_flight >= workspace.max_in_flight;
-    if queue_is_full && all_run || state.queued > workspace.max_queued {
+    let at_in_flight_limit = state.in_flight >= workspace.max_in_flight;
+    if queue_is_full && at_in_flight_limit || state.queued > workspace.max_queued {
         let wait = workspace_wait_ms(node, cx, slot);
         return Err((
             FailureCode::WorkspaceQueueFull,
@@ -186,7 +187,7 @@
 fn insert_request(node: &mut Node, cx: &mut Cx<'_>, request: Request) {
     let (id, caller, deadline) = (request.id, request.caller, request.deadline);
     let (slot, group) = (request.workspace, request.group);
-    let claims = request.claim.is_some();
+    let needs_claim = request.claim.is_some();
     let key = node.requests.insert(request);
     node.by_seq.insert(id.seq, key);
     node.timers.set(deadline, key, TimerKind::Deadline);
@@ -196,7 +197,7 @@
         request: key,
         id,
     });
-    if claims {
+    if needs_claim {
         claim::start(node, cx, key);
         return;
     }
@@ -235,8 +236,8 @@
     cached.max().unwrap_or(0)
 }
 
-/// Estimates the wait of a workspace's next request, in milliseconds: its
-/// queued cost, served at its fair share of this node's shares of the engines.
+/// Estimates the wait of a workspace's next request, in milliseconds, from the
+/// queued cost, the workspace's fair share and this node's engine shares.
 pub(crate) fn expected_wait_ms(
     node: &mut Node,
     cx: &Cx<'_>,
--- a/crates/notchwalk_decide/src/attempt.rs
+++ b/crates/notchwalk_decide/src/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts: dispatch, frames, and retries after failures. A caller's answer is
+//! Attempts: dispatch, frames, and retries after failures. A caller's response is
 //! built from any number of attempts without gaps or duplicates, since each
 //! frame names request, attempt and offset.
 
@@ -36,12 +36,12 @@
 const FIRST_TOKEN_BASE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Multiple of the estimated prefill time allowed for the first token.
 const FIRST_TOKEN_PREFILL_FACTOR: u64 = 4;
-/// How long a server that refused work gets no more.
+/// How long a server gets no work after refusing an attempt.
 const REFUSED_BACKOFF: Duration = Duration::from_millis(100);
-/// The reservation is raised when the answer reaches this share of its reserved
-/// tokens, in percent.
+/// The reservation is raised when the completion reaches this share of its
+/// reserved tokens, in percent.
 const TOP_UP_AT_PERCENT: u64 = 80;
-/// Size of the increase relative to the answer so far, in percent.
+/// Size of the increase relative to the completion so far, in percent.
 const TOP_UP_PERCENT: u64 = 50;
 
 /// The header of a frame.
@@ -164,12 +164,12 @@
 }
 
 /// Replaces the estimated cost by the actual one.
-fn settle_cost(node: &mut Node, key: RequestKey, computed_prompt: Tokens, answer: u32) {
+fn settle_cost(node: &mut Node, key: RequestKey, prefilled_tokens: Tokens, completion_tokens: u32) {
     let req = &node.requests[key];
     if req.generate().is_none() {
         return;
     }
-    let actual = node.costs[req.group.index()].actual_us(computed_prompt, answer);
+    let actual = node.costs[req.group.index()].actual_us(prefilled_tokens, completion_tokens);
     let change = actual as i64 - req.charged_us as i64;
     charge(node, key, change);
 }
@@ -264,7 +264,7 @@
     }
 }
 
-/// Raises the reservation of an answer that grows beyond it.
+/// Raises the reservation of a completion that is about to exceed it.
 fn top_up(node: &mut Node, key: RequestKey) {
     let req = &mut node.requests[key];
     if node.cfg.reserve != ReserveMode::TopUp || req.plan.is_some() {
@@ -276,19 +276,21 @@
     let Some(running) = req.running.as_mut() else {
         return;
     };
-    let reserved_answer = running.reserved.saturating_sub(prompt);
-    let max_answer = Tokens::from(max_tokens);
-    if reserved_answer >= max_answer || delivered * 100 < reserved_answer * TOP_UP_AT_PERCENT {
+    let reserved_completion = running.reserved.saturating_sub(prompt);
+    let max_completion = Tokens::from(max_tokens);
+    if reserved_completion >= max_completion
+        || delivered * 100 < reserved_completion * TOP_UP_AT_PERCENT
+    {
         return;
     }
-    let more = (delivered * TOP_UP_PERCENT / 100).max(16);
-    let more = more.min(max_answer - reserved_answer);
-    running.reserved += more;
-    node.servers.arena[running.server].reserved += more;
+    let increase = (delivered * TOP_UP_PERCENT / 100).max(16);
+    let increase = increase.min(max_completion - reserved_completion);
+    running.reserved += increase;
+    node.servers.arena[running.server].reserved += increase;
     node.counters.top_ups += 1;
 }
 
-/// Removes the running attempt from all accounts. Returns its server.
+/// Removes the running attempt from all counts. Returns its server.
 fn clear_running(node: &mut Node, key: RequestKey) -> Option<ServerKey> {
     release_backlog(node, key);
     let req = &mut node.requests[key];
@@ -362,13 +364,13 @@
     prompt_tokens: Tokens,
     cached_tokens: Tokens,
 ) {
-    let computed = prompt_tokens.saturating_sub(cached_tokens);
+    let prefilled = prompt_tokens.saturating_sub(cached_tokens);
     let req = &node.requests[key];
-    let (group, answer) = (req.group, req.delivered);
+    let (group, completion_tokens) = (req.group, req.delivered);
     if req.generate().is_some() {
-        node.cost(group).record_answer(answer);
+        node.cost(group).record_completion(completion_tokens);
     }
-    settle_cost(node, key, computed, answer);
+    settle_cost(node, key, prefilled, completion_tokens);
     if let Some(server) = clear_running(node, key) {
         schedule::server_succeeded(node, cx, server);
     }
@@ -377,7 +379,7 @@
     node.counters.completed += 1;
     let completion = Completion {
         prompt_tokens,
-        completion_tokens: Tokens::from(answer),
+        completion_tokens: Tokens::from(completion_tokens),
         attempts: node.requests[key].attempt.0,
     };
     finish(node, cx, key, Ok(completion));
@@ -435,7 +437,7 @@
         return fail_suspected(node, cx, key, code, ms);
     }
     let percent = node.bundle().map_or(0, |b| b.policy.retry_percent);
-    if !not_run && !node.retry.take(percent) {
+    if !not_run && !node.retry.try_spend(percent) {
         return fail(node, cx, key, FailureCode::BackendFailed, Some(2_000));
     }
     let req = &node.requests[key];
@@ -460,7 +462,7 @@
     fail(node, cx, key, FailureCode::TimedOut, None);
 }
 
-/// Ends the work of a disconnected caller.
+/// Fails the request of a disconnected caller.
 pub(crate) fn on_caller_disconnected(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey) {
     if node.requests.contains_key(key) {
         fail(node, cx, key, FailureCode::CallerDisconnected, None);
--- a/crates/notchwalk_decide/src/claim.rs
+++ b/crates/notchwalk_decide/src/claim.rs
@@ -22,10 +22,10 @@
 
 /// Time limit for a claim, after which the call fails as not run.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(4);
-/// How long to wait for one response of the store.
-const STORE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Delay before the store is queried again.
-const STORE_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// How long to wait for one response of the table.
+const TABLE_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Delay before the table is queried again.
+const TABLE_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// How long the release of an abandoned claim is retried.
 const RELEASE_TTL: Duration = Duration::from_secs(600);
 /// Delay before a release is first repeated; doubles each time.
@@ -42,9 +42,9 @@
     pub token: String,
     /// Whether the row is known to be owned by this request.
     pub owned: bool,
-    /// Whether a write may have been sent.
+    /// Whether the table may hold a row written for this request.
     pub written: bool,
-    /// When the store was last queried.
+    /// When the table was last queried.
     pub last_query: Instant,
 }
 
@@ -96,7 +96,7 @@
         fingerprint,
     });
     node.timers
-        .set(cx.now.after(STORE_TIMEOUT), key, TimerKind::Claim);
+        .set(cx.now.after(TABLE_TIMEOUT), key, TimerKind::Claim);
 }
 
 fn read(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey) {
@@ -109,10 +109,10 @@
         key: claim.key.clone(),
     });
     node.timers
-        .set(cx.now.after(STORE_TIMEOUT), key, TimerKind::Claim);
+        .set(cx.now.after(TABLE_TIMEOUT), key, TimerKind::Claim);
 }
 
-/// Handles the store's response.
+/// Handles the table's response.
 pub(crate) fn on_response(
     node: &mut Node,
     cx: &mut Cx<'_>,
@@ -133,14 +133,14 @@
         }
         ClaimResponse::NoRow => write(node, cx, key),
         ClaimResponse::Unanswered => {
-            let us = STORE_RETRY_DELAY.as_micros() as u64;
+            let us = TABLE_RETRY_DELAY.as_micros() as u64;
             let delay = Duration::from_micros(node.rng.random_range(us / 2..us * 2));
             node.timers.set(cx.now.after(delay), key, TimerKind::Claim);
         }
     }
 }
 
-/// Reads the claim again, after a delay or because the store did not respond.
+/// Reads the claim again, after a delay or because the table did not respond.
 pub(crate) fn on_timer(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey) {
     let Some(req) = node.requests.get(key) else {
         return;
@@ -152,7 +152,7 @@
         return fail_unavailable(node, cx, key);
     }
     let last_query = req.claim.as_ref().map_or(cx.now, |c| c.last_query);
-    if cx.now.since(last_query) >= STORE_RETRY_DELAY / 2 {
+    if cx.now.since(last_query) >= TABLE_RETRY_DELAY / 2 {
         read(node, cx, key);
     }
 }
--- a/crates/notchwalk_decide/src/config.rs
+++ b/crates/notchwalk_decide/src/config.rs
@@ -8,14 +8,15 @@
 /// `Maximum` serve as baselines for comparison.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ReserveMode {
-    /// Reserves the prompt plus the 95th percentile of answer lengths, raises
-    /// the reservation as the answer grows, and releases it at the end.
+    /// Reserves the prompt plus the 95th percentile of completion lengths,
+    /// raises the reservation as the completion grows, and releases it at the
+    /// end.
     #[default]
     TopUp,
     /// Reserves nothing; only compares the request with the usage that the
     /// engine reports.
     CheckThenAct,
-    /// Reserves the prompt plus the longest answer allowed.
+    /// Reserves the prompt plus the longest completion allowed.
     Maximum,
 }
 
--- a/crates/notchwalk_decide/src/credit.rs
+++ b/crates/notchwalk_decide/src/credit.rs
@@ -21,7 +21,7 @@
 const GRANT_INTERVAL: Duration = Duration::from_millis(500);
 /// How long a granted share is valid.
 const SHARE_TTL: Duration = Duration::from_secs(3);
-/// A whole server, in thousandths.
+/// All of a server's time or memory, in thousandths.
 const WHOLE_PER_MILLE: u64 = 1_000;
 /// Sum of the minimum shares of all nodes, in thousandths of a server.
 const TOTAL_FLOOR_PER_MILLE: u64 = 120;
@@ -30,7 +30,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Credits {
     /// Open requests by workspace and group.
-    counts: HashMap<(WorkspaceSlot, GroupKey), u32>,
+    open_requests: HashMap<(WorkspaceSlot, GroupKey), u32>,
     /// The summed weight of the workspaces with open requests, by group.
     weight: Vec<f64>,
     /// The same in thousandths, with a slow decay.
@@ -46,7 +46,7 @@
 
 /// Counts a new request of a workspace in a group.
 pub(crate) fn add_request(node: &mut Node, slot: WorkspaceSlot, group: GroupKey) {
-    let count = node.credits.counts.entry((slot, group)).or_default();
+    let count = node.credits.open_requests.entry((slot, group)).or_default();
     *count += 1;
     if *count == 1 {
         let weight = node.catalog.workspace(slot).weight;
@@ -54,14 +54,14 @@
     }
 }
 
-/// Uncounts a request of a workspace in a group.
+/// Removes a request of a workspace in a group from the count.
 pub(crate) fn remove_request(node: &mut Node, slot: WorkspaceSlot, group: GroupKey) {
-    let Some(count) = node.credits.counts.get_mut(&(slot, group)) else {
+    let Some(count) = node.credits.open_requests.get_mut(&(slot, group)) else {
         return;
     };
     *count -= 1;
     if *count == 0 {
-        node.credits.counts.remove(&(slot, group));
+        node.credits.open_requests.remove(&(slot, group));
         let weight = node.catalog.workspace(slot).weight;
         add_weight(node, group, -weight);
     }
@@ -79,7 +79,7 @@
 /// Recomputes the demand after weights may have changed.
 pub(crate) fn recount_demand(node: &mut Node) {
     node.credits.weight.clear();
-    let keys: Vec<_> = node.credits.counts.keys().copied().collect();
+    let keys: Vec<_> = node.credits.open_requests.keys().copied().collect();
     for (slot, group) in keys {
         let weight = node.catalog.workspace(slot).weight;
         add_weight(node, group, weight);
@@ -96,8 +96,8 @@
 /// Returns this node's demand by hash of the group's name, for heartbeats.
 pub(crate) fn own_demand(node: &Node) -> Vec<(u64, u64)> {
     let weights = node.credits.smoothed_weight.iter().enumerate();
-    let busy = weights.filter(|(_, weight)| **weight > 0);
-    let hashed = busy.map(|(i, weight)| {
+    let nonzero = weights.filter(|(_, weight)| **weight > 0);
+    let hashed = nonzero.map(|(i, weight)| {
         let hash = node.catalog.group_hash(GroupKey(i as u32));
         (hash, *weight)
     });
@@ -224,8 +224,11 @@
         return vec![WHOLE_PER_MILLE / n; demand.len()];
     }
     let floor = TOTAL_FLOOR_PER_MILLE / n;
-    let rest = WHOLE_PER_MILLE - floor * n;
-    demand.iter().map(|d| floor + rest * d / total).collect()
+    let remaining = WHOLE_PER_MILLE - floor * n;
+    demand
+        .iter()
+        .map(|d| floor + remaining * d / total)
+        .collect()
 }
 
 /// Returns the shares to send to a peer.
--- a/crates/notchwalk_decide/src/effect.rs
+++ b/crates/notchwalk_decide/src/effect.rs
@@ -1,4 +1,4 @@
-//! The effects that a node asks its driver to carry out.
+//! The effects of a node's decisions, which its driver executes.
 
 use notchwalk_core::{Attempt, LogEvent, RequestId, ServerId, Tokens, VmId};
 use notchwalk_wire::{DesiredState, ExecutionOutcome, PeerMessage};
@@ -17,7 +17,7 @@
     pub attempt: Attempt,
     /// The server.
     pub server: ServerId,
-    /// The first token to deliver; above 0 for a resumed answer.
+    /// The first token to deliver; above 0 for a resumed completion.
     pub offset: u32,
     /// The priority on the engine.
     pub priority: u8,
@@ -55,7 +55,7 @@
     WorkspaceQueueFull,
     /// The deadline could not be met.
     DeadlineTooClose,
-    /// Prompt and answer exceed the model's context.
+    /// Prompt and completion exceed the model's context.
     ContextExceeded,
     /// No server serves the requested model or service.
     NoServer,
@@ -65,7 +65,7 @@
     BackendFailed,
     /// A call that must not be repeated failed after it was sent.
     CallFailed,
-    /// The store did not answer, so the call was not sent.
+    /// The platform's table did not respond, so the call was not sent.
     StoreUnavailable,
     /// A call with the same idempotency key is still running.
     CallInProgress,
@@ -88,19 +88,19 @@
 pub struct Failure {
     /// The reason.
     pub code: FailureCode,
-    /// Whether the request ran.
+    /// Whether the request ran, if known.
     pub outcome: ExecutionOutcome,
     /// Delay before the caller's next attempt, in milliseconds, for temporary
     /// failures; the remaining quarantine for quarantined requests.
     pub retry_after_ms: Option<u64>,
 }
 
-/// The counts of a complete answer.
+/// The counts of a completed request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Completion {
     /// Tokens of the prompt.
     pub prompt_tokens: Tokens,
-    /// Tokens of the answer.
+    /// Tokens of the completion.
     pub completion_tokens: Tokens,
     /// Attempts made.
     pub attempts: u16,
@@ -143,7 +143,7 @@
         /// The result.
         result: Result<Completion, Failure>,
     },
-    /// The request ended; its answer is the call's stored outcome.
+    /// The request ended; its response is the call's stored outcome.
     FinishStored {
         /// The request.
         request: RequestKey,
@@ -172,7 +172,7 @@
         /// The digest of the call.
         fingerprint: String,
     },
-    /// Read a claim whose write was not answered.
+    /// Read a claim whose write got no response.
     ClaimRead {
         /// The request.
         request: RequestKey,
--- a/crates/notchwalk_decide/src/event.rs
+++ b/crates/notchwalk_decide/src/event.rs
@@ -23,7 +23,7 @@
     pub version: Option<String>,
     /// Estimated length of the prompt, in tokens.
     pub prompt_tokens: Tokens,
-    /// The longest answer, in tokens.
+    /// Upper bound of the completion's length, in tokens.
     pub max_tokens: u32,
     /// Hashes of the prompt's first blocks.
     pub prefix: Vec<u64>,
@@ -73,13 +73,13 @@
 /// How an attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The answer is complete.
+    /// The response is complete.
     Complete {
         /// Tokens of the prompt, as the engine counted them.
         prompt_tokens: Tokens,
         /// Prompt tokens found in the engine's cache.
         cached_tokens: Tokens,
-        /// Tokens of the complete answer.
+        /// Tokens of the completion.
         completion_tokens: u32,
     },
     /// No byte of the request was sent.
@@ -89,7 +89,7 @@
         /// The code of the refusal.
         code: String,
     },
-    /// The stream broke, or the answer can't be parsed.
+    /// The stream broke, or the response can't be parsed.
     Broken,
 }
 
@@ -100,7 +100,7 @@
     pub token: String,
     /// Whether the outcome is stored.
     pub done: bool,
-    /// The digest of the request it was made for.
+    /// The digest of the claimed call.
     pub fingerprint: String,
 }
 
@@ -112,7 +112,7 @@
     Row(ClaimRow),
     /// There is no row.
     NoRow,
-    /// The store did not answer; the write may have taken effect.
+    /// The table did not respond; the write may have taken effect.
     Unanswered,
 }
 
@@ -177,7 +177,7 @@
         id: RequestId,
         /// The attempt in the frame.
         attempt: Attempt,
-        /// The offset of its first token in the answer.
+        /// The offset of its first token in the completion.
         offset: u32,
         /// The number of tokens it carries.
         count: u32,
@@ -205,13 +205,13 @@
         /// The report.
         report: Box<LoadReport>,
     },
-    /// A server did not answer a load poll.
+    /// A server did not respond to a load poll.
     LoadPollFailed(ServerId),
     /// An engine listed the memory it holds.
     Allocations {
         /// The server.
         server: ServerId,
-        /// All it holds.
+        /// All allocations on the server.
         allocations: Vec<Allocation>,
     },
     /// An engine published changes of its cache.
@@ -221,7 +221,7 @@
         /// The changes.
         events: CacheEvents,
     },
-    /// An engine confirmed a cancel, or did not answer it.
+    /// An engine confirmed a cancel, or did not respond to it.
     CancelEnded {
         /// The server.
         server: ServerId,
@@ -230,7 +230,7 @@
         /// Whether it was confirmed.
         confirmed: bool,
     },
-    /// The platform's table answered a claim's write or read.
+    /// The write or read of a claim in the platform's table ended.
     Claim {
         /// The request.
         request: RequestKey,
@@ -244,14 +244,14 @@
         /// Whether the table confirmed it.
         confirmed: bool,
     },
-    /// The table answered a read or write of the order lease.
+    /// The table responded to a read or write of the order lease.
     Lease {
         /// The current row.
         row: Option<LeaseRow>,
         /// Whether a write of this node took effect.
         applied: bool,
     },
-    /// The table did not answer a read or write of the order lease.
+    /// The table did not respond to a read or write of the order lease.
     LeaseUnanswered,
     /// An order ended.
     OrderEnded {
@@ -268,7 +268,7 @@
         /// The message.
         message: PeerMessage,
     },
-    /// The daemon is asked to shut down gracefully.
+    /// A graceful shutdown was requested.
     Drain,
 }
 
--- a/crates/notchwalk_decide/src/lane.rs
+++ b/crates/notchwalk_decide/src/lane.rs
@@ -48,7 +48,7 @@
     /// Returns the priority on engines: shorter lanes go first, and the
     /// request's own priority orders within a lane.
     pub fn engine_priority(self, priority: u8) -> u8 {
-        const STEP: u8 = 40;
-        (3 - self as u8) * STEP + priority.min(9)
+        const LANE_PRIORITY_STEP: u8 = 40;
+        (3 - self as u8) * LANE_PRIORITY_STEP + priority.min(9)
     }
 }
--- a/crates/notchwalk_decide/src/long_home.rs
+++ b/crates/notchwalk_decide/src/long_home.rs
@@ -18,8 +18,8 @@
     server::ServerKey,
 };
 
-/// How long a home makes room for one request unless the reservation is
-/// repeated.
+/// How long a home keeps memory free for a pending reservation that is not
+/// requested again.
 const PENDING_RESERVATION_TTL: Duration = Duration::from_millis(1_500);
 /// How long a new home collects existing reservations before it grants more.
 const HOME_WARMUP: Duration = Duration::from_millis(1_500);
@@ -34,10 +34,10 @@
 struct Reservation {
     tokens: Tokens,
     prefill_done: bool,
-    confirmed: Instant,
+    last_confirmed: Instant,
 }
 
-/// A reservation for which the home makes room.
+/// A reservation that waits until shorter work has freed memory.
 #[derive(Clone, Copy, Debug)]
 struct PendingReservation {
     request: RequestId,
@@ -66,7 +66,7 @@
     }
 }
 
-/// Returns the part of a server's memory that is left for shorter work, in
+/// Returns the share of a server's memory that is left for shorter work, in
 /// thousandths.
 pub(crate) fn short_pool_per_mille(node: &Node, now: Instant, key: ServerKey) -> u64 {
     let server = &node.servers.arena[key];
@@ -77,12 +77,12 @@
     let Some(ledger) = node.long.ledgers.get(&server.id) else {
         return 1_000;
     };
-    let mut taken = node.long.reserved_on(server.id);
+    let mut unavailable = node.long.reserved_on(server.id);
     if let Some(pending) = ledger.pending.filter(|p| now < p.until) {
-        taken += pending.tokens;
+        unavailable += pending.tokens;
     }
     let short_floor = node.bundle().map_or(0, |b| b.policy.short_reserve_percent) * 10;
-    let left = capacity.saturating_sub(taken) * 1_000 / capacity;
+    let left = capacity.saturating_sub(unavailable) * 1_000 / capacity;
     left.max(short_floor.min(1_000))
 }
 
@@ -132,7 +132,7 @@
         return LongReplyKind::Denied;
     };
     let warming_up = now.since(since) < HOME_WARMUP && node.membership.has_peers();
-    let Some(key) = node.servers.key(message.server) else {
+    let Some(key) = node.servers.key_of(message.server) else {
         return LongReplyKind::Denied;
     };
     let short_reserve_percent = node.bundle().map_or(0, |b| b.policy.short_reserve_percent);
@@ -146,15 +146,15 @@
     let (capacity, used) = (report.capacity_tokens, report.used_tokens);
     let ledger = node.long.ledgers.entry(message.server).or_default();
     if let Some(reserved) = ledger.reserved.get_mut(&message.request) {
-        reserved.confirmed = now;
+        reserved.last_confirmed = now;
         return LongReplyKind::Granted;
     }
     let prompts = ledger.reserved.values().filter(|r| !r.prefill_done).count();
     if prompts >= MAX_CONCURRENT_PREFILLS {
         return LongReplyKind::Denied;
     }
-    let other = |p: &PendingReservation| now < p.until && p.request != message.request;
-    if ledger.pending.as_ref().is_some_and(other) {
+    let is_other_request = |p: &PendingReservation| now < p.until && p.request != message.request;
+    if ledger.pending.as_ref().is_some_and(is_other_request) {
         return LongReplyKind::Denied;
     }
     let reserved: Tokens = ledger.reserved.values().map(|r| r.tokens).sum();
@@ -165,8 +165,8 @@
     if reserved + tokens > limit.max(1) && !(reserved == 0 && tokens <= capacity) {
         return LongReplyKind::Denied;
     }
-    // Usage beyond the reservations is shorter work; it shrinks with the
-    // granted shares.
+    // Usage beyond the reservations belongs to shorter work; it shrinks as
+    // the home grants smaller shares.
     let short_use = used.saturating_sub(reserved);
     if reserved + tokens + short_use > capacity {
         ledger.pending = Some(PendingReservation {
@@ -180,7 +180,7 @@
     let reserved = Reservation {
         tokens,
         prefill_done: false,
-        confirmed: now,
+        last_confirmed: now,
     };
     ledger.reserved.insert(message.request, reserved);
     LongReplyKind::Granted
@@ -203,9 +203,9 @@
             .or_insert(Reservation {
                 tokens: reported.tokens,
                 prefill_done: reported.prefill_done,
-                confirmed: now,
+                last_confirmed: now,
             });
-        reserved.confirmed = now;
+        reserved.last_confirmed = now;
         reserved.prefill_done |= reported.prefill_done;
     }
 }
@@ -229,8 +229,9 @@
         let Some(ledger) = node.long.ledgers.get_mut(&server) else {
             continue;
         };
-        let fresh = |reserved: &Reservation| cx.now.since(reserved.confirmed) < UNCONFIRMED_TTL;
-        ledger.reserved.retain(|_, reserved| fresh(reserved));
+        let is_confirmed =
+            |reserved: &Reservation| cx.now.since(reserved.last_confirmed) < UNCONFIRMED_TTL;
+        ledger.reserved.retain(|_, reserved| is_confirmed(reserved));
         ledger.pending = ledger.pending.filter(|p| cx.now < p.until);
     }
 }
--- a/crates/notchwalk_decide/src/long_work.rs
+++ b/crates/notchwalk_decide/src/long_work.rs
@@ -32,7 +32,7 @@
 const MAX_RESERVING: usize = 8;
 /// How long to wait for a home's reply.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(500);
-/// Delay before a home that is making room is queried again.
+/// Delay before a reservation that waits for memory is requested again.
 const RESERVE_RETRY_DELAY: Duration = Duration::from_millis(60);
 /// Backoff after all servers denied a reservation.
 const DENIED_BACKOFF: Duration = Duration::from_millis(80);
@@ -87,7 +87,7 @@
 
 /// Chooses servers for a request and sends the first reservation.
 fn choose_servers(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey, denied_by: Vec<ServerKey>) {
-    let need = placement::tokens_to_reserve(node, key);
+    let tokens = placement::tokens_to_reserve(node, key);
     let group = node.requests[key].group;
     let mut ranked = Vec::new();
     let mut largest = 0;
@@ -106,7 +106,7 @@
         return back_off_denied(node, cx, key);
     }
     let short_reserve_percent = node.bundle().map_or(0, |b| b.policy.short_reserve_percent);
-    let segments_at = |percent: Tokens| need.div_ceil((largest * percent / 100).max(1)) as usize;
+    let segments_at = |percent: Tokens| tokens.div_ceil((largest * percent / 100).max(1)) as usize;
     // Leaves room for short work on each server, unless there are too few.
     let mut segments = segments_at(100 - short_reserve_percent);
     if ranked.len() < segments {
@@ -120,7 +120,7 @@
     servers.sort_unstable_by_key(|server| node.servers.arena[*server].id);
     node.requests[key].plan = Some(LongPlan {
         servers,
-        tokens_per_server: need.div_ceil(segments as u64),
+        tokens_per_server: tokens.div_ceil(segments as u64),
         granted: 0,
         segments_done: 0,
         denied_by,
@@ -131,7 +131,7 @@
 /// Scores a server for a long prompt; the lowest score wins. Low load and a
 /// cached prefix lower it.
 fn long_score(node: &mut Node, now: Instant, key: RequestKey, server: ServerKey) -> u64 {
-    let noise = node.rng.random_range(0..4_096);
+    let jitter = node.rng.random_range(0..4_096);
     let req = &node.requests[key];
     let prefix = req.generate().map_or(&[][..], |work| &work.prefix);
     let cached = node.servers.arena[server].prefix.cached_tokens(prefix);
@@ -148,7 +148,7 @@
     // Servers where this node has used up its share of time rank lower.
     let debt_us = target.time_charged_until.since(now).as_micros() as u64;
     let debt = debt_us / PREFILL_US_PER_TOKEN;
-    (load + own + debt + noise + avoided).saturating_sub(cached)
+    (load + own + debt + jitter + avoided).saturating_sub(cached)
 }
 
 fn back_off_denied(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey) {
@@ -193,8 +193,8 @@
 /// Handles a home's reply.
 pub(crate) fn on_reply(node: &mut Node, cx: &mut Cx<'_>, reply: LongReply) {
     let key = node.by_seq.get(&reply.request.seq).copied();
-    let awaited = key.filter(|key| awaits_reply(node, *key, reply));
-    let Some(key) = awaited else {
+    let waiting_request = key.filter(|key| awaits_reply(node, *key, reply));
+    let Some(key) = waiting_request else {
         if reply.kind == LongReplyKind::Granted && !is_reserved(node, key, reply) {
             release(node, cx, reply.request, reply.server);
         }
@@ -257,7 +257,7 @@
     choose_servers(node, cx, key, plan.denied_by);
 }
 
-/// Repeats a reservation that was not answered, or that waits for room.
+/// Repeats a reservation that got no response, or that waits for memory.
 pub(crate) fn on_reserve_timer(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey) {
     let reserving = node
         .requests
@@ -268,8 +268,8 @@
     }
 }
 
-/// Starts the next step of a fully granted plan: a segment, or the attempt on
-/// the last server.
+/// Starts the next segment of a fully granted plan, or the attempt on the last
+/// server.
 fn continue_plan(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey) {
     let req = &mut node.requests[key];
     let prompt = req.prompt_tokens();
@@ -403,12 +403,12 @@
     for req in node.requests.values() {
         let Some(plan) = &req.plan else { continue };
         for (i, server) in plan.servers.iter().take(plan.granted).enumerate() {
-            let computed = req.running.is_some_and(|r| r.first_token_received);
+            let prefilled = req.running.is_some_and(|r| r.first_token_received);
             reservations.push(LongReservation {
                 server: node.servers.arena[*server].id,
                 request: req.id,
                 tokens: plan.tokens_per_server,
-                prefill_done: i < plan.segments_done || computed,
+                prefill_done: i < plan.segments_done || prefilled,
             });
         }
     }
--- a/crates/notchwalk_decide/src/membership.rs
+++ b/crates/notchwalk_decide/src/membership.rs
@@ -52,7 +52,7 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct Peer {
-    /// The entry in the VM list; `None` if it isn't listed (yet).
+    /// The record in the VM list; `None` if the peer is not listed.
     pub record: Option<PeerRecord>,
     /// The latest boot seen.
     pub boot: Option<BootNumber>,
@@ -65,7 +65,9 @@
     pub draining: bool,
     /// The version of its active bundle.
     pub bundle_version: u64,
+    /// Demand by hash of the group's name.
     demand: HashMap<u64, u64>,
+    /// Cost served, in microseconds, by hash of the workspace's name.
     served: HashMap<u64, u64>,
 }
 
@@ -244,9 +246,9 @@
             node.membership.epoch += 1;
         }
     }
-    let forgotten = |p: &Peer| p.record.is_none() && !p.is_live();
+    let is_obsolete = |p: &Peer| p.record.is_none() && !p.is_live();
     let before = node.membership.peers.len();
-    node.membership.peers.retain(|_, p| !forgotten(p));
+    node.membership.peers.retain(|_, p| !is_obsolete(p));
     if node.membership.peers.len() != before {
         node.membership.epoch += 1;
     }
@@ -265,7 +267,7 @@
         PeerMessage::LongRequest(request) => long_home::on_request(node, cx, from, request),
         PeerMessage::LongReply(reply) => long_work::on_reply(node, cx, reply),
         PeerMessage::Suspects(updates) => node.quarantine.apply_updates(from.0, &updates, cx.now),
-        // The driver exchanges bundles and passes on only verified ones.
+        // The driver exchanges bundles and forwards only valid ones.
         PeerMessage::BundleRequest(_) | PeerMessage::BundleResponse(_) => {}
     }
 }
@@ -285,7 +287,7 @@
         peer.served.clear();
     }
     let was_live = peer.is_live();
-    let revived = peer.state != PeerState::Alive;
+    let became_alive = peer.state != PeerState::Alive;
     peer.boot = Some(heartbeat.boot);
     peer.seq = heartbeat.seq;
     peer.last_seen = Some(cx.now);
@@ -297,7 +299,7 @@
     if peer.is_live() != was_live {
         node.membership.epoch += 1;
     }
-    if revived {
+    if became_alive {
         let facts = format!("vm={} boot={}", from.0, heartbeat.boot.0);
         cx.log(LogEventKind::PeerReachable, facts);
     }
@@ -306,7 +308,7 @@
     credit::on_shares(node, cx.now, from, &heartbeat.shares);
     long_home::on_peer_reservations(node, cx.now, &heartbeat.long_reservations);
     for server in &heartbeat.draining_servers {
-        if let Some(key) = node.servers.key(*server) {
+        if let Some(key) = node.servers.key_of(*server) {
             schedule::mark_draining(node, cx, key);
         }
     }
@@ -325,7 +327,7 @@
     }
 }
 
-/// Applies when other nodes last got heartbeats from their peers.
+/// Records when another node last received heartbeats from its peers.
 fn apply_peer_contacts(node: &mut Node, now: Instant, from: VmId, peer_contacts: &[PeerContact]) {
     for report in peer_contacts {
         if report.vm == from {
--- a/crates/notchwalk_decide/src/node.rs
+++ b/crates/notchwalk_decide/src/node.rs
@@ -56,7 +56,7 @@
     pub arrived: u64,
     /// Requests refused on arrival.
     pub refused: u64,
-    /// Requests with a complete answer.
+    /// Requests with a complete response.
     pub completed: u64,
     /// Admitted requests that failed.
     pub failed: u64,
@@ -68,7 +68,7 @@
     pub frames_dropped: u64,
     /// Tokens delivered to callers.
     pub tokens: u64,
-    /// Reservations raised while answers grew.
+    /// Reservations raised while completions grew.
     pub top_ups: u64,
     /// Cancels confirmed.
     pub cancels: u64,
@@ -316,7 +316,7 @@
         Some(self.requests.get(request)?.id)
     }
 
-    /// Returns the live nodes, in the order in which callers should try them.
+    /// Returns the live nodes, in the order in which callers should use them.
     pub fn live_nodes(&mut self) -> Vec<membership::LiveNode> {
         membership::live_nodes(self)
     }
--- a/crates/notchwalk_decide/src/orders.rs
+++ b/crates/notchwalk_decide/src/orders.rs
@@ -29,12 +29,13 @@
 const LEASE_SAFETY_MARGIN: Duration = Duration::from_secs(1);
 /// Interval between reads or renewals of the row.
 const RENEW_INTERVAL: Duration = Duration::from_millis(1_500);
-/// Interval between comparisons of engines with the bundle.
-const COMPARE_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval between checks for differences between the versions and adapters
+/// that engines have loaded and those in the bundle.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// How long an order may take before it is sent again.
 const ORDER_TTL: Duration = Duration::from_secs(30);
-/// One of this many engines may be changed at a time, so that enough remain
-/// warm.
+/// At most one in this many engines has an order in flight, so that enough
+/// remain warm.
 const ENGINES_PER_ORDER: usize = 4;
 
 /// The lease's row.
@@ -62,13 +63,13 @@
     held: Option<(u64, Instant)>,
     /// Since when the lease has been held.
     held_since: Instant,
-    next_lease: Instant,
-    next_compare: Instant,
+    next_renewal: Instant,
+    next_check: Instant,
     /// When the write in flight was sent.
     write_sent_at: Option<Instant>,
     /// When each order in flight was sent.
     in_flight: BTreeMap<ServerId, Instant>,
-    /// Servers that refused an order of this holder.
+    /// Servers that refused an order under the held lease.
     refused: BTreeSet<ServerId>,
 }
 
@@ -80,8 +81,8 @@
     }
 }
 
-/// Handles an answer about the lease: its current row, and whether a write of
-/// this node took effect.
+/// Handles the table's response about the lease: its current row, and whether
+/// a write of this node took effect.
 pub(crate) fn on_lease(node: &mut Node, cx: &mut Cx<'_>, row: Option<LeaseRow>, applied: bool) {
     let own = (node.cfg.vm, node.cfg.boot);
     let orders = &mut node.orders;
@@ -97,7 +98,8 @@
     }
     let held = orders.held.map(|(fencing_token, _)| fencing_token);
     if (row.holder, row.boot) == own {
-        // Counted from before the write was sent.
+        // The duration counts from when the write was sent, not from the
+        // response.
         if let Some(sent) = sent {
             orders.held = Some((row.fencing_token, sent.after(LEASE_DURATION)));
         }
@@ -119,7 +121,8 @@
     }
 }
 
-/// Handles an unanswered read or write; the write may have taken effect.
+/// Handles a read or write that got no response; the write may have taken
+/// effect.
 pub(crate) fn on_lease_unanswered(node: &mut Node) {
     node.orders.write_sent_at = None;
 }
@@ -138,17 +141,17 @@
     if node.catalog.bundle.is_none() || node.drain.is_draining() {
         return;
     }
-    let lapsed = node.orders.held.is_some_and(|(_, until)| cx.now >= until);
-    if lapsed {
+    let expired = node.orders.held.is_some_and(|(_, until)| cx.now >= until);
+    if expired {
         node.orders.held = None;
         cx.log(LogEventKind::LeaseLost, "reason=lapsed");
     }
-    if cx.now >= node.orders.next_lease {
-        node.orders.next_lease = cx.now.after(RENEW_INTERVAL);
+    if cx.now >= node.orders.next_renewal {
+        node.orders.next_renewal = cx.now.after(RENEW_INTERVAL);
         renew_or_acquire_lease(node, cx);
     }
-    if cx.now >= node.orders.next_compare {
-        node.orders.next_compare = cx.now.after(COMPARE_INTERVAL);
+    if cx.now >= node.orders.next_check {
+        node.orders.next_check = cx.now.after(CHECK_INTERVAL);
         send_orders(node, cx);
     }
 }
--- a/crates/notchwalk_decide/src/placement.rs
+++ b/crates/notchwalk_decide/src/placement.rs
@@ -20,8 +20,8 @@
 /// Penalty for longer work that is running on a server: it yields to shorter
 /// work only after the current step.
 const RUNNING_STEP_PENALTY: Tokens = 256;
-/// Penalty for a server whose home is another node. It keeps nodes from
-/// colliding on servers while the load is low.
+/// Penalty for a server whose home is another node, so that nodes choose
+/// different servers while the load is low.
 const FOREIGN_HOME_PENALTY: Tokens = 1_024;
 /// Cost of a running request in a server's score, in prompt tokens.
 const RUNNING_REQUEST_COST: Tokens = 24;
@@ -53,12 +53,12 @@
     let Some(work) = req.generate() else {
         return 0;
     };
-    let answer = match node.cfg.reserve {
-        ReserveMode::TopUp => node.costs[req.group.index()].reserved_answer(work.max_tokens),
+    let completion = match node.cfg.reserve {
+        ReserveMode::TopUp => node.costs[req.group.index()].reserved_completion(work.max_tokens),
         ReserveMode::CheckThenAct => 0,
         ReserveMode::Maximum => work.max_tokens,
     };
-    work.prompt_tokens + Tokens::from(answer.max(req.delivered))
+    work.prompt_tokens + Tokens::from(completion.max(req.delivered))
 }
 
 /// Chooses a server for a request.
@@ -116,7 +116,7 @@
         };
         let backlog = req.prompt_tokens().saturating_sub(cached);
         let lane = req.lane;
-        if fair && !has_room(node, now, key, lane, reserved, backlog) {
+        if fair && !has_capacity(node, now, key, lane, reserved, backlog) {
             continue;
         }
         let avoid = req.avoid == Some(key);
@@ -159,12 +159,12 @@
     };
     let reported = reported_backlog_before(report, lane);
     let others = reported.saturating_sub(server.backlog_before(lane));
-    let yielding = match report.backlog_tokens > reported {
+    let step_penalty = match report.backlog_tokens > reported {
         true => RUNNING_STEP_PENALTY,
         false => 0,
     };
     let running = report.running.saturating_sub(server.running) + report.waiting;
-    own + others + yielding + Tokens::from(running) * RUNNING_REQUEST_COST
+    own + others + step_penalty + Tokens::from(running) * RUNNING_REQUEST_COST
 }
 
 /// Returns whether the request fits into a server's memory as last reported.
@@ -187,8 +187,8 @@
     own + others + Tokens::from(running) * RUNNING_REQUEST_COST
 }
 
-/// Returns whether this node's share of a server has room.
-fn has_room(
+/// Returns whether this node's share of a server has capacity for a request.
+fn has_capacity(
     node: &Node,
     now: Instant,
     key: ServerKey,
@@ -223,7 +223,8 @@
     fits && (before == 0 || before + backlog <= window)
 }
 
-/// Places by the baseline policy: servers in turn, up to their slots.
+/// Places by the baseline policy: round robin over the servers, up to their
+/// slots.
 fn place_round_robin(node: &mut Node, now: Instant, request: RequestKey) -> Placement {
     let candidates = candidates(node, now, request);
     if candidates.is_empty() {
--- a/crates/notchwalk_decide/src/prefix.rs
+++ b/crates/notchwalk_decide/src/prefix.rs
@@ -7,12 +7,12 @@
 use notchwalk_core::{leading_u64, Tokens};
 use notchwalk_wire::{CacheEvent, CacheEvents};
 
-/// Tokens of one block, at four bytes a token.
+/// Tokens in a block, at four bytes per token.
 pub const BLOCK_TOKENS: Tokens = 256;
 const BLOCK_BYTES: usize = 1_024;
 /// Upper bound of the blocks hashed for a prompt.
-const MAX_BLOCKS: usize = 256;
-/// Blocks indexed for each engine.
+const MAX_HASHED_BLOCKS: usize = 256;
+/// Upper bound of the blocks indexed for an engine.
 const MAX_INDEXED_BLOCKS: usize = 65_536;
 
 /// Returns the hashes of a prompt's first blocks. Each hash covers the blocks
@@ -20,7 +20,7 @@
 pub fn block_hashes(model: &str, prompt: &[u8]) -> Vec<u64> {
     let mut previous = crate::catalog::name_hash(model);
     let mut hashes = Vec::new();
-    for block in prompt.chunks_exact(BLOCK_BYTES).take(MAX_BLOCKS) {
+    for block in prompt.chunks_exact(BLOCK_BYTES).take(MAX_HASHED_BLOCKS) {
         let mut hasher = blake3::Hasher::new();
         hasher.update(&previous.to_le_bytes());
         hasher.update(block);
--- a/crates/notchwalk_decide/src/queue.rs
+++ b/crates/notchwalk_decide/src/queue.rs
@@ -23,7 +23,7 @@
 /// Upper bound of the lead of a workspace that becomes busy, in nanoseconds of
 /// engine time at weight 1.
 const MAX_LEAD_NS: u64 = 60_000_000_000;
-/// Virtual time is kept in nanoseconds.
+/// Converts costs, in microseconds, to virtual time, in nanoseconds.
 const NS_PER_US: f64 = 1_000.0;
 
 /// Cost over weight, in nanoseconds.
--- a/crates/notchwalk_decide/src/retry.rs
+++ b/crates/notchwalk_decide/src/retry.rs
@@ -27,8 +27,9 @@
         self.available = (self.available + percent as f64 / 100.0).min(MAX_RETRIES);
     }
 
-    /// Takes one retry, if one is available; a `percent` of 0 disables retries.
-    pub fn take(&mut self, percent: u64) -> bool {
+    /// Spends one retry. Returns whether one was available; a `percent` of 0
+    /// disables retries.
+    pub fn try_spend(&mut self, percent: u64) -> bool {
         if percent == 0 || self.available < 1.0 {
             return false;
         }
--- a/crates/notchwalk_decide/src/schedule.rs
+++ b/crates/notchwalk_decide/src/schedule.rs
@@ -27,7 +27,7 @@
 
 /// Backoff of a request that no available server serves.
 const UNSERVED_BACKOFF: Duration = Duration::from_millis(250);
-/// Interval between retries of blocked lanes without a known change.
+/// Interval at which blocked lanes are retried even if no change is known.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 /// How far a workspace with long work may lead the virtual time while shorter
 /// work is blocked, in microseconds of engine time at weight 1.
@@ -143,11 +143,11 @@
 
 /// Queues a request whose backoff ended.
 pub(crate) fn on_backoff_ended(node: &mut Node, _cx: &mut Cx<'_>, key: RequestKey) {
-    let waits = node
+    let in_backoff = node
         .requests
         .get(key)
         .is_some_and(|req| req.phase == Phase::Backoff);
-    if waits {
+    if in_backoff {
         enqueue(node, key);
     }
 }
@@ -246,7 +246,7 @@
 
 /// Handles an engine's load report.
 pub(crate) fn on_load(node: &mut Node, cx: &mut Cx<'_>, id: ServerId, report: LoadReport) {
-    let Some(key) = node.servers.key(id) else {
+    let Some(key) = node.servers.key_of(id) else {
         return;
     };
     suspects::on_server_reachable(node, key);
@@ -278,7 +278,7 @@
     loaded
 }
 
-/// Recomputes what each server serves after a bundle change.
+/// Recomputes the groups that each server serves after a bundle change.
 pub(crate) fn refresh_loaded(node: &mut Node) {
     let keys: Vec<ServerKey> = node.servers.arena.keys().collect();
     for key in keys {
@@ -292,7 +292,8 @@
     }
 }
 
-/// Returns what a server of a plain service serves.
+/// Returns the group of a plain service as the loaded groups of its servers;
+/// empty if the bundle has no such service.
 pub(crate) fn service_group(node: &Node, name: &str) -> Vec<LoadedGroup> {
     let group = node.catalog.service_named(name);
     let loaded = group.map(|group| LoadedGroup {
@@ -303,9 +304,9 @@
     loaded.into_iter().collect()
 }
 
-/// Handles a load poll that was not answered.
+/// Handles a load poll that got no response.
 pub(crate) fn on_load_poll_failed(node: &mut Node, cx: &mut Cx<'_>, id: ServerId) {
-    if let Some(key) = node.servers.key(id) {
+    if let Some(key) = node.servers.key_of(id) {
         suspects::on_server_unreachable(node, cx, key);
         server_failed(node, cx, key);
     }
--- a/crates/notchwalk_decide/src/server.rs
+++ b/crates/notchwalk_decide/src/server.rs
@@ -26,9 +26,9 @@
 /// Consecutive failures that open the circuit.
 const FAILURES_TO_OPEN: u32 = 5;
 /// How long the circuit stays open the first time.
-const INITIAL_OPEN: Duration = Duration::from_secs(1);
-/// How often that duration doubles at most.
-const MAX_DOUBLINGS: u32 = 5;
+const INITIAL_OPEN_PERIOD: Duration = Duration::from_secs(1);
+/// Upper bound of the number of times that period doubles.
+const MAX_OPEN_DOUBLINGS: u32 = 5;
 
 /// How far charged time may run ahead of this node's share.
 const TIME_CHARGE_SLACK: Duration = Duration::from_millis(20);
@@ -72,8 +72,8 @@
             Self::HalfOpen { times } => times + 1,
             Self::Open { .. } => return false,
         };
-        let open_for = INITIAL_OPEN * 2u32.pow((times - 1).min(MAX_DOUBLINGS));
-        let until = now.after(open_for);
+        let open_period = INITIAL_OPEN_PERIOD * 2u32.pow((times - 1).min(MAX_OPEN_DOUBLINGS));
+        let until = now.after(open_period);
         *self = Self::Open { until, times };
         true
     }
@@ -130,7 +130,7 @@
     /// sent so far.
     pub time_charged_until: Instant,
     pub circuit: Circuit,
-    /// Counts the incarnations of the server that this node saw end.
+    /// Number of the server's incarnations that this node has observed to end.
     pub incarnation: u32,
     /// Whether it was unreachable when last contacted.
     pub unreachable: bool,
@@ -238,8 +238,8 @@
         let Some(loaded) = self.loaded.iter().find(|l| l.group == group) else {
             return false;
         };
-        let has = |list: &[String], wanted: Option<&str>| {
-            wanted.is_none_or(|wanted| list.iter().any(|item| item == wanted))
+        let has = |list: &[String], requested: Option<&str>| {
+            requested.is_none_or(|requested| list.iter().any(|item| item == requested))
         };
         has(&loaded.versions, version) && has(&loaded.adapters, adapter)
     }
@@ -264,13 +264,13 @@
 
 impl Servers {
     /// Returns the key of a server.
-    pub fn key(&self, id: ServerId) -> Option<ServerKey> {
+    pub fn key_of(&self, id: ServerId) -> Option<ServerKey> {
         self.by_id.get(&id).copied()
     }
 
     /// Returns a server by its id.
     pub fn by_id(&mut self, id: ServerId) -> Option<&mut Server> {
-        let key = self.key(id)?;
+        let key = self.key_of(id)?;
         self.arena.get_mut(key)
     }
 
@@ -286,7 +286,7 @@
         kind: ServerKind,
         failure_domain: &str,
     ) -> ServerKey {
-        if let Some(key) = self.key(id) {
+        if let Some(key) = self.key_of(id) {
             return key;
         }
         let server = Server::new(id, kind, failure_domain.to_owned());
@@ -317,7 +317,7 @@
         }
     }
 
-    /// Sets what a server serves.
+    /// Sets the groups that a server serves.
     pub fn set_loaded(&mut self, key: ServerKey, loaded: Vec<LoadedGroup>) {
         let server = &mut self.arena[key];
         let groups = |list: &[LoadedGroup]| list.iter().map(|l| l.group).collect::<Vec<_>>();
--- a/crates/notchwalk_decide/src/suspects.rs
+++ b/crates/notchwalk_decide/src/suspects.rs
@@ -39,14 +39,14 @@
     }
 }
 
-/// Returns the id of a server's current incarnation. Engines retain their
-/// number when they restart.
+/// Returns the id of a server's current incarnation. A server keeps its own id
+/// when it restarts.
 fn incarnation_id(node: &Node, server: ServerKey) -> u32 {
     let server = &node.servers.arena[server];
     (server.id.0 << INCARNATION_BITS) | (server.incarnation & ((1 << INCARNATION_BITS) - 1))
 }
 
-/// Records what the end of an attempt shows about its content and server.
+/// Updates the quarantine with the end of an attempt.
 pub(crate) fn on_attempt_ended(node: &mut Node, cx: &Cx<'_>, key: RequestKey, end: &AttemptEnd) {
     let req = &node.requests[key];
     let (Some(content), Some(running)) = (req.content, req.running) else {
@@ -58,7 +58,7 @@
     }
     let incarnation_id = incarnation_id(node, running.server);
     let server = &node.servers.arena[running.server];
-    let others = u16::try_from(server.running.saturating_sub(1)).unwrap_or(u16::MAX);
+    let other_requests = u16::try_from(server.running.saturating_sub(1)).unwrap_or(u16::MAX);
     let draining = server.draining;
     let silent = cx.now.since(running.last_progress) >= attempt::STREAM_STALL_TIMEOUT;
     let quarantine = &mut node.quarantine;
@@ -68,7 +68,13 @@
             quarantine.record_success(content, cx.now);
         }
         AttemptEnd::Broken if !draining => {
-            quarantine.record_broken_connection(content, &[incarnation_id], others, silent, cx.now);
+            quarantine.record_broken_connection(
+                content,
+                &[incarnation_id],
+                other_requests,
+                silent,
+                cx.now,
+            );
         }
         AttemptEnd::Refused { .. } => {
             quarantine.record_server_alive(incarnation_id, running.sent_at, cx.now);
@@ -84,8 +90,8 @@
     }
 }
 
-/// Ends the incarnation of a server that is unreachable or does not answer load
-/// polls. A later answer to an earlier request withdraws this.
+/// Ends the incarnation of a server that is unreachable or does not respond to
+/// load polls. A later response to an earlier request reverts this.
 pub(crate) fn on_server_unreachable(node: &mut Node, cx: &Cx<'_>, server: ServerKey) {
     let incarnation_id = incarnation_id(node, server);
     node.quarantine
--- a/crates/notchwalk_decide/src/sweep.rs
+++ b/crates/notchwalk_decide/src/sweep.rs
@@ -25,7 +25,8 @@
 const SCAN_INTERVAL: Duration = Duration::from_millis(100);
 /// Interval between queries of the memory that engines hold.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(3);
-/// Younger memory is not reclaimed, because its request may have just started.
+/// Age below which memory is not reclaimed, because its request may have just
+/// started.
 const MIN_ORPHAN_AGE_MS: u64 = 2_000;
 
 #[derive(Debug)]
@@ -128,15 +129,15 @@
     }
 }
 
-/// Cancels memory whose request has ended or whose owner is dead. Memory of an
-/// owner that may only be paused is retained.
+/// Cancels allocations whose request has ended or whose owner is dead.
+/// Allocations of an owner that may merely be suspended are retained.
 pub(crate) fn on_allocations(
     node: &mut Node,
     cx: &mut Cx<'_>,
     server: ServerId,
     allocations: &[Allocation],
 ) {
-    let Some(key) = node.servers.key(server) else {
+    let Some(key) = node.servers.key_of(server) else {
         return;
     };
     for allocation in allocations {
--- a/crates/notchwalk_decide/src/timer.rs
+++ b/crates/notchwalk_decide/src/timer.rs
@@ -6,7 +6,7 @@
 
 use crate::request::RequestKey;
 
-/// What a timer is for.
+/// The purpose of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum TimerKind {
     /// The request's deadline.
@@ -15,10 +15,11 @@
     Backoff,
     /// The running attempt made no progress within its stall timeout.
     Stall,
-    /// The home of a server did not answer a reservation, or is to be queried
-    /// again.
+    /// The home of a server did not respond to a reservation, or is to be
+    /// queried again.
     Reserve,
-    /// The store did not answer a claim, or is to be queried again.
+    /// The platform's table did not respond to a claim, or is to be queried
+    /// again.
     Claim,
 }
 
--- a/crates/notchwalk_decide/tests/decisions/claims.rs
+++ b/crates/notchwalk_decide/tests/decisions/claims.rs
@@ -9,7 +9,7 @@
 fn claiming_call() -> (TestNode, RequestKey, String) {
     let mut node = TestNode::new(1);
     node.call(Some("k"));
-    let found = node.take().into_iter().find_map(|e| match e {
+    let found = node.take_effects().into_iter().find_map(|e| match e {
         Effect::ClaimInsert { request, token, .. } => Some((request, token)),
         _ => None,
     });
@@ -28,10 +28,10 @@
 #[test]
 fn call_is_sent_only_after_its_claim_is_owned() {
     let (mut node, request, token) = claiming_call();
-    assert!(dispatches(&node.take()).is_empty());
+    assert!(dispatches(&node.take_effects()).is_empty());
     let response = row(&token, false, "f");
     node.feed(Event::Claim { request, response });
-    assert_eq!(dispatches(&node.take()).len(), 1);
+    assert_eq!(dispatches(&node.take_effects()).len(), 1);
 }
 
 #[test]
@@ -40,28 +40,28 @@
     let response = ClaimResponse::Unanswered;
     node.feed(Event::Claim { request, response });
     node.advance(500, 1);
-    let reads = node.take();
+    let reads = node.take_effects();
     assert!(
         reads.iter().any(|e| matches!(e, Effect::ClaimRead { .. })),
         "{reads:?}"
     );
     let response = row(&token, false, "f");
     node.feed(Event::Claim { request, response });
-    assert_eq!(dispatches(&node.take()).len(), 1);
+    assert_eq!(dispatches(&node.take_effects()).len(), 1);
 }
 
 #[test]
 fn unavailable_store_fails_call_as_not_run_and_releases_claim() {
     let (mut node, _, _) = claiming_call();
     node.advance(4_500, 1);
-    let effects = node.take();
+    let effects = node.take_effects();
     assert!(dispatches(&effects).is_empty());
     let failure = failures(&effects)[0];
     assert_eq!(failure.code, FailureCode::StoreUnavailable);
     assert_eq!(failure.outcome, ExecutionOutcome::NotRun);
     node.advance(2_000, 1);
     let released = |e: &Effect| matches!(e, Effect::ClaimRelease { .. });
-    let all = [effects, node.take()].concat();
+    let all = [effects, node.take_effects()].concat();
     assert!(
         all.iter().any(released),
         "the write may still have taken effect"
@@ -81,7 +81,7 @@
         let (mut node, request, _) = claiming_call();
         node.feed(Event::Claim { request, response });
         node.advance(1_000, 1);
-        let effects = node.take();
+        let effects = node.take_effects();
         assert!(
             dispatches(&effects).is_empty(),
             "the call must not run again"
--- a/crates/notchwalk_decide/tests/decisions/common.rs
+++ b/crates/notchwalk_decide/tests/decisions/common.rs
@@ -1,4 +1,4 @@
-//! A node with a bundle and engines, and helpers to drive it.
+//! A node with a bundle and engines, and functions that feed it events.
 
 use std::sync::Arc;
 
@@ -52,7 +52,7 @@
     pub inner: Node,
     /// The current time, in milliseconds.
     pub now_ms: u64,
-    /// The effects since [`TestNode::take`] was last called.
+    /// The effects since [`TestNode::take_effects`] was last called.
     pub out: Vec<Effect>,
     /// The content fingerprint of arriving requests.
     pub content: Option<Fingerprint>,
@@ -129,7 +129,7 @@
     }
 
     /// Takes the effects so far.
-    pub fn take(&mut self) -> Vec<Effect> {
+    pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.out)
     }
 
@@ -188,7 +188,7 @@
         });
     }
 
-    /// Ends an attempt with a complete answer.
+    /// Ends an attempt with a complete response.
     pub fn complete(&mut self, d: &Dispatch, tokens: u32) {
         let end = AttemptEnd::Complete {
             prompt_tokens: 100,
--- a/crates/notchwalk_decide/tests/decisions/orders.rs
+++ b/crates/notchwalk_decide/tests/decisions/orders.rs
@@ -9,7 +9,7 @@
 use crate::common::{parts, TestNode};
 
 /// Builds a node whose bundle names a version that its engine lacks.
-fn node(checks_fencing_token: bool) -> TestNode {
+fn node_lacking_version(checks_fencing_token: bool) -> TestNode {
     let mut node = TestNode::new(1);
     let mut parts = parts("order_pause_ms = 3000\n");
     for part in parts.iter_mut().filter(|p| p.name == PartName::Models) {
@@ -19,7 +19,7 @@
     }
     let bundle = Bundle::parse(2, &parts).expect("a valid bundle");
     node.feed(Event::Bundle(Arc::new(bundle)));
-    node.take();
+    node.take_effects();
     node
 }
 
@@ -57,9 +57,12 @@
 fn acquire_lease(node: &mut TestNode) -> LeaseRow {
     respond(node, row_of_other_node(1), false);
     node.advance(5_500, 1);
-    assert!(writes(&node.take()).is_empty(), "the lease has not expired");
+    assert!(
+        writes(&node.take_effects()).is_empty(),
+        "the lease has not expired"
+    );
     node.advance(3_000, 1);
-    let (expected, row) = writes(&node.take())[0];
+    let (expected, row) = writes(&node.take_effects())[0];
     assert_eq!(expected, Some(row_of_other_node(1)));
     assert_eq!(row.fencing_token, 5);
     respond(node, row, true);
@@ -68,31 +71,31 @@
 
 #[test]
 fn renewed_lease_is_not_acquired_by_another_node() {
-    let mut node = node(true);
+    let mut node = node_lacking_version(true);
     for renewals in 0..20 {
         respond(&mut node, row_of_other_node(renewals), false);
         node.advance(2_000, 1);
     }
-    let effects = node.take();
+    let effects = node.take_effects();
     assert!(writes(&effects).is_empty());
     assert!(orders(&effects).is_empty());
 }
 
 #[test]
-fn expired_lease_is_acquired_with_higher_fence() {
-    let mut node = node(true);
+fn expired_lease_is_acquired_with_higher_fencing_token() {
+    let mut node = node_lacking_version(true);
     acquire_lease(&mut node);
     node.advance(1_000, 1);
-    assert_eq!(orders(&node.take()), [5]);
+    assert_eq!(orders(&node.take_effects()), [5]);
 }
 
 #[test]
-fn engines_without_fencing_get_orders_only_after_order_pause() {
-    let mut node = node(false);
+fn engines_without_fencing_get_orders_only_after_max_suspension() {
+    let mut node = node_lacking_version(false);
     let mut row = acquire_lease(&mut node);
     for ms in [1_000, 1_500] {
         node.advance(ms, 1);
-        let effects = node.take();
+        let effects = node.take_effects();
         assert!(orders(&effects).is_empty());
         if let Some((_, renewed)) = writes(&effects).last() {
             row = *renewed;
@@ -100,19 +103,20 @@
         respond(&mut node, row, true);
     }
     node.advance(1_500, 1);
-    assert_eq!(orders(&node.take()), [5]);
+    assert_eq!(orders(&node.take_effects()), [5]);
 }
 
 #[test]
 fn holder_that_cannot_renew_sends_no_orders() {
-    let mut node = node(true);
+    let mut node = node_lacking_version(true);
     acquire_lease(&mut node);
-    // The node is paused or cut off from the store for longer than the lease.
+    // The node is suspended, or cannot reach the table, for longer than the
+    // lease.
     node.now_ms += 7_000;
     node.feed(Event::Tick);
     node.report_idle(1);
     node.advance(2_000, 1);
-    assert!(orders(&node.take()).is_empty());
+    assert!(orders(&node.take_effects()).is_empty());
     let now = notchwalk_core::Instant::from_millis(node.now_ms);
     assert!(
         !node.inner.may_order(now, 5),
@@ -122,7 +126,7 @@
 
 #[test]
 fn unanswered_renewal_does_not_extend_the_lease() {
-    let mut node = node(true);
+    let mut node = node_lacking_version(true);
     let row = acquire_lease(&mut node);
     node.advance(3_000, 1);
     // The next write fails because an earlier, unanswered one took effect: the
--- a/crates/notchwalk_decide/tests/decisions/policy.rs
+++ b/crates/notchwalk_decide/tests/decisions/policy.rs
@@ -15,7 +15,7 @@
     for _ in 0..INITIAL_REQUESTS {
         node.generate_for(1, 5, 100);
     }
-    let running = dispatches(&node.take());
+    let running = dispatches(&node.take_effects());
     assert!(
         running.len() < INITIAL_REQUESTS as usize,
         "some requests must be queued"
@@ -38,7 +38,7 @@
         }
         node.advance(10, 1);
         node.report_idle(1);
-        let next = dispatches(&node.take());
+        let next = dispatches(&node.take_effects());
         for dispatch in &next {
             let id = node
                 .inner
@@ -54,13 +54,13 @@
 }
 
 #[test]
-fn higher_priority_goes_first_without_starving_lower() {
+fn higher_priority_is_served_first_without_starving_lower() {
     let (mut node, running) = saturated_node();
     node.generate_for(0, 1, 100);
     for _ in 0..30 {
         node.generate_for(1, 9, 100);
     }
-    node.take();
+    node.take_effects();
     let order = serve_all(&mut node, running, 31);
     assert_eq!(order.len(), 31);
     let low_position = order
@@ -81,7 +81,7 @@
         node.generate_for(0, 5, 100);
         node.generate_for(1, 5, 100);
     }
-    node.take();
+    node.take_effects();
     let order = serve_all(&mut node, running, 40);
     // From 9 on, workspace a has the odd sequence numbers and b the even ones.
     let served_of_b = order.iter().filter(|seq| **seq % 2 == 0).count();
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn older_bundle_is_refused() {
+fn older_bundle_is_rejected() {
     let mut node = TestNode::new(1);
     let bundle = |version| Arc::new(Bundle::parse(version, &parts("")).expect("valid"));
     node.feed(Event::Bundle(bundle(5)));
@@ -109,7 +109,7 @@
     for _ in 0..6 {
         node.generate_for(0, 5, 100);
     }
-    let sent = dispatches(&node.take());
+    let sent = dispatches(&node.take_effects());
     assert!(!sent.is_empty());
     assert!(sent.iter().all(|d| d.server.0 == 1), "{sent:?}");
 }
@@ -118,24 +118,27 @@
 fn draining_node_refuses_after_list_ttl_and_stops_only_when_idle() {
     let mut node = TestNode::new(1);
     node.generate(100, 1, 60_000);
-    let effects = node.take();
+    let effects = node.take_effects();
     let dispatch = crate::common::single_dispatch(&effects);
     let (_, id) = crate::common::admitted(&effects);
     node.feed(Event::Drain);
     node.generate(100, 1, 60_000);
     assert_eq!(
-        dispatches(&node.take()).len(),
+        dispatches(&node.take_effects()).len(),
         1,
         "callers may still have the address cached"
     );
     node.advance(5_100, 1);
     node.generate(100, 1, 60_000);
-    assert_eq!(failures(&node.take())[0].code, FailureCode::Draining);
+    assert_eq!(
+        failures(&node.take_effects())[0].code,
+        FailureCode::Draining
+    );
     node.frame(&dispatch, id, 0, 1);
     node.complete(&dispatch, 1);
     node.advance(100, 1);
     let stopped = |effects: &[Effect]| effects.contains(&Effect::Stop);
-    assert!(!stopped(&node.take()), "one request is still open");
+    assert!(!stopped(&node.take_effects()), "one request is still open");
     assert_eq!(node.inner.open_requests(), 1);
 }
 
@@ -147,7 +150,7 @@
             node.generate_for(i % 2, (i % 9) as u8, 50 + u64::from(i) * 17);
             node.advance(20, 3);
         }
-        node.take()
+        node.take_effects()
     };
     let (first, second) = (run(), run());
     assert!(first.len() > 200);
--- a/crates/notchwalk_decide/tests/decisions/suspects.rs
+++ b/crates/notchwalk_decide/tests/decisions/suspects.rs
@@ -18,7 +18,7 @@
         node.generate(100, 10, 60_000);
         for _ in 0..200 {
             node.advance(50, ENGINES);
-            for dispatch in dispatches(&node.take()) {
+            for dispatch in dispatches(&node.take_effects()) {
                 node.now_ms += 100;
                 node.end(&dispatch, AttemptEnd::Broken);
                 node.feed(Event::LoadPollFailed(ServerId(dispatch.server.0)));
@@ -27,16 +27,16 @@
         }
     }
     assert_eq!(crashed.len(), 3, "{crashed:?}");
-    node.take();
+    node.take_effects();
     node.generate(100, 10, 60_000);
-    let refused = failures(&node.take());
+    let refused = failures(&node.take_effects());
     assert_eq!(refused[0].code, FailureCode::Quarantined);
     node.content = Some(Fingerprint::from(8));
     node.generate(100, 10, 60_000);
     // The circuits of the failed engines are open at first.
     node.advance(3_000, ENGINES);
     assert_eq!(
-        dispatches(&node.take()).len(),
+        dispatches(&node.take_effects()).len(),
         1,
         "requests with other content are served"
     );
