--- a/crates/notchwalkd/src/bundle_watch.rs
+++ b/crates/notchwalkd/src/bundle_watch.rs
@@ -1,5 +1,5 @@
 //! Keeps the active bundle up to date: polls the head row of the platform's table,
-//! fetches the changed parts of a new bundle, verifies it and passes it to the
+//! fetches the changed parts of a new bundle, verifies it and feeds it to the
 //! reducer. While the table is unavailable, newer bundles are requested from peers.
 
 use std::{rc::Rc, sync::Arc, time::Duration};
@@ -92,17 +92,22 @@
 
 /// Requests the bundle of a peer that has a newer one.
 fn request_from_peer(shell: &Rc<Shell>) {
-    let (peer, have) =
+    let (peer, active_version) =
         shell.with_node(|node| (node.peer_with_newer_bundle(), node.bundle_version()));
     if let Some(peer) = peer {
-        shell.links.send(peer, PeerMessage::BundleRequest(have));
+        shell
+            .links
+            .send(peer, PeerMessage::BundleRequest(active_version));
     }
 }
 
-/// Sends the active bundle to a peer if it is newer than the peer's version, `have`.
-pub fn offer(shell: &Rc<Shell>, to: VmId, have: u64) {
+/// Sends the active bundle to a peer if it is newer than the peer's.
+pub fn send_if_newer(shell: &Rc<Shell>, to: VmId, peer_version: u64) {
     let source = shell.bundle_source.borrow();
-    let Some(source) = source.as_ref().filter(|t| t.manifest.version > have) else {
+    let Some(source) = source
+        .as_ref()
+        .filter(|s| s.manifest.version > peer_version)
+    else {
         return;
     };
     let text = serde_json::to_string(source).unwrap_or_default();
@@ -112,20 +117,20 @@
 /// Activates a bundle received from a peer if it is newer and valid. Its parts must
 /// match the digests in the manifest. Signatures are verified only if the active
 /// bundle is the direct predecessor; otherwise the authenticated peer is trusted.
-pub fn apply_offer(shell: &Rc<Shell>, from: VmId, text: &str) {
+pub fn apply_received(shell: &Rc<Shell>, from: VmId, text: &str) {
     let Ok(source) = serde_json::from_str::<BundleSource>(text) else {
         LogEvent::new(LogEventKind::PeerFrameInvalid, format!("vm={}", from.0)).emit();
         return;
     };
     let version = source.manifest.version;
-    match check_offer(shell, &source) {
+    match verify_received(shell, &source) {
         Ok(Some(bundle)) => activate(shell, bundle, source),
         Ok(None) => {}
         Err(e) => log_rejection(version, &e),
     }
 }
 
-fn check_offer(shell: &Shell, source: &BundleSource) -> Result<Option<Bundle>, BundleError> {
+fn verify_received(shell: &Shell, source: &BundleSource) -> Result<Option<Bundle>, BundleError> {
     let manifest = &source.manifest;
     let active = shell.bundle();
     let active_version = active.as_ref().map_or(0, |b| b.version);
--- a/crates/notchwalkd/src/caller_api.rs
+++ b/crates/notchwalkd/src/caller_api.rs
@@ -33,7 +33,7 @@
         let method = exchange.head.method.clone();
         if let Some(rest) = path.strip_prefix("/v1/services/") {
             let caller = self.caller(exchange)?;
-            let options = RequestOptions::read(exchange)?;
+            let options = RequestOptions::parse(exchange)?;
             return service_proxy::handle(&self.shell, exchange, &caller, &options, rest).await;
         }
         let allowed = match path.as_str() {
@@ -64,7 +64,7 @@
             }
             _ => {
                 let caller = self.caller(exchange)?;
-                let options = RequestOptions::read(exchange)?;
+                let options = RequestOptions::parse(exchange)?;
                 let dialect = match path.as_str() {
                     "/v1/completions" => Dialect::Completions,
                     _ => Dialect::Chat,
--- a/crates/notchwalkd/src/claim_writer.rs
+++ b/crates/notchwalkd/src/claim_writer.rs
@@ -59,7 +59,7 @@
 }
 
 /// Stores the outcome of a call. Failed writes are retried with a backoff.
-pub fn store(
+pub fn store_outcome(
     shell: &Rc<Shell>,
     key: String,
     token: String,
@@ -71,11 +71,11 @@
         fingerprint,
         outcome: None,
     };
-    let claimed = value.text();
+    let expected = value.text();
     value.outcome = Some(outcome);
     let op = TableOp {
         key,
-        condition: Condition::Value(claimed),
+        condition: Condition::Value(expected),
         value: Some(value.text()),
         ttl_s: outcome_ttl_s(shell),
     };
--- a/crates/notchwalkd/src/completion_request.rs
+++ b/crates/notchwalkd/src/completion_request.rs
@@ -51,8 +51,8 @@
     ApiFailure::invalid_param("unsupported_parameter", param, message)
 }
 
-/// Rejects the first set parameter. The callers list unsupported parameters that
-/// would change the output.
+/// Rejects the first parameter that is set. `params` lists the unsupported parameters
+/// that would change the output, each with whether it is set.
 fn reject_unsupported(params: &[(&str, bool)]) -> Result<(), ApiFailure> {
     for (name, set) in params {
         if *set {
--- a/crates/notchwalkd/src/completions.rs
+++ b/crates/notchwalkd/src/completions.rs
@@ -132,17 +132,17 @@
     }
 }
 
-/// Returns a fingerprint that recognizes a repeated request.
+/// Returns a fingerprint that is equal for repeats of a request.
 fn content_fingerprint(exchange: &Exchange, caller: &Caller, body: &[u8]) -> Fingerprint {
     let workspace = caller.bundle.workspace(caller.workspace);
-    let mut fingerprinting = FingerprintBuilder::new(&RequestHead {
+    let mut builder = FingerprintBuilder::new(&RequestHead {
         workspace: Some(&workspace.name),
         method: exchange.head.method.as_str(),
         host: "",
         target: exchange.path(),
     });
-    fingerprinting.update(body);
-    fingerprinting.finish()
+    builder.update(body);
+    builder.finish()
 }
 
 /// Refuses requests that can be refused without reading their bodies, so that
--- a/crates/notchwalkd/src/effects.rs
+++ b/crates/notchwalkd/src/effects.rs
@@ -10,7 +10,7 @@
     shell::{EffectHandler, Shell},
 };
 
-/// Executes effects by passing each to its driver. New effects are added here.
+/// Executes effects by passing each to its driver.
 pub struct DaemonEffects;
 
 impl EffectHandler for DaemonEffects {
@@ -26,13 +26,13 @@
                     None => shell.send_to_caller(dispatch.request, CallerEvent::Send(dispatch)),
                 }
             }
-            Effect::Segment(order) => {
-                if order.from == 0 {
-                    shell.clear_tickets(order.request);
+            Effect::Segment(segment) => {
+                if segment.from == 0 {
+                    shell.clear_tickets(segment.request);
                 }
-                if let Some(payload) = shell.payload(order.request) {
-                    let task = engine_driver::prefill_segment(shell.clone(), order, payload);
-                    shell.spawn_attempt(order.request, task);
+                if let Some(payload) = shell.payload(segment.request) {
+                    let task = engine_driver::prefill_segment(shell.clone(), segment, payload);
+                    shell.spawn_attempt(segment.request, task);
                 }
             }
             Effect::Cancel { server, id, up_to } => {
--- a/crates/notchwalkd/src/engine_driver.rs
+++ b/crates/notchwalkd/src/engine_driver.rs
@@ -251,7 +251,7 @@
                 .client
                 .send(addr, req, CALL_TIMEOUT, MAX_RESPONSE_BYTES)
                 .await;
-            response.is_ok_and(|a| a.status.is_success() && a.json::<CancelResponse>().is_ok())
+            response.is_ok_and(|r| r.status.is_success() && r.json::<CancelResponse>().is_ok())
         }
         None => false,
     };
--- a/crates/notchwalkd/src/metrics.rs
+++ b/crates/notchwalkd/src/metrics.rs
@@ -112,12 +112,12 @@
     }
 }
 
-/// Control-plane traffic since the daemon started, in bytes.
+/// Control-plane traffic since the daemon started.
 #[derive(Clone, Copy, Debug)]
 pub struct Traffic {
-    /// Sent to peers.
+    /// Bytes sent to peers.
     pub peer_bytes: u64,
-    /// Fetched from the platform for bundles.
+    /// Bytes fetched from the platform for bundles.
     pub bundle_bytes: u64,
 }
 
--- a/crates/notchwalkd/src/order_driver.rs
+++ b/crates/notchwalkd/src/order_driver.rs
@@ -19,7 +19,7 @@
 const ORDER_TIMEOUT: Duration = Duration::from_secs(5);
 /// Bytes reserved at the weight store for one version or adapter.
 const WEIGHT_RESERVATION_BYTES: u64 = 1 << 20;
-/// Upper bound on the wait that the weight store asks for.
+/// Upper bound on the wait that the weight store requests.
 const MAX_WEIGHT_STORE_WAIT: Duration = Duration::from_secs(20);
 
 fn parse_lease(row: Option<Row>) -> Option<LeaseRow> {
@@ -76,7 +76,7 @@
 }
 
 /// Returns whether the engine accepted the order; `None` if the order was not sent
-/// or not answered and may be sent again.
+/// or got no response, and may be sent again.
 async fn try_send_order(
     shell: &Rc<Shell>,
     server: ServerId,
--- a/crates/notchwalkd/src/peer_link.rs
+++ b/crates/notchwalkd/src/peer_link.rs
@@ -21,12 +21,12 @@
 
 use crate::{
     bundle_watch,
-    peer_auth::{self, Challenge, Hello, Proof, PROOF_BYTES},
+    peer_auth::{self, Challenge, Hello, Proof, KEY_BYTES},
     peer_links::Outbox,
     shell::Shell,
 };
 
-/// Maximum size of a message. Bundles are the largest messages.
+/// Maximum size of a message, in bytes. Bundles are the largest messages.
 const MAX_MESSAGE_BYTES: usize = 32 << 20;
 /// Timeout of connecting and authenticating.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(3);
@@ -77,7 +77,7 @@
         .max_frame_size(Some(MAX_MESSAGE_BYTES))
 }
 
-async fn open_link(shell: &Shell, addr: SocketAddr) -> Option<(Socket, [u8; PROOF_BYTES])> {
+async fn open_link(shell: &Shell, addr: SocketAddr) -> Option<(Socket, [u8; KEY_BYTES])> {
     let stream = TcpStream::connect_addr(addr).await.ok()?;
     stream.set_nodelay(true).ok()?;
     let io = stream.into_poll_io().ok()?;
@@ -116,7 +116,7 @@
 async fn send_all(
     shell: &Shell,
     mut socket: Socket,
-    session: [u8; PROOF_BYTES],
+    session: [u8; KEY_BYTES],
     outbox: &mut Outbox,
 ) -> bool {
     let mut sequence = 0;
@@ -181,18 +181,15 @@
         };
         sequence += 1;
         match message {
-            PeerMessage::BundleRequest(have) => bundle_watch::offer(shell, vm, have),
-            PeerMessage::BundleResponse(text) => bundle_watch::apply_offer(shell, vm, &text),
+            PeerMessage::BundleRequest(version) => bundle_watch::send_if_newer(shell, vm, version),
+            PeerMessage::BundleResponse(text) => bundle_watch::apply_received(shell, vm, &text),
             message => shell.step(Event::Peer { from: vm, message }),
         }
     }
 }
 
 /// Authenticates the connecting side. Returns its session key and VM.
-async fn authenticate(
-    shell: &Shell,
-    stream: TcpStream,
-) -> Option<(Socket, [u8; PROOF_BYTES], VmId)> {
+async fn authenticate(shell: &Shell, stream: TcpStream) -> Option<(Socket, [u8; KEY_BYTES], VmId)> {
     stream.set_nodelay(true).ok()?;
     let io = stream.into_poll_io().ok()?;
     let mut socket = accept_async_with_config(io, Some(ws_config())).await.ok()?;
--- a/crates/notchwalkd/src/request_options.rs
+++ b/crates/notchwalkd/src/request_options.rs
@@ -5,7 +5,7 @@
 
 use crate::api_error::ApiFailure;
 
-/// Longer request ids are not echoed.
+/// Maximum length of a request id that is echoed, in bytes.
 const MAX_REQUEST_ID_BYTES: usize = 200;
 
 /// Options of one request, given in headers.
@@ -24,7 +24,7 @@
     /// # Errors
     ///
     /// Fails if a header is not a number in its range.
-    pub fn read(exchange: &Exchange) -> Result<Self, ApiFailure> {
+    pub fn parse(exchange: &Exchange) -> Result<Self, ApiFailure> {
         Ok(Self {
             priority: parse_number(exchange, "x-notchwalk-priority", 9)?,
             timeout_ms: parse_number(exchange, "x-notchwalk-timeout-ms", u64::MAX)?,
--- a/crates/notchwalkd/src/service_proxy.rs
+++ b/crates/notchwalkd/src/service_proxy.rs
@@ -32,7 +32,7 @@
 const MAX_STORED_BODY_BYTES: usize = 64 * 1024;
 /// Maximum length of an idempotency key, in bytes.
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 255;
-/// Maximum size of a chunk of a streamed body.
+/// Maximum size of a chunk of a streamed body, in bytes.
 const MAX_CHUNK_BYTES: usize = 1 << 20;
 /// Headers that are not forwarded: hop-by-hop headers and those addressed to the node.
 const UNFORWARDED_HEADERS: [&str; 10] = [
@@ -196,7 +196,7 @@
     }
 }
 
-/// Returns a fingerprint that recognizes a repeated call; `None` if the body is
+/// Returns a fingerprint that is equal for repeats of a call; `None` if the body is
 /// streamed.
 fn content_fingerprint(
     workspace: &str,
@@ -207,17 +207,18 @@
     let Body::Buffered(body) = body else {
         return None;
     };
-    let mut fingerprinting = FingerprintBuilder::new(&RequestHead {
+    let mut builder = FingerprintBuilder::new(&RequestHead {
         workspace: Some(workspace),
         method: method.as_str(),
         host: "",
         target,
     });
-    fingerprinting.update(body);
-    Some(fingerprinting.finish())
+    builder.update(body);
+    Some(builder.finish())
 }
 
-/// Returns the digest by which a claim recognizes the call that made it.
+/// Returns the digest that is stored with a call's claim. It distinguishes a repeat of
+/// the call from a different one under the same idempotency key.
 fn call_fingerprint(method: &Method, target: &str, body: &Body) -> String {
     let mut hasher = blake3::Hasher::new();
     hasher.update(method.as_str().as_bytes());
@@ -243,7 +244,7 @@
 
 /// The result of an attempt for the call's task.
 enum AttemptResult {
-    /// It failed and was reported to the reducer, which decides how to go on.
+    /// The attempt failed. The reducer was notified and decides on a retry.
     Reported,
     /// The complete response was forwarded.
     Forwarded,
@@ -445,7 +446,7 @@
             }
         }
         response.release();
-        self.store(status, content_type, stored);
+        self.store_outcome(status, content_type, stored);
         self.report(
             dispatch,
             AttemptEnd::Complete {
@@ -465,7 +466,7 @@
     }
 
     /// Stores the outcome if the call has a claim.
-    fn store(&self, status: StatusCode, content_type: String, body: Vec<u8>) {
+    fn store_outcome(&self, status: StatusCode, content_type: String, body: Vec<u8>) {
         let Some((key, fingerprint)) = self.claim.clone() else {
             return;
         };
@@ -475,7 +476,7 @@
             body: (body.len() <= MAX_STORED_BODY_BYTES).then_some(body),
         };
         let token = self.id.to_string();
-        claim_writer::store(self.shell, key, token, fingerprint, outcome);
+        claim_writer::store_outcome(self.shell, key, token, fingerprint, outcome);
     }
 }
 
--- a/crates/notchwalkd/src/shell.rs
+++ b/crates/notchwalkd/src/shell.rs
@@ -151,11 +151,11 @@
 
     /// Returns all metrics in Prometheus' text format.
     pub fn metrics_text(&self) -> String {
-        let sent = Traffic {
+        let traffic = Traffic {
             peer_bytes: self.links.sent_bytes(),
             bundle_bytes: self.bundle_bytes.get(),
         };
-        self.metrics.encode(&self.node.borrow(), sent)
+        self.metrics.encode(&self.node.borrow(), traffic)
     }
 
     /// Calls `f` with the reducer.
@@ -195,7 +195,7 @@
             .borrow_mut()
             .step(self.clock.now(), event, &mut effects);
         for effect in effects {
-            self.perform(effect);
+            self.execute(effect);
         }
     }
 
@@ -280,7 +280,7 @@
             .map_or_else(Vec::new, |o| o.tickets.clone())
     }
 
-    fn perform(self: &Rc<Self>, effect: Effect) {
+    fn execute(self: &Rc<Self>, effect: Effect) {
         match effect {
             Effect::Admitted { request, id, .. } => {
                 if let Some(open) = self.submitted.borrow_mut().take() {
--- a/crates/notchwalkd/src/vm_watch.rs
+++ b/crates/notchwalkd/src/vm_watch.rs
@@ -103,7 +103,8 @@
     has_servers
 }
 
-/// Spawns the poll task of an engine, which leaves `polled` when it ends.
+/// Spawns the poll task of an engine, and removes the engine from `polled` when the
+/// task ends.
 fn spawn_poll(shell: Rc<Shell>, polled: Rc<RefCell<HashSet<ServerId>>>, id: ServerId) {
     notchwalk_http::spawn(async move {
         engine_poll::poll(shell, id).await;
