--- a/crates/notchwalk_http/src/body.rs
+++ b/crates/notchwalk_http/src/body.rs
@@ -37,10 +37,10 @@
     ///
     /// Rejects contradictory or malformed framing.
     pub fn for_response(status: http::StatusCode, headers: &HeaderMap) -> Result<Self, HttpError> {
-        let bodiless = status.is_informational()
+        let has_no_body = status.is_informational()
             || status == http::StatusCode::NO_CONTENT
             || status == http::StatusCode::NOT_MODIFIED;
-        if bodiless {
+        if has_no_body {
             return Ok(Self::Done);
         }
         Ok(Self::from_headers(headers)?.unwrap_or(Self::UntilClose))
@@ -70,7 +70,7 @@
     }
 
     /// Returns the number of bytes that remain, if `Content-Length` declares the length.
-    pub fn declared(&self) -> Option<u64> {
+    pub fn remaining_length(&self) -> Option<u64> {
         match self {
             Self::Fixed(remaining) => Some(*remaining),
             _ => None,
--- a/crates/notchwalk_http/src/client.rs
+++ b/crates/notchwalk_http/src/client.rs
@@ -31,8 +31,8 @@
 pub enum ConnectionReuse {
     /// A pooled connection may be used; the server may already have closed it.
     Pooled,
-    /// A new connection is made, so that a connection error proves that nothing was
-    /// sent. It is closed afterwards.
+    /// A new connection is made and closed afterwards. A connect error then proves that
+    /// nothing was sent.
     Fresh,
 }
 
@@ -42,7 +42,8 @@
     pub method: Method,
     /// The path with its query.
     pub path: String,
-    /// Headers except `Host` and those of the framing.
+    /// The headers, without `Host` and the framing headers (`Content-Length` and
+    /// `Transfer-Encoding`).
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
@@ -113,19 +114,19 @@
     }
 }
 
-struct Idle {
+struct IdleConnection {
     conn: Connection,
-    until: Instant,
+    expires_at: Instant,
 }
 
-type Pool = Rc<RefCell<HashMap<SocketAddr, Vec<Idle>>>>;
+type Pool = Rc<RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>>;
 
 /// An HTTP client; clones share the connection pool.
 #[derive(Clone)]
 pub struct Client {
     pool: Pool,
     connect_timeout: Duration,
-    received: Rc<Cell<u64>>,
+    received_bytes: Rc<Cell<u64>>,
 }
 
 impl Default for Client {
@@ -133,7 +134,7 @@
         Self {
             pool: Pool::default(),
             connect_timeout: CONNECT_TIMEOUT,
-            received: Rc::default(),
+            received_bytes: Rc::default(),
         }
     }
 }
@@ -153,7 +154,7 @@
     /// Returns the number of bytes that all connections of this client and its clones
     /// have received.
     pub fn received_bytes(&self) -> u64 {
-        self.received.get()
+        self.received_bytes.get()
     }
 
     async fn connect(&self, addr: SocketAddr) -> Result<Connection, HttpError> {
@@ -164,15 +165,15 @@
             Err(_) => return Err(HttpError::Connect(std::io::ErrorKind::TimedOut.into())),
         };
         let conn = Connection::new(stream).map_err(HttpError::Connect)?;
-        Ok(conn.with_received_counter(self.received.clone()))
+        Ok(conn.with_received_counter(self.received_bytes.clone()))
     }
 
-    /// Takes a usable connection from the pool.
+    /// Removes a usable connection from the pool and returns it.
     async fn idle_connection(&self, addr: SocketAddr) -> Option<Connection> {
         loop {
             let idle = self.pool.borrow_mut().get_mut(&addr)?.pop();
             let mut idle = idle?;
-            if Instant::now() < idle.until && !idle.conn.is_stale().await {
+            if Instant::now() < idle.expires_at && !idle.conn.is_stale().await {
                 return Some(idle.conn);
             }
         }
@@ -200,8 +201,8 @@
     ///
     /// # Errors
     ///
-    /// Fails on connection errors; [`HttpError::is_unsent`] returns whether the server
-    /// can't have received any part of the request.
+    /// Fails on connection errors; [`HttpError::is_unsent`] returns whether
+    /// the error proves that no byte of the request was sent.
     pub async fn stream(
         &self,
         addr: SocketAddr,
@@ -235,8 +236,7 @@
         self.receive(addr, conn, &req.method, req.reuse).await
     }
 
-    /// Reads the response head on a connection on which the caller of this function has
-    /// already written the request.
+    /// Reads the response head from a connection to which the request was already written.
     ///
     /// # Errors
     ///
@@ -260,7 +260,7 @@
             reusable: reuse == ConnectionReuse::Pooled
                 && !close
                 && !matches!(body, BodyReader::UntilClose),
-            idle: idle_timeout(&head.headers),
+            idle_timeout: idle_timeout(&head.headers),
             headers: head.headers,
             conn,
             body,
@@ -276,7 +276,7 @@
         self.pool.borrow_mut().clear();
     }
 
-    /// Closes the idle connections to one address, whose server has stopped.
+    /// Closes the idle connections to one address. Call this when its server has stopped.
     pub fn close_idle_to(&self, addr: SocketAddr) {
         self.pool.borrow_mut().remove(&addr);
     }
@@ -298,8 +298,8 @@
         self.with_timeout(addr, timeout, exchange).await
     }
 
-    /// Like [`Self::send`], with separate timeouts for the response head and the body, so
-    /// that a missing response is detected before a large one times out.
+    /// Like [`Self::send`], with separate timeouts for the response head and the body: a
+    /// short head timeout detects an unresponsive server, and a large body has more time.
     ///
     /// # Errors
     ///
@@ -318,14 +318,15 @@
             .await
     }
 
-    /// Runs `step` with a timeout, which closes the idle connections to `addr`.
+    /// Awaits `operation` for at most `timeout`. A timeout closes the idle connections to
+    /// `addr`.
     async fn with_timeout<T>(
         &self,
         addr: SocketAddr,
         timeout: Duration,
-        step: impl Future<Output = Result<T, HttpError>>,
+        operation: impl Future<Output = Result<T, HttpError>>,
     ) -> Result<T, HttpError> {
-        match monoio::time::timeout(timeout, step).await {
+        match monoio::time::timeout(timeout, operation).await {
             Ok(result) => result,
             Err(_) => {
                 self.pool.borrow_mut().remove(&addr);
@@ -346,7 +347,7 @@
     addr: SocketAddr,
     pool: Pool,
     reusable: bool,
-    idle: Duration,
+    idle_timeout: Duration,
 }
 
 impl StreamedResponse {
@@ -392,13 +393,13 @@
         })
     }
 
-    /// Reads and discards the rest of this response, then reads the head of the next one on
-    /// the same connection.
+    /// Reads and discards the rest of this response, then reads the head of the next
+    /// response on the same connection.
     ///
     /// # Errors
     ///
-    /// Fails on connection errors, and if the body of this response ends with the
-    /// connection.
+    /// Fails on connection errors, and if the end of this response's body is marked by
+    /// the end of the connection.
     pub async fn next_response(mut self, method: &Method) -> Result<Self, HttpError> {
         if matches!(self.body, BodyReader::UntilClose) {
             return Err(HttpError::Closed);
@@ -407,7 +408,7 @@
         let client = Client {
             pool: self.pool,
             connect_timeout: CONNECT_TIMEOUT,
-            received: Rc::default(),
+            received_bytes: Rc::default(),
         };
         let reuse = if self.reusable {
             ConnectionReuse::Pooled
@@ -431,11 +432,11 @@
         let mut pool = self.pool.borrow_mut();
         let idle = pool.entry(self.addr).or_default();
         let now = Instant::now();
-        idle.retain(|idle| now < idle.until);
+        idle.retain(|idle| now < idle.expires_at);
         if idle.len() < MAX_IDLE_CONNECTIONS {
-            idle.push(Idle {
+            idle.push(IdleConnection {
                 conn: self.conn,
-                until: now + self.idle,
+                expires_at: now + self.idle_timeout,
             });
         }
     }
@@ -444,7 +445,7 @@
 /// Returns how long a connection may stay in the pool after a response with these headers:
 /// less than the `Keep-Alive` timeout, so that the server does not close it first.
 fn idle_timeout(headers: &HeaderMap) -> Duration {
-    const MARGIN: Duration = Duration::from_millis(500);
+    const SAFETY_MARGIN: Duration = Duration::from_millis(500);
     let keep_alive = headers.get("keep-alive").and_then(|v| v.to_str().ok());
     let timeout = keep_alive.and_then(|text| {
         let parameters = text.split(',').map(str::trim);
@@ -453,7 +454,7 @@
     });
     match timeout {
         Some(s) => Duration::from_secs(s)
-            .saturating_sub(MARGIN)
+            .saturating_sub(SAFETY_MARGIN)
             .min(IDLE_TIMEOUT),
         None => IDLE_TIMEOUT,
     }
--- a/crates/notchwalk_http/src/connection.rs
+++ b/crates/notchwalk_http/src/connection.rs
@@ -18,16 +18,16 @@
 
 /// Maximum size of a message head.
 pub const MAX_HEAD_BYTES: usize = 32 * 1024;
-/// Spare capacity of the read buffer before each read.
-const READ_BYTES: usize = 4 * 1024;
-/// Maximum number of bytes buffered from a peer while its request is being served.
+/// Minimum spare capacity of the read buffer before each read.
+const MIN_READ_CAPACITY_BYTES: usize = 4 * 1024;
+/// Maximum number of bytes buffered from a peer while its request is being handled.
 const MAX_READ_AHEAD_BYTES: usize = 64 * 1024;
 
 /// A connection and its read buffer.
 pub struct Connection {
     io: TcpStreamPoll,
     rbuf: BytesMut,
-    received: Rc<Cell<u64>>,
+    received_bytes: Rc<Cell<u64>>,
 }
 
 impl Connection {
@@ -41,13 +41,13 @@
         Ok(Self {
             io: stream.into_poll_io()?,
             rbuf: BytesMut::new(),
-            received: Rc::default(),
+            received_bytes: Rc::default(),
         })
     }
 
-    /// Adds the number of received bytes to a counter that connections share.
-    pub fn with_received_counter(mut self, received: Rc<Cell<u64>>) -> Self {
-        self.received = received;
+    /// Counts received bytes in a counter that several connections share.
+    pub fn with_received_counter(mut self, received_bytes: Rc<Cell<u64>>) -> Self {
+        self.received_bytes = received_bytes;
         self
     }
 
@@ -58,9 +58,10 @@
     ///
     /// Fails on socket errors.
     pub async fn read_more(&mut self) -> io::Result<usize> {
-        self.rbuf.reserve(READ_BYTES);
+        self.rbuf.reserve(MIN_READ_CAPACITY_BYTES);
         let n = self.io.read_buf(&mut self.rbuf).await?;
-        self.received.set(self.received.get() + n as u64);
+        self.received_bytes
+            .set(self.received_bytes.get() + n as u64);
         Ok(n)
     }
 
@@ -131,7 +132,7 @@
             if let Some(piece) = body.decode(&mut self.rbuf)? {
                 return Ok(piece);
             }
-            if self.rbuf.len() > max_piece + READ_BYTES {
+            if self.rbuf.len() > max_piece + MIN_READ_CAPACITY_BYTES {
                 return Err(HttpError::BodyTooLarge(max_piece));
             }
             if self.read_more().await? > 0 {
@@ -167,22 +168,22 @@
         body: &mut BodyReader,
         limit: usize,
     ) -> Result<Bytes, HttpError> {
-        if body.declared().is_some_and(|n| n > limit as u64) {
+        if body.remaining_length().is_some_and(|n| n > limit as u64) {
             return Err(HttpError::BodyTooLarge(limit));
         }
-        let declared = body.declared().unwrap_or(0) as usize;
-        let mut whole = BytesMut::with_capacity(declared);
+        let length = body.remaining_length().unwrap_or(0) as usize;
+        let mut data = BytesMut::with_capacity(length);
         loop {
             let piece = self.read_piece(body, limit).await?;
             if piece.is_empty() && body.is_done() {
-                return Ok(whole.freeze());
+                return Ok(data.freeze());
             }
-            if whole.len() + piece.len() > limit {
+            if data.len() + piece.len() > limit {
                 return Err(HttpError::BodyTooLarge(limit));
             }
-            whole.extend_from_slice(&piece);
+            data.extend_from_slice(&piece);
             if body.is_done() {
-                return Ok(whole.freeze());
+                return Ok(data.freeze());
             }
         }
     }
@@ -216,7 +217,7 @@
         if !self.rbuf.is_empty() {
             return true;
         }
-        self.rbuf.reserve(READ_BYTES);
+        self.rbuf.reserve(MIN_READ_CAPACITY_BYTES);
         let Self { io, rbuf, .. } = self;
         let mut read = std::pin::pin!(io.read_buf(rbuf));
         std::future::poll_fn(|cx| {
--- a/crates/notchwalk_http/src/head.rs
+++ b/crates/notchwalk_http/src/head.rs
@@ -35,6 +35,7 @@
     buf
 }
 
+/// Appends the headers, the framing header and the empty line that ends a head.
 fn finish_head(buf: &mut Vec<u8>, headers: &HeaderMap, length: Option<usize>) {
     for (name, value) in headers {
         if *name == header::CONTENT_LENGTH || *name == header::TRANSFER_ENCODING {
--- a/crates/notchwalk_http/src/server.rs
+++ b/crates/notchwalk_http/src/server.rs
@@ -48,7 +48,7 @@
     }
 }
 
-/// Answers requests.
+/// Handles requests.
 pub trait Service: 'static {
     /// Handles one request and writes the response to its exchange.
     fn call<'a>(&'a self, exchange: &'a mut Exchange) -> LocalBoxFuture<'a, ()>;
@@ -94,8 +94,9 @@
 impl Exchange {
     fn new(conn: Connection, head: RequestHead, limits: ServerLimits) -> Self {
         let connection = head.headers.get(header::CONNECTION);
-        let asks_close = connection.is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"close"));
-        let keep_alive = head.version == Version::HTTP_11 && !asks_close;
+        let requests_close =
+            connection.is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"close"));
+        let keep_alive = head.version == Version::HTTP_11 && !requests_close;
         Self {
             head,
             conn,
@@ -118,7 +119,7 @@
 
     /// Returns the remaining length of the body, if `Content-Length` declares it.
     pub fn declared_length(&self) -> Option<u64> {
-        self.body.declared()
+        self.body.remaining_length()
     }
 
     /// Returns whether the request body was read completely, or there is none.
@@ -157,18 +158,23 @@
         limit: usize,
         mut inspect: impl FnMut(&[u8]),
     ) -> Result<Bytes, HttpError> {
-        if self.body.declared().is_some_and(|n| n > limit as u64) {
+        if self
+            .body
+            .remaining_length()
+            .is_some_and(|n| n > limit as u64)
+        {
             return Err(HttpError::BodyTooLarge(limit));
         }
-        let mut whole = bytes::BytesMut::with_capacity(self.body.declared().unwrap_or(0) as usize);
+        let mut body =
+            bytes::BytesMut::with_capacity(self.body.remaining_length().unwrap_or(0) as usize);
         while let Some(piece) = self.next_piece(limit).await? {
-            if whole.len() + piece.len() > limit {
+            if body.len() + piece.len() > limit {
                 return Err(HttpError::BodyTooLarge(limit));
             }
             inspect(&piece);
-            whole.extend_from_slice(&piece);
+            body.extend_from_slice(&piece);
         }
-        Ok(whole.freeze())
+        Ok(body.freeze())
     }
 
     /// Reads the next piece of the body; returns `None` at its end.
@@ -238,7 +244,7 @@
     fn prepare_headers(&mut self, headers: &mut HeaderMap) {
         if self
             .body
-            .declared()
+            .remaining_length()
             .is_some_and(|n| n > MAX_DISCARD_BYTES as u64)
         {
             self.keep_alive = false;
@@ -271,8 +277,8 @@
     /// # Errors
     ///
     /// Fails on socket errors, and if the peer reads too slowly.
-    pub async fn write_chunks(&mut self, framed: &[u8]) -> Result<(), HttpError> {
-        self.write(framed).await
+    pub async fn write_chunks(&mut self, encoded: &[u8]) -> Result<(), HttpError> {
+        self.write(encoded).await
     }
 
     /// Ends a streamed response.
@@ -306,8 +312,9 @@
         self.keep_alive = false;
     }
 
-    /// Returns the connection for the next request; closes it if it can't be reused.
-    async fn into_next(mut self) -> Option<Connection> {
+    /// Discards the rest of the request body and returns the connection for the next
+    /// request. Closes it if it can't be reused.
+    async fn into_reusable(mut self) -> Option<Connection> {
         if self.sent != Sent::All {
             self.keep_alive = false;
         }
@@ -335,35 +342,36 @@
     }
 }
 
-struct OpenConnections(Rc<Cell<usize>>);
+/// Counts a connection as open until dropped.
+struct OpenConnectionGuard(Rc<Cell<usize>>);
 
-impl OpenConnections {
-    fn open(count: &Rc<Cell<usize>>) -> Self {
+impl OpenConnectionGuard {
+    fn new(count: &Rc<Cell<usize>>) -> Self {
         count.set(count.get() + 1);
         Self(count.clone())
     }
 }
 
-impl Drop for OpenConnections {
+impl Drop for OpenConnectionGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-/// Accepts connections without end and serves each in its own task.
+/// Accepts connections indefinitely and serves each in its own task.
 pub async fn serve(listener: TcpListener, limits: ServerLimits, service: Rc<dyn Service>) {
     const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-    let open = Rc::new(Cell::new(0));
+    let open_connections = Rc::new(Cell::new(0));
     loop {
         let Ok((stream, peer)) = listener.accept().await else {
-            // Most likely out of file descriptors; waits for some to be closed.
+            // The process is probably out of file descriptors: wait until some are closed.
             monoio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        if open.get() >= limits.max_connections {
+        if open_connections.get() >= limits.max_connections {
             continue;
         }
-        let guard = OpenConnections::open(&open);
+        let guard = OpenConnectionGuard::new(&open_connections);
         let service = service.clone();
         crate::spawn(async move {
             let _guard = guard;
@@ -414,16 +422,16 @@
             service.on_panic();
             return;
         }
-        match exchange.into_next().await {
+        match exchange.into_reusable().await {
             Some(next) => conn = next,
             None => return,
         }
     }
 }
 
-/// Waits for the next request; returns whether it arrived within the idle timeout. The
-/// timeout is read again when it expires, since a longer one may have been announced to the
-/// peer in the meantime.
+/// Waits for the next request; returns whether it arrived within the idle timeout. When the
+/// timeout expires, reads the current one again: the service may have announced a longer
+/// timeout to the peer in the meantime.
 async fn wait_for_request(
     conn: &mut Connection,
     limits: ServerLimits,
@@ -431,8 +439,8 @@
 ) -> bool {
     let mut waited = Duration::ZERO;
     loop {
-        let idle = service.limits(limits).idle_timeout;
-        let Some(remaining) = idle
+        let idle_timeout = service.limits(limits).idle_timeout;
+        let Some(remaining) = idle_timeout
             .checked_sub(waited)
             .filter(|remaining| !remaining.is_zero())
         else {
--- a/crates/notchwalk_http/src/tasks.rs
+++ b/crates/notchwalk_http/src/tasks.rs
@@ -27,8 +27,8 @@
 /// Aborts all tasks of this thread that were started with [`spawn`], including those that
 /// they start in the meantime, and waits until they are dropped.
 pub async fn abort_all() {
-    /// Lets the other tasks run; the future passed to `block_on` can't yield to them
-    /// without a timer.
+    /// Interval at which this checks whether all tasks were dropped. Only a timer lets the
+    /// other tasks run while the future passed to `block_on` waits.
     const POLL_INTERVAL: Duration = Duration::from_millis(1);
     while !TASKS.with_borrow(SlotMap::is_empty) {
         TASKS.with_borrow(|tasks| tasks.values().for_each(AbortHandle::abort));
--- a/crates/notchwalk_http/tests/bodies.rs
+++ b/crates/notchwalk_http/tests/bodies.rs
@@ -5,7 +5,7 @@
 use notchwalk_http::{encode_chunk, BodyReader, CHUNK_END};
 use proptest::prelude::*;
 
-fn chunked() -> HeaderMap {
+fn chunked_headers() -> HeaderMap {
     let mut headers = HeaderMap::new();
     headers.insert(
         header::TRANSFER_ENCODING,
@@ -27,24 +27,24 @@
             encode_chunk(&mut wire, piece);
         }
         wire.extend_from_slice(CHUNK_END);
-        let mut body = BodyReader::for_request(&chunked()).expect("chunked framing");
-        let (mut buf, mut got) = (BytesMut::new(), Vec::new());
-        for part in wire.chunks(step) {
-            buf.extend_from_slice(part);
+        let mut body = BodyReader::for_request(&chunked_headers()).expect("chunked framing");
+        let (mut buf, mut decoded) = (BytesMut::new(), Vec::new());
+        for bytes in wire.chunks(step) {
+            buf.extend_from_slice(bytes);
             while let Some(piece) = body.decode(&mut buf).expect("valid chunks") {
                 if piece.is_empty() {
                     break;
                 }
-                got.extend_from_slice(&piece);
+                decoded.extend_from_slice(&piece);
             }
         }
         prop_assert!(body.is_done());
-        prop_assert_eq!(got, pieces.concat());
+        prop_assert_eq!(decoded, pieces.concat());
     }
 
     #[test]
     fn arbitrary_bytes_do_not_panic_the_chunk_decoder(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
-        let mut body = BodyReader::for_request(&chunked()).expect("chunked framing");
+        let mut body = BodyReader::for_request(&chunked_headers()).expect("chunked framing");
         let mut buf = BytesMut::from(&bytes[..]);
         for _ in 0..bytes.len() + 1 {
             if !matches!(body.decode(&mut buf), Ok(Some(_))) || body.is_done() {
--- a/crates/notchwalk_http/tests/panics.rs
+++ b/crates/notchwalk_http/tests/panics.rs
@@ -19,7 +19,7 @@
 impl Service for PanickingService {
     fn call<'a>(&'a self, exchange: &'a mut Exchange) -> LocalBoxFuture<'a, ()> {
         Box::pin(async move {
-            assert!(exchange.path() != "/panic", "the request asks for a panic");
+            assert!(exchange.path() != "/panic", "panic requested by the test");
             exchange.respond_text(StatusCode::OK, "fine").await;
         })
     }
--- a/crates/notchwalk_http/tests/slow_peers.rs
+++ b/crates/notchwalk_http/tests/slow_peers.rs
@@ -57,12 +57,12 @@
 #[test]
 fn incomplete_head_or_body_is_rejected_after_timeout() {
     let addr = start_server();
-    for part in [
+    for incomplete in [
         "GET / HTTP/1.1\r\nx-slow: ",
         "POST / HTTP/1.1\r\ncontent-length: 10\r\n\r\nabc",
     ] {
         let mut stream = TcpStream::connect(addr).expect("a connection");
-        stream.write_all(part.as_bytes()).expect("sent");
+        stream.write_all(incomplete.as_bytes()).expect("sent");
         let mut response = String::new();
         stream.read_to_string(&mut response).expect("a response");
         assert!(response.starts_with("HTTP/1.1 408"), "{response}");
