--- a/crates/notchwalk_platform/src/bundles.rs
+++ b/crates/notchwalk_platform/src/bundles.rs
@@ -10,9 +10,9 @@
 
 use crate::{ObjectStore, Platform, PlatformError, TableStore};
 
-/// The key of the head row.
+/// The key of the table row that contains the [`BundleHead`].
 pub const HEAD_KEY: &str = "bundle/head";
-/// Attempts to update the head without a response before the outcome is reported as unknown.
+/// Maximum number of attempts to update the head row while the platform does not respond.
 const MAX_HEAD_ATTEMPTS: usize = 20;
 
 /// The value of the head row.
@@ -55,14 +55,14 @@
         current: BundleHead,
         /// The version that the change is based on.
         expected: u64,
-        /// The operators who signed the version in force, and its reason.
+        /// The operators who signed the version in force, and the reason they gave.
         changed_by: String,
     },
     /// Stored data is missing, or its content does not match its digest.
     #[display("stored data is missing or damaged: {_0}")]
     #[from(ignore)]
     Damaged(#[error(not(source))] String),
-    /// The platform did not respond to the update of the head, so its outcome is unknown.
+    /// The platform did not respond to the update of the head row, so its outcome is unknown.
     #[display(
         "the platform did not respond, so version {_0} may have been accepted; run the same command again"
     )]
@@ -144,8 +144,8 @@
 }
 
 /// Fetches a bundle by the digest of its manifest and checks its content and signatures.
-/// Parts in `known` are not fetched again; of a changed part only the delta is fetched, if it
-/// is stored.
+/// Parts in `known` that did not change are not fetched again. For a changed part, only the
+/// delta is fetched, if one is stored.
 ///
 /// # Errors
 ///
@@ -157,18 +157,18 @@
     known: &[Part],
 ) -> Result<FetchedBundle, SubmitError> {
     let manifest = fetch_manifest(objects, digest).await?;
-    let mut fetch = PartFetch::new(objects, known);
-    fetch.bytes += serde_json::to_vec(&manifest).map_or(0, |json| json.len() as u64);
-    let parts = fetch.fetch_all(&manifest).await?;
+    let mut fetcher = PartFetcher::new(objects, known);
+    fetcher.fetched_bytes += serde_json::to_vec(&manifest).map_or(0, |json| json.len() as u64);
+    let parts = fetcher.fetch_all(&manifest).await?;
     let bundle = Bundle::parse(manifest.version, &parts)?;
     if manifest.previous.is_empty() {
         manifest.verify(&bundle)?;
     } else {
-        let before = fetch_manifest(objects, &manifest.previous).await?;
-        manifest.verify(&fetch.operators_of(&before, &parts).await?)?;
+        let previous = fetch_manifest(objects, &manifest.previous).await?;
+        manifest.verify(&fetcher.operators_of(&previous, &parts).await?)?;
     }
     Ok(FetchedBundle {
-        fetched_bytes: fetch.bytes,
+        fetched_bytes: fetcher.fetched_bytes,
         manifest,
         parts,
         bundle,
@@ -176,18 +176,18 @@
 }
 
 /// Fetches parts and counts the fetched bytes.
-struct PartFetch<'a> {
+struct PartFetcher<'a> {
     objects: &'a dyn ObjectStore,
     known: &'a [Part],
-    bytes: u64,
+    fetched_bytes: u64,
 }
 
-impl<'a> PartFetch<'a> {
+impl<'a> PartFetcher<'a> {
     fn new(objects: &'a dyn ObjectStore, known: &'a [Part]) -> Self {
         Self {
             objects,
             known,
-            bytes: 0,
+            fetched_bytes: 0,
         }
     }
 
@@ -211,7 +211,7 @@
             }
         }
         let part = fetch_part(self.objects, name, digest).await?;
-        self.bytes += part.text.len() as u64;
+        self.fetched_bytes += part.text.len() as u64;
         Ok(part)
     }
 
@@ -226,7 +226,7 @@
         let Some(data) = self.objects.get(delta_key(old, digest)).await? else {
             return Ok(None);
         };
-        self.bytes += data.len() as u64;
+        self.fetched_bytes += data.len() as u64;
         let delta = serde_json::from_slice::<Delta>(&data).ok();
         let text = delta.and_then(|delta| delta.apply(&known.text));
         let part = text.map(|text| Part {
@@ -236,15 +236,15 @@
         Ok(part.filter(|part| part.digest() == digest))
     }
 
-    /// Returns a bundle with only the operators of `before`, which verify the signatures of the
-    /// next bundle.
+    /// Returns a bundle with only the operators of `previous`, whose keys verify the signatures
+    /// of the next bundle.
     async fn operators_of(
         &mut self,
-        before: &Manifest,
+        previous: &Manifest,
         parts: &[Part],
     ) -> Result<Bundle, SubmitError> {
         let mut parts = parts.to_vec();
-        for (name, digest) in &before.parts {
+        for (name, digest) in &previous.parts {
             if *name != PartName::Operators {
                 continue;
             }
@@ -255,11 +255,11 @@
             }
         }
         parts.retain(|part| part.name == PartName::Operators);
-        Ok(Bundle::operators_only(before.version, &parts)?)
+        Ok(Bundle::operators_only(previous.version, &parts)?)
     }
 }
 
-/// Stores a signed bundle and updates the head to it. Idempotent: a bundle that is already in
+/// Stores a signed bundle and updates the head row to it. Idempotent: a bundle that is already in
 /// force counts as accepted.
 ///
 /// # Errors
@@ -296,13 +296,13 @@
     head: Option<&BundleHead>,
     parts: &[Part],
 ) -> Result<(), SubmitError> {
-    let before = match head {
+    let previous = match head {
         Some(head) => fetch_manifest(platform, &head.manifest).await?.parts,
         None => Vec::new(),
     };
     for part in parts {
         let digest = part.digest();
-        let old = before.iter().find(|(name, _)| *name == part.name);
+        let old = previous.iter().find(|(name, _)| *name == part.name);
         let old = old.map(|(_, digest)| digest.as_str());
         if old == Some(digest.as_str()) {
             continue;
@@ -321,7 +321,7 @@
     Ok(())
 }
 
-/// Checks that a manifest is the successor of the head and is signed.
+/// Checks that a manifest is the successor of the version in force and is signed.
 async fn check_successor(
     platform: &dyn Platform,
     manifest: &Manifest,
@@ -340,9 +340,9 @@
         let expected = manifest.version.saturating_sub(1);
         return Err(conflict(platform, head.clone(), expected).await);
     }
-    let before = fetch_manifest(platform, &head.manifest).await?;
-    let operators = PartFetch::new(platform, &[])
-        .operators_of(&before, parts)
+    let previous = fetch_manifest(platform, &head.manifest).await?;
+    let operators = PartFetcher::new(platform, &[])
+        .operators_of(&previous, parts)
         .await?;
     Ok(manifest.verify(&operators)?)
 }
@@ -370,13 +370,13 @@
     from: Option<BundleHead>,
     to: BundleHead,
 ) -> Result<BundleHead, SubmitError> {
-    let text = |head: &BundleHead| serde_json::to_string(head).unwrap_or_default();
+    let json = |head: &BundleHead| serde_json::to_string(head).unwrap_or_default();
     let op = TableOp {
         key: HEAD_KEY.to_owned(),
         condition: from
             .as_ref()
-            .map_or(Condition::Absent, |h| Condition::Value(text(h))),
-        value: Some(text(&to)),
+            .map_or(Condition::Absent, |h| Condition::Value(json(h))),
+        value: Some(json(&to)),
         ttl_s: None,
     };
     let tx = TableTransaction {
@@ -389,10 +389,10 @@
             Ok(response) if response.applied.first() == Some(&true) => return Ok(to),
             Ok(response) => {
                 let row = response.rows.into_iter().next().flatten();
-                let now = row.map(|row| parse_head(&row)).transpose()?;
-                return match now {
-                    Some(now) if now == to => Ok(to),
-                    Some(now) => Err(conflict(platform, now, expected).await),
+                let stored = row.map(|row| parse_head(&row)).transpose()?;
+                return match stored {
+                    Some(stored) if stored == to => Ok(to),
+                    Some(stored) => Err(conflict(platform, stored, expected).await),
                     None => Err(SubmitError::Damaged("the head row was removed".to_owned())),
                 };
             }
--- a/crates/notchwalk_platform/src/version.rs
+++ b/crates/notchwalk_platform/src/version.rs
@@ -35,9 +35,10 @@
 /// Whether a response of the store can be applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseValidity {
-    /// Its rows are valid.
+    /// The response's rows are valid.
     Valid,
-    /// It is from a former epoch, for example from a delayed connection, and must be ignored.
+    /// The response is from a former epoch, for example because it was delayed, and must be
+    /// ignored.
     FormerEpoch,
     /// A new epoch began after the query was sent; the whole table must be read.
     NewEpoch,
@@ -65,15 +66,15 @@
     }
 
     /// Starts a query: returns the version after which to read changes, or `None` to read the
-    /// whole table. Resets the position, so that the whole table is read after a query without
-    /// a response.
+    /// whole table. Resets the position until the response is recorded, so that the whole
+    /// table is read next if no response arrives.
     pub fn start_query(&mut self) -> Option<StoreVersion> {
         self.position.take()
     }
 
     /// Records the response to a query for the changes after `after`. Its rows are valid only
-    /// in the same epoch: after a restore, a change can have a revision below `after`, which
-    /// the response omits.
+    /// in the same epoch: after a restore, a change can have a revision below `after`, and the
+    /// response then omits it.
     pub fn record_changes(
         &mut self,
         after: StoreVersion,
@@ -86,8 +87,8 @@
         validity
     }
 
-    /// Records the responses to a read of the whole table, whose first page was of version
-    /// `first` and whose last page was of version `last`.
+    /// Records the responses to a read of the whole table, whose first page had version
+    /// `first` and whose last page had version `last`.
     pub fn record_full_read(
         &mut self,
         first: StoreVersion,
--- a/crates/notchwalk_platform/tests/store_versions.rs
+++ b/crates/notchwalk_platform/tests/store_versions.rs
@@ -1,6 +1,6 @@
 //! Model check of `TableCursor`: two nodes follow a table of two rows while rows are written
 //! and the store is restored from a snapshot. Responses sent before the restore can arrive
-//! after it. Guards against nodes that keep stale rows after a restore.
+//! after it. Guards against nodes that retain stale rows after a restore.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Store {
     epoch: u64,
-    now: Rows,
+    current: Rows,
     snapshot: Option<Rows>,
     writes: u8,
     restored: bool,
@@ -29,18 +29,20 @@
 
 impl Store {
     fn version(&self) -> StoreVersion {
-        StoreVersion::new(self.epoch, self.now.rev)
+        StoreVersion::new(self.epoch, self.current.rev)
     }
 
     fn write(&mut self, key: char) {
         self.writes += 1;
-        self.now.rev += 1;
-        self.now.rows.insert(key, (self.writes, self.now.rev));
+        self.current.rev += 1;
+        self.current
+            .rows
+            .insert(key, (self.writes, self.current.rev));
     }
 
     /// Returns the rows with these keys that changed after a revision.
     fn changes_since(&self, keys: &[char], after: u64) -> Vec<RowUpdate> {
-        let rows = self.now.rows.iter();
+        let rows = self.current.rows.iter();
         let rows = rows.filter(|(key, (_, rev))| keys.contains(key) && *rev > after);
         let updates = rows.map(|(&key, &(value, rev))| RowUpdate {
             key,
@@ -64,11 +66,12 @@
 enum Query {
     #[default]
     None,
-    /// Sent to the store: for changes after a version, or for the whole table.
+    /// The query was sent to the store. It requests the changes after a version, or the whole
+    /// table.
     Sent(Option<StoreVersion>),
-    /// The store sent changes; `None` if it lacks the version.
+    /// The store sent the changes after a version; `None` if that version is unknown to it.
     Changes(StoreVersion, Option<(StoreVersion, Vec<RowUpdate>)>),
-    /// The first page of the whole table was received; the second was not queried yet.
+    /// The first page of the whole table was received; the second was not requested yet.
     FirstPage(StoreVersion, Vec<RowUpdate>),
 }
 
@@ -93,7 +96,9 @@
             Query::Sent(None) => {
                 Query::FirstPage(store.version(), store.changes_since(&KEYS[..1], 0))
             }
-            Query::Sent(Some(after)) if after.rev > store.now.rev => Query::Changes(after, None),
+            Query::Sent(Some(after)) if after.rev > store.current.rev => {
+                Query::Changes(after, None)
+            }
             Query::Sent(Some(after)) => {
                 let changes = (store.version(), store.changes_since(&KEYS, after.rev));
                 Query::Changes(after, Some(changes))
@@ -154,11 +159,11 @@
             }
         }
         if self.store.snapshot.is_none() {
-            add(&|system| system.store.snapshot = Some(system.store.now.clone()));
+            add(&|system| system.store.snapshot = Some(system.store.current.clone()));
         }
         if let Some(snapshot) = self.store.snapshot.clone().filter(|_| !self.store.restored) {
             add(&|system| {
-                system.store.now = snapshot.clone();
+                system.store.current = snapshot.clone();
                 system.store.epoch += 1;
                 system.store.restored = true;
             });
@@ -182,7 +187,7 @@
     /// Completes all queries and sends further ones, after which every node must have the
     /// content of the store.
     fn check(&self) {
-        /// A late response, a response of a new epoch, and a read of the whole table.
+        /// Enough for a late response, a response of a new epoch and a read of the whole table.
         const ROUNDS: usize = 3;
         let mut system = self.clone();
         let store = system.store.clone();
@@ -197,7 +202,7 @@
                 node.step(&store);
             }
             let expected = store
-                .now
+                .current
                 .rows
                 .iter()
                 .map(|(&key, &(value, _))| (key, value));
--- a/crates/notchwalk_wire/src/caller.rs
+++ b/crates/notchwalk_wire/src/caller.rs
@@ -3,8 +3,8 @@
 use notchwalk_core::Tokens;
 use serde::{Deserialize, Serialize};
 
-/// The prompt of a completion request: a text or a list of token ids, or a batch of one of
-/// either.
+/// The prompt of a completion request: a text, a list of token ids, or a batch that contains
+/// exactly one of these.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum PromptInput {
@@ -12,9 +12,9 @@
     Text(String),
     /// Token ids.
     Tokens(Vec<u32>),
-    /// A batch of texts; only batches of one are supported.
+    /// A batch of texts; only batches with one text are supported.
     Texts(Vec<String>),
-    /// A batch of token lists; only batches of one are supported.
+    /// A batch of token lists; only batches with one list are supported.
     TokenLists(Vec<Vec<u32>>),
 }
 
@@ -198,7 +198,7 @@
     pub prompt_tokens: Tokens,
     /// Tokens in the completion.
     pub completion_tokens: Tokens,
-    /// The sum of both.
+    /// Tokens in the prompt and the completion together.
     pub total_tokens: Tokens,
 }
 
@@ -210,7 +210,7 @@
     NotRun,
     /// The request was executed, completely or in part.
     Ran,
-    /// It is not known whether the request was executed.
+    /// Whether the request was executed is unknown.
     Unknown,
 }
 
--- a/crates/notchwalk_wire/src/cbor.rs
+++ b/crates/notchwalk_wire/src/cbor.rs
@@ -3,9 +3,9 @@
 use derive_more::{Display, Error};
 use serde::{de::DeserializeOwned, Serialize};
 
-/// The bytes are not a message of the expected type.
+/// The bytes are not a CBOR message of the expected type.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
-#[display("not a message: {reason}")]
+#[display("invalid CBOR message: {reason}")]
 pub struct CborError {
     reason: String,
 }
--- a/crates/notchwalk_wire/src/engine.rs
+++ b/crates/notchwalk_wire/src/engine.rs
@@ -138,7 +138,7 @@
     pub adapters: Vec<String>,
 }
 
-/// `GET /v1/load`: a recent load of the engine.
+/// `GET /v1/load`: the load of the engine at a recent time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
     /// KV memory, in tokens.
@@ -156,10 +156,10 @@
     /// `backlog_tokens` per priority, highest priority first.
     #[serde(default)]
     pub backlog_by_priority: Vec<(u8, Tokens)>,
-    /// Engine time per prompt token, in nanoseconds.
+    /// Engine time to prefill one prompt token, in nanoseconds.
     #[serde(rename = "prompt_token_ns")]
     pub prefill_token_ns: u64,
-    /// Engine time per generated token, in nanoseconds.
+    /// Engine time to decode one token, in nanoseconds.
     #[serde(rename = "answer_token_ns")]
     pub decode_token_ns: u64,
     /// The loaded models.
--- a/crates/notchwalk_wire/src/peer.rs
+++ b/crates/notchwalk_wire/src/peer.rs
@@ -17,7 +17,8 @@
     pub age_ms: u64,
 }
 
-/// The share of a server that its home grants to a node.
+/// The share of a server that its home, the node that divides it among all nodes, grants to
+/// one node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize_tuple, Deserialize_tuple)]
 pub struct ServerShare {
     /// The server.
@@ -59,8 +60,8 @@
     pub vm: VmId,
     /// The boot of the sender.
     pub boot: BootNumber,
-    /// The number of the heartbeat within the boot; heartbeats that arrive out of order are
-    /// ignored.
+    /// The sequence number of the heartbeat within the boot; a heartbeat that arrives after a
+    /// newer one is ignored.
     pub seq: u64,
     /// Whether the sender is draining.
     pub draining: bool,
@@ -77,8 +78,8 @@
     pub served: Vec<ServedCost>,
     /// Servers that are draining, according to the sender.
     pub draining_servers: Vec<ServerId>,
-    /// The reservations for long requests of the sender, from which a new home restores its
-    /// state and a home detects a lost release.
+    /// The reservations for long requests of the sender. A new home restores its state from
+    /// them, and a home detects lost release messages with them.
     pub long_reservations: Vec<LongReservation>,
 }
 
@@ -87,7 +88,7 @@
 pub enum LongRequestKind {
     /// Reserve memory for this number of tokens.
     Reserve(Tokens),
-    /// The prefill is complete; the next one may start.
+    /// The prefill is complete; the prefill of another long request may start.
     #[serde(rename = "PromptDone")]
     PrefillDone,
     /// Release the reservation.
@@ -112,7 +113,7 @@
     Granted,
     /// There is not enough memory; another server must be used.
     Denied,
-    /// There is not enough memory yet, but it is being cleared for this request; the
+    /// There is not enough memory yet, but freed memory is retained for this request; the
     /// reservation must be requested again.
     #[serde(rename = "Earmarked")]
     Clearing,
@@ -132,7 +133,7 @@
 /// A message between nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Liveness and shared state.
+    /// The sender is alive; contains its state.
     Heartbeat(Heartbeat),
     /// A message about a long request to a home.
     LongRequest(LongRequest),
--- a/crates/notchwalk_wire/tests/parsers.rs
+++ b/crates/notchwalk_wire/tests/parsers.rs
@@ -1,4 +1,4 @@
-//! Messages survive a round trip, and no input makes their parsers panic.
+//! Messages round-trip through their serialized form, and no input makes the parsers panic.
 
 use notchwalk_core::{BootNumber, RequestId, ServerId, VmId};
 use notchwalk_wire::{
