--- a/crates/notchwalk_bundle/src/bundle.rs
+++ b/crates/notchwalk_bundle/src/bundle.rs
@@ -95,7 +95,7 @@
     ServiceKey
 }
 
-/// A tenant of the fleet.
+/// A tenant: its share of the fleet and its permissions.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Workspace {
     /// The name.
@@ -157,9 +157,10 @@
 /// The algorithm that orders requests and assigns them to servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PolicyKind {
-    /// A single queue in order of arrival; a baseline.
+    /// A single queue in order of arrival, as a baseline for comparison.
     Fifo,
-    /// Immediate dispatch to the server with the least reported load; a baseline.
+    /// Immediate dispatch to the server with the least reported load, as a baseline for
+    /// comparison.
     LeastLoaded,
     /// Weighted fair sharing with length classes and reservations.
     #[default]
@@ -192,8 +193,8 @@
     pub max_timeout_ms: u64,
     /// The share of an engine's KV memory that long requests can't reserve, in percent.
     pub short_reserve_percent: u64,
-    /// The waiting time after which an engine is reserved for a long request, in
-    /// milliseconds.
+    /// The ageing period of long requests, in milliseconds: after waiting this long, they get
+    /// the engine priority of a shorter lane.
     pub ageing_ms: u64,
     /// The retry budget: retries per hundred requests.
     pub retry_percent: u64,
@@ -299,7 +300,7 @@
     services: Vec<PlainService>,
     workspaces: Vec<Workspace>,
     policy: Option<Policy>,
-    key_hashes: HashMap<String, WorkspaceKey>,
+    workspace_by_key: HashMap<String, WorkspaceKey>,
 }
 
 impl Builder {
@@ -345,8 +346,8 @@
             });
         }
         let authors = self.operators.iter().filter(|o| o.author).count();
-        let signers = self.operators.len();
-        if authors == 0 || signers < 2 || !self.operators.iter().any(|o| o.reviewer) {
+        let operators = self.operators.len();
+        if authors == 0 || operators < 2 || !self.operators.iter().any(|o| o.reviewer) {
             ini.report(
                 "",
                 "",
@@ -401,7 +402,11 @@
                         "key_hashes",
                         format!("{hash:?} is not a hash of 64 hex digits"),
                     );
-                } else if self.key_hashes.insert(hash.to_lowercase(), key).is_some() {
+                } else if self
+                    .workspace_by_key
+                    .insert(hash.to_lowercase(), key)
+                    .is_some()
+                {
                     section.report(
                         "key_hashes",
                         "the key is already assigned to another workspace",
@@ -461,7 +466,11 @@
         let Some(policy) = self.policy else {
             return Err(self.findings);
         };
-        fn index<T, K>(list: &[T], name: fn(&T) -> &str, key: fn(u32) -> K) -> HashMap<String, K> {
+        fn index_by_name<T, K>(
+            list: &[T],
+            name: fn(&T) -> &str,
+            key: fn(u32) -> K,
+        ) -> HashMap<String, K> {
             let pairs = list.iter().enumerate();
             pairs
                 .map(|(i, item)| (name(item).to_owned(), key(i as u32)))
@@ -469,10 +478,10 @@
         }
         let bundle = Bundle {
             version,
-            workspace_by_name: index(&self.workspaces, |w| &w.name, WorkspaceKey),
-            model_by_name: index(&self.models, |m| &m.name, ModelKey),
-            service_by_name: index(&self.services, |s| &s.name, ServiceKey),
-            workspace_by_key: self.key_hashes,
+            workspace_by_name: index_by_name(&self.workspaces, |w| &w.name, WorkspaceKey),
+            model_by_name: index_by_name(&self.models, |m| &m.name, ModelKey),
+            service_by_name: index_by_name(&self.services, |s| &s.name, ServiceKey),
+            workspace_by_key: self.workspace_by_key,
             workspaces: self.workspaces,
             models: self.models,
             services: self.services,
@@ -490,12 +499,12 @@
     name_of: fn(&T) -> &String,
     mut report: impl FnMut(String),
 ) -> Vec<u32> {
-    let mut found = Vec::new();
+    let mut indices = Vec::new();
     for name in names {
         match list.iter().position(|item| name_of(item) == name) {
-            Some(i) => found.push(i as u32),
+            Some(i) => indices.push(i as u32),
             None => report(format!("{name:?} is not in the bundle")),
         }
     }
-    found
+    indices
 }
--- a/crates/notchwalk_bundle/src/delta.rs
+++ b/crates/notchwalk_bundle/src/delta.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use similar::{capture_diff_slices, Algorithm, DiffOp};
 
-/// A run of unchanged lines and the replacement of the lines after them.
+/// A number of unchanged lines, and the replacement of the lines after them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Hunk {
     /// The number of unchanged lines.
@@ -15,8 +15,8 @@
     insert: String,
 }
 
-/// A delta from one text to another. It carries no digest: the digest of the result must be
-/// checked after [`Delta::apply`].
+/// A delta from one text to another. It contains no digest: check the digest of the result
+/// after [`Delta::apply`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
     hunks: Vec<Hunk>,
@@ -32,8 +32,8 @@
         let (old, new) = (lines(old), lines(new));
         let mut hunks = Vec::new();
         let mut hunk = Hunk::default();
-        // Uses only the order of the operations: the old index of an insertion can lie before
-        // a removal that precedes it.
+        // Only the order of the operations is used, not their old indices: the old index of an
+        // insertion can be less than that of a preceding removal.
         for op in capture_diff_slices(Algorithm::Myers, &old, &new) {
             if let DiffOp::Equal { len, .. } = op {
                 if hunk.remove > 0 || !hunk.insert.is_empty() {
@@ -58,8 +58,8 @@
         let mut next_line = 0;
         for hunk in &self.hunks {
             let end = usize::checked_add(next_line, hunk.keep)?;
-            let kept = old_lines.get(next_line..end)?;
-            text.extend(kept.iter().copied());
+            let unchanged = old_lines.get(next_line..end)?;
+            text.extend(unchanged.iter().copied());
             text.push_str(&hunk.insert);
             next_line = end.checked_add(hunk.remove)?;
         }
--- a/crates/notchwalk_bundle/src/reader.rs
+++ b/crates/notchwalk_bundle/src/reader.rs
@@ -1,5 +1,5 @@
 //! Reads INI text and collects all findings with their location. Unknown keys and sections
-//! are findings, since they are usually typing errors.
+//! are findings, since they are usually typos.
 
 use std::{cell::RefCell, collections::BTreeSet, fmt::Display, str::FromStr};
 
@@ -46,14 +46,14 @@
 
     /// Returns the sections with the title `KIND NAME` and their `NAME`s, in file order.
     pub fn sections_of_kind(&self, kind: &str) -> Vec<(String, SectionReader<'_>)> {
-        let mut found = Vec::new();
+        let mut sections = Vec::new();
         let mut seen = BTreeSet::new();
         for (title, properties) in self.ini.iter() {
             let Some(title) = title else { continue };
-            let Some((its_kind, name)) = title.split_once(' ') else {
+            let Some((section_kind, name)) = title.split_once(' ') else {
                 continue;
             };
-            if its_kind != kind {
+            if section_kind != kind {
                 continue;
             }
             self.used_sections.borrow_mut().insert(title.to_owned());
@@ -62,9 +62,9 @@
                 self.report(title, "", "duplicate section");
                 continue;
             }
-            found.push((name, SectionReader::new(self, title, Some(properties))));
+            sections.push((name, SectionReader::new(self, title, Some(properties))));
         }
-        found
+        sections
     }
 
     /// Records a finding.
@@ -73,7 +73,7 @@
         findings.add(&self.name, section, key, reason);
     }
 
-    /// Finishes reading.
+    /// Finishes reading and checks that every section was read.
     ///
     /// # Errors
     ///
@@ -98,7 +98,7 @@
     file: &'a IniFile,
     title: String,
     properties: Option<&'a Properties>,
-    used: RefCell<BTreeSet<String>>,
+    used_keys: RefCell<BTreeSet<String>>,
 }
 
 impl<'a> SectionReader<'a> {
@@ -107,7 +107,7 @@
             file,
             title: title.to_owned(),
             properties,
-            used: RefCell::default(),
+            used_keys: RefCell::default(),
         }
     }
 
@@ -123,7 +123,7 @@
 
     /// Returns the text of a key, if present.
     pub fn text(&self, key: &str) -> Option<&'a str> {
-        self.used.borrow_mut().insert(key.to_owned());
+        self.used_keys.borrow_mut().insert(key.to_owned());
         let properties = self.properties?;
         if properties.get_all(key).count() > 1 {
             self.report(key, "duplicate key");
@@ -197,7 +197,7 @@
             return;
         };
         for (key, _) in properties.iter() {
-            if !self.used.borrow().contains(key) {
+            if !self.used_keys.borrow().contains(key) {
                 self.report(key, "unknown key");
             }
         }
--- a/crates/notchwalk_bundle/src/sign.rs
+++ b/crates/notchwalk_bundle/src/sign.rs
@@ -14,10 +14,10 @@
     SigningKey::from_bytes(&rand::random())
 }
 
-/// Returns the hash by which a bundle refers to a workspace's key.
+/// Returns the hash by which a bundle refers to a workspace's API key.
 pub fn key_hash(key: &str) -> String {
-    const DOMAIN: &str = "notchwalk workspace key v1";
-    hex::encode(blake3::derive_key(DOMAIN, key.as_bytes()))
+    const CONTEXT: &str = "notchwalk workspace key v1";
+    hex::encode(blake3::derive_key(CONTEXT, key.as_bytes()))
 }
 
 /// An operator's signature of a manifest.
@@ -75,18 +75,18 @@
         });
     }
 
-    /// Verifies the signatures of an author and of another operator who is a reviewer. Takes
-    /// their keys and roles from `before`, the previous bundle; the first bundle is verified
-    /// with its own operators.
+    /// Verifies the signatures of an author and of another operator who is a reviewer. Their
+    /// keys and roles come from `previous`, the bundle before this version; the first version
+    /// is verified with its own operators.
     ///
     /// # Errors
     ///
-    /// Fails if a signature is missing or invalid; the error names which.
-    pub fn verify(&self, before: &Bundle) -> Result<(), BundleError> {
+    /// Fails if a signature is missing or invalid; the error names its operator or role.
+    pub fn verify(&self, previous: &Bundle) -> Result<(), BundleError> {
         let mut author = None;
         let mut reviewer = None;
         for signature in &self.signatures {
-            let operator = before.operator(&signature.operator).ok_or_else(|| {
+            let operator = previous.operator(&signature.operator).ok_or_else(|| {
                 BundleError::Signature(format!("{} is not an operator", signature.operator))
             })?;
             verify_one(&operator.public_key, &self.signed_bytes(), signature)?;
@@ -106,21 +106,21 @@
     }
 }
 
-fn verify_one(public_key: &str, bytes: &[u8], signature: &Signature) -> Result<(), BundleError> {
+fn verify_one(public_key: &str, message: &[u8], signature: &Signature) -> Result<(), BundleError> {
     let key = parse_public_key(public_key)?;
-    let raw = hex::decode(&signature.signature).ok();
-    let raw = raw.and_then(|raw| <[u8; 64]>::try_from(raw).ok());
+    let bytes = hex::decode(&signature.signature).ok();
+    let bytes = bytes.and_then(|bytes| <[u8; 64]>::try_from(bytes).ok());
     let invalid = || BundleError::Signature(format!("invalid for operator {}", signature.operator));
-    let raw = raw.ok_or_else(invalid)?;
-    let signature = ed25519_dalek::Signature::from_bytes(&raw);
-    key.verify(bytes, &signature).map_err(|_| invalid())
+    let bytes = bytes.ok_or_else(invalid)?;
+    let signature = ed25519_dalek::Signature::from_bytes(&bytes);
+    key.verify(message, &signature).map_err(|_| invalid())
 }
 
 fn parse_public_key(text: &str) -> Result<VerifyingKey, BundleError> {
     let invalid = || BundleError::Key("not an ed25519 public key of 64 hex digits".into());
-    let raw = hex::decode(text).map_err(|_| invalid())?;
-    let raw = <[u8; 32]>::try_from(raw).map_err(|_| invalid())?;
-    VerifyingKey::from_bytes(&raw).map_err(|_| invalid())
+    let bytes = hex::decode(text).map_err(|_| invalid())?;
+    let bytes = <[u8; 32]>::try_from(bytes).map_err(|_| invalid())?;
+    VerifyingKey::from_bytes(&bytes).map_err(|_| invalid())
 }
 
 /// Records a finding if `text` is not a public key.
--- a/crates/notchwalk_bundle/tests/bundles.rs
+++ b/crates/notchwalk_bundle/tests/bundles.rs
@@ -1,5 +1,5 @@
-//! Bundles: findings are complete, signatures are verified, deltas are exact and no input makes
-//! the parser panic.
+//! All findings are reported, signatures are verified, deltas reproduce the new text, and no
+//! input makes the parser panic.
 
 use notchwalk_bundle::{
     new_signing_key, Bundle, BundleError, Delta, Manifest, Part, PartName, SigningKey, PART_NAMES,
@@ -36,7 +36,7 @@
 
 #[test]
 fn all_findings_are_reported_with_their_location() {
-    let faulty = vec![
+    let invalid_parts = vec![
         part(
             PartName::Operators,
             "[operator amna]\npublic_key = 12\nroles = boss\n",
@@ -58,7 +58,7 @@
             "[policy]\nkind = magic\nageing_ms = 5\nageing_ms = 6\n",
         ),
     ];
-    let Err(BundleError::Faulty(findings)) = Bundle::parse(1, &faulty) else {
+    let Err(BundleError::Faulty(findings)) = Bundle::parse(1, &invalid_parts) else {
         panic!("the bundle must be rejected");
     };
     insta::assert_snapshot!(findings.to_string());
