--- a/crates/notchwalk_relay/src/metrics.rs
+++ b/crates/notchwalk_relay/src/metrics.rs
@@ -58,59 +58,59 @@
         Self {
             limited_sends: set.counter(
                 "notchwalk_limited_sends_total",
-                "Requests, prompt segments and orders sent to servers with rate limits",
+                "Requests, parts of them and orders that went to servers with limits",
             ),
             server_limits: set.float_gauge_vec(
                 "notchwalk_server_limit_per_second",
-                "Requests per second that a server accepts from all nodes together",
+                "Requests a second that a server takes from all entries together",
                 &["server"],
             ),
             requests: set.counter_vec(
                 "notchwalk_requests_total",
-                "Ended requests",
+                "Requests that ended",
                 &["route", "outcome"],
             ),
             attempts: set.counter_vec(
                 "notchwalk_attempts_total",
-                "Attempts at backend servers",
+                "Sends to backend servers",
                 &["end"],
             ),
             store_polls: set.counter_vec(
                 "notchwalk_store_questions_total",
-                "Polls of the store for changes",
+                "Questions to the store for changes",
                 &["table", "end"],
             ),
             store_epoch: set.gauge(
                 "notchwalk_store_era",
-                "Epoch of the store; increases with each restore from a snapshot",
+                "How often the store came back from an older copy",
             ),
             config_version: set.gauge(
                 "notchwalk_config_version",
                 "Version of the configuration in force",
             ),
-            open_requests: set.gauge("notchwalk_open_requests", "Requests in progress"),
-            peers_alive: set.gauge("notchwalk_peers_alive", "Reachable peers"),
+            open_requests: set.gauge("notchwalk_open_requests", "Requests being served"),
+            peers_alive: set.gauge("notchwalk_peers_alive", "Peers that answer"),
             suspected_crashes: set.counter(
                 "notchwalk_suspected_crashes_total",
-                "Servers that seem to have crashed while executing a request",
+                "Servers that seem to have ended under a request",
             ),
             quarantines: set.counter(
                 "notchwalk_quarantines_total",
-                "Quarantines declared by this node",
+                "Requests that crash their servers, found here",
             ),
             quarantined: set.gauge(
                 "notchwalk_quarantined",
-                "Request contents currently in quarantine",
+                "Contents that are sent to no server for a while",
             ),
             server_notices: set.counter_vec(
                 "notchwalk_server_words_total",
-                "Responses in which a server announces draining, a backoff or a rate limit",
+                "Answers in which servers say that they leave, want nothing, or name a limit",
                 &["word"],
             ),
-            servers: set.gauge("notchwalk_backend_servers", "Registered backend servers"),
+            servers: set.gauge("notchwalk_backend_servers", "Backend servers on record"),
             first_byte: set.histogram_vec(
                 "notchwalk_first_byte_seconds",
-                "Time from arrival to the first event or the complete response",
+                "Time from arrival to the first event or the whole answer",
                 seconds,
                 &["route"],
             ),
@@ -122,7 +122,7 @@
             ),
             store_up: set.gauge_vec(
                 "notchwalk_store_up",
-                "Whether the store responds",
+                "Whether the store answers",
                 &["table"],
             ),
             set,
