--- a/crates/notchwalk_standin/src/engine/api.rs
+++ b/crates/notchwalk_standin/src/engine/api.rs
@@ -222,7 +222,7 @@
                 exchange.respond_json(StatusCode::OK, &counts).await;
                 Ok(())
             }
-            _ => Err(rejection("not_found", "no such endpoint")),
+            _ => Err(rejection("not_found", "there is nothing here")),
         };
         if let Err(rejection) = done {
             exchange
@@ -261,13 +261,10 @@
     async fn generate(&self, exchange: &mut Exchange, body: &Bytes) -> Result<(), EngineRejection> {
         let req: GenerateRequest = parse(body)?;
         if self.fault() == Fault::Overloaded {
-            return Err(rejection("overloaded", "the engine accepts no new work"));
+            return Err(rejection("overloaded", "no new work"));
         }
         if !self.is_loaded(&req.model, req.adapter.as_deref(), req.version.as_deref()) {
-            return Err(rejection(
-                "model_not_loaded",
-                "the model variant is not loaded",
-            ));
+            return Err(rejection("model_not_loaded", "the variant isn't loaded"));
         }
         let (prompt_tokens, prefix) = match &req.prompt {
             Prompt::Text(text) => (
