--- a/crates/notchwalk_relay/src/config_watch.rs
+++ b/crates/notchwalk_relay/src/config_watch.rs
@@ -32,7 +32,7 @@
         let in_force = self.shell.router.borrow().version();
         if site.version <= in_force {
             if site.version < in_force {
-                log_rejected(site.version, "older than the version in force");
+                log_rejected(site.version, "it is older than the one in force");
             }
             return;
         }
--- a/crates/notchwalk_relay/src/server_watch.rs
+++ b/crates/notchwalk_relay/src/server_watch.rs
@@ -59,9 +59,7 @@
         let record =
             record.and_then(
                 |record| match had_start_time && record.started_ms.is_none() {
-                    true => Err(
-                        "the start time is missing, which an earlier registration had".to_owned(),
-                    ),
+                    true => Err("it no longer says when the server started".to_owned()),
                     false => Ok(record),
                 },
             );
--- a/crates/notchwalk_relay/src/table_watch.rs
+++ b/crates/notchwalk_relay/src/table_watch.rs
@@ -180,7 +180,7 @@
         /// Delay per live node.
         const SPREAD_PER_NODE: Duration = Duration::from_millis(3);
         if validity == ResponseValidity::FormerEpoch {
-            let reason = "the response is from a former epoch of the store".to_owned();
+            let reason = "the answer is of a former era of the store".to_owned();
             return Err(PlatformError::NoAnswer(reason).into());
         }
         let alive = self.shell.peers.borrow().alive_count(self.shell.now());
