--- a/crates/notchwalk_core/src/log_event.rs
+++ b/crates/notchwalk_core/src/log_event.rs
@@ -68,7 +68,7 @@
     ServerRegistered = 4101, Info, "a backend server is registered";
     ServerDeregistered = 4102, Info, "a backend server is no longer registered";
     ServerAnnouncedDraining = 4103, Info, "a backend server announced in a response that it is draining";
-    ServerRequestedBackOff = 4104, Info, "a backend server rejected a request and requested a backoff (Retry-After)";
+    ServerRequestedBackoff = 4104, Info, "a backend server rejected a request and requested a backoff (Retry-After)";
     ServerNoticeInvalid = 4105, Warn, "a backend server sent an invalid Retry-After or limit; a fallback value is applied";
     ServerLimitAnnounced = 4106, Info, "a backend server announced a limit on the requests per second from all nodes together";
     ServerLimitLifted = 4107, Info, "a backend server no longer announces a limit";
--- a/crates/notchwalk_relay/src/server_notices.rs
+++ b/crates/notchwalk_relay/src/server_notices.rs
@@ -161,7 +161,7 @@
         }
         ServerNotice::BackOff(time) => {
             let facts = format!("for_ms={}", time.as_millis());
-            (LogEventKind::ServerRequestedBackOff, facts)
+            (LogEventKind::ServerRequestedBackoff, facts)
         }
         ServerNotice::Limit {
             limit,
