--- a/crates/notchwalk_relay/src/active_request.rs
+++ b/crates/notchwalk_relay/src/active_request.rs
@@ -21,7 +21,7 @@
     /// The name of the route.
     pub route: Rc<str>,
     /// When the first byte arrived.
-    pub arrived: Instant,
+    pub arrived_at: Instant,
     /// When the timeout of the caller or of the route ends, whichever is first.
     pub deadline: Instant,
     pub body: Bytes,
--- a/crates/notchwalk_relay/src/attempt.rs
+++ b/crates/notchwalk_relay/src/attempt.rs
@@ -106,8 +106,8 @@
             ..
         } => "moved",
         AttemptEnd::NotRun { .. } => "not_run",
-        AttemptEnd::Failed => "failed",
-        AttemptEnd::TimedOut => "silent",
+        AttemptEnd::ServerError => "failed",
+        AttemptEnd::IdleTimeout => "silent",
         AttemptEnd::ConnectionLost => "broken",
         AttemptEnd::InvalidResponse => "unusable",
     }
@@ -171,7 +171,7 @@
     to: &Assignment,
 ) -> AttemptOutcome {
     delivery.attempts += 1;
-    let waited = shell.now().since(req.arrived);
+    let waited = shell.now().since(req.arrived_at);
     delivery
         .predicted_first_event
         .get_or_insert(waited + to.predicted_first_event);
@@ -184,7 +184,7 @@
             return AttemptOutcome::Ended(AttemptEnd::NotConnected);
         }
         Awaited::Done(Err(_)) => return AttemptOutcome::Ended(AttemptEnd::ConnectionLost),
-        Awaited::ServerIdle => return AttemptOutcome::Ended(AttemptEnd::TimedOut),
+        Awaited::ServerIdle => return AttemptOutcome::Ended(AttemptEnd::IdleTimeout),
         Awaited::CallerDisconnected => return AttemptOutcome::CallerDisconnected,
         Awaited::DeadlinePassed => return AttemptOutcome::DeadlinePassed,
     };
@@ -192,7 +192,7 @@
         .dialect
         .backend_response(&req.caller.id, response.status, &response.headers);
     let not_run = |address_reused| AttemptEnd::NotRun {
-        at_fault: facts.at_fault,
+        faulty_server: facts.at_fault,
         address_reused,
     };
     match facts.kind {
@@ -348,7 +348,7 @@
             headers,
             body,
         });
-        return AttemptOutcome::Ended(AttemptEnd::Failed);
+        return AttemptOutcome::Ended(AttemptEnd::ServerError);
     }
     if delivery.head_sent {
         // A complete response can't follow events already delivered.
@@ -383,7 +383,7 @@
             }
             Awaited::ServerIdle => {
                 delivery.splitter.drop_partial();
-                return AttemptOutcome::Ended(AttemptEnd::TimedOut);
+                return AttemptOutcome::Ended(AttemptEnd::IdleTimeout);
             }
             Awaited::CallerDisconnected => return AttemptOutcome::CallerDisconnected,
             Awaited::DeadlinePassed => return AttemptOutcome::DeadlinePassed,
--- a/crates/notchwalk_relay/src/daemon.rs
+++ b/crates/notchwalk_relay/src/daemon.rs
@@ -224,7 +224,7 @@
         let Stopping::Since(since) = shell.stopping.get() else {
             shell.stopping.set(Stopping::Since(now));
             let after = ACCEPT_WHILE_STOPPING;
-            shell.step(Event::Draining { after });
+            shell.step(Event::NodeDraining { after });
             peer_link::publish_stopping(shell, &self.socket).await;
             let open = shell.router.borrow().open_requests();
             let facts = format!("open_requests={open}");
--- a/crates/notchwalk_relay/src/effects.rs
+++ b/crates/notchwalk_relay/src/effects.rs
@@ -19,10 +19,10 @@
             Effect::Reserve { request, orders } => {
                 monoio::spawn(engine_orders::reserve(shell.clone(), request, orders));
             }
-            Effect::Order(order) => {
+            Effect::SendReservationOrder(order) => {
                 monoio::spawn(engine_orders::send_once(shell.clone(), order));
             }
-            Effect::Check { server, addr } => {
+            Effect::ProbePort { server, addr } => {
                 monoio::spawn(quarantine::probe(shell.clone(), server, addr));
             }
             Effect::Finding(finding) => quarantine::handle_finding(shell, finding),
@@ -31,7 +31,7 @@
                 notice,
                 reported_by_peer,
             } => server_notices::log_notice(shell, server, notice, reported_by_peer),
-            Effect::LimitUsedUp { server } => server_notices::log_limit_exhausted(shell, server),
+            Effect::LimitExhausted { server } => server_notices::log_limit_exhausted(shell, server),
             Effect::Ejected { server, duration } => log_circuit_opened(shell, server, duration),
             // Handled by the task of their request.
             Effect::Send { .. } | Effect::Refuse { .. } | Effect::DeliverFailure { .. } => {}
--- a/crates/notchwalk_relay/src/engine_orders.rs
+++ b/crates/notchwalk_relay/src/engine_orders.rs
@@ -52,7 +52,7 @@
             Ok(status) if status.is_success() => continue,
             Ok(status) => (false, status.to_string()),
             Err(e) => {
-                shell.step(Event::Unanswered(order.clone()));
+                shell.step(Event::ReservationUnanswered(order.clone()));
                 (e.is_unsent(), e.to_string())
             }
         };
@@ -75,6 +75,6 @@
     if let Err(e) = send(&shell, &order).await {
         let facts = format!("reservation={} addr={} reason={e:?}", order.id, order.addr);
         LogEvent::new(LogEventKind::ReservationFailed, facts).emit();
-        shell.step(Event::Unanswered(order));
+        shell.step(Event::ReservationUnanswered(order));
     }
 }
--- a/crates/notchwalk_relay/src/front/accept.rs
+++ b/crates/notchwalk_relay/src/front/accept.rs
@@ -7,7 +7,7 @@
 use notchwalk_core::Instant;
 use notchwalk_http::prelude::*;
 use notchwalk_quarantine::{Fingerprint, FingerprintBuilder, RequestHead};
-use notchwalk_route::{host_name, RequestFacts, RequestKey, RouteLookup, WorkspaceTag};
+use notchwalk_route::{host_name, RequestFacts, RequestKey, RouteLookup, WorkspaceShortId};
 
 use super::Front;
 use crate::{active_request::ActiveRequest, CallerFacts};
@@ -65,7 +65,7 @@
     pub(super) async fn accept(
         &self,
         exchange: &mut Exchange,
-        arrived: Instant,
+        arrived_at: Instant,
     ) -> Result<Accepted, Rejection> {
         let caller = self.shell.dialect.caller_request(&exchange.head.headers);
         let caller =
@@ -85,7 +85,7 @@
         }
         let (route, workspace) = match self.look_up(exchange, &caller) {
             RouteLookup::NoRoute => return Err(rejected(StatusCode::NOT_FOUND, "no such route")),
-            RouteLookup::NoKey => {
+            RouteLookup::InvalidKey => {
                 return Err(rejected(StatusCode::UNAUTHORIZED, "the key is not known"));
             }
             RouteLookup::Found { route, workspace } => (route, workspace),
@@ -104,17 +104,19 @@
         };
         let default_answer_tokens =
             (f64::from(caller.max_answer_tokens) * DEFAULT_ANSWER_FRACTION) as u32;
-        let deadline = arrived.after(request_timeout);
+        let deadline = arrived_at.after(request_timeout);
         let facts = RequestFacts {
             workspace: workspace
                 .as_ref()
-                .map_or(WorkspaceTag::default(), |(name, _)| WorkspaceTag::of(name)),
+                .map_or(WorkspaceShortId::default(), |(name, _)| {
+                    WorkspaceShortId::of(name)
+                }),
             workspace_priority: workspace.as_ref().map_or(0, |(_, priority)| *priority),
-            arrived,
+            arrived_at,
             caller_timeout,
             deadline,
             prompt_tokens: caller.prompt_tokens,
-            answer_tokens: caller
+            output_tokens: caller
                 .estimated_answer_tokens
                 .unwrap_or(default_answer_tokens),
             route: route.clone(),
@@ -126,7 +128,7 @@
             caller,
             workspace: workspace.map(|(name, _)| Rc::from(&*name)),
             route: Rc::from(route.name.as_str()),
-            arrived,
+            arrived_at,
             deadline,
             body,
             streaming: route.streaming,
--- a/crates/notchwalk_relay/src/front/mod.rs
+++ b/crates/notchwalk_relay/src/front/mod.rs
@@ -59,11 +59,11 @@
     }
 
     async fn serve(&self, exchange: &mut Exchange) {
-        let arrived = self.shell.now();
+        let arrived_at = self.shell.now();
         if self.shell.stopping.get() != Stopping::No {
             exchange.close_after();
         }
-        let accepted = match self.accept(exchange, arrived).await {
+        let accepted = match self.accept(exchange, arrived_at).await {
             Ok(accepted) => accepted,
             Err(Rejection::CallerDisconnected) => return exchange.abort(),
             Err(Rejection::Respond {
@@ -158,7 +158,7 @@
                 return Some(self.time_out(exchange, req, delivery).await);
             }
         };
-        if end == AttemptEnd::TimedOut {
+        if end == AttemptEnd::IdleTimeout {
             self.shell.client.close_idle();
         }
         let label = attempt::end_label(end);
@@ -168,7 +168,7 @@
             .with_label_values(&[label])
             .inc();
         if outcome.is_none() {
-            let after = self.shell.now().since(req.arrived).as_millis();
+            let after = self.shell.now().since(req.arrived_at).as_millis();
             let facts = format!(
                 "request={} content={} server={} end={label} after_ms={after}",
                 req.id(),
--- a/crates/notchwalk_relay/src/front/record.rs
+++ b/crates/notchwalk_relay/src/front/record.rs
@@ -49,7 +49,7 @@
             to.reason,
             to.previous_sends,
             to.since_first_attempt.as_millis(),
-            now.since(req.arrived).as_millis(),
+            now.since(req.arrived_at).as_millis(),
             to.predicted_first_event.as_secs_f64() * 1e3,
             req.caller.prompt_tokens,
             now.since(self.shell.servers_refreshed_at.get()).as_millis(),
@@ -70,8 +70,8 @@
             .requests
             .with_label_values(&[&req.route, label])
             .inc();
-        let total = self.shell.now().since(req.arrived);
-        let first = delivery.first_at.map(|at| at.since(req.arrived));
+        let total = self.shell.now().since(req.arrived_at);
+        let first = delivery.first_at.map(|at| at.since(req.arrived_at));
         if let Some(first) = first {
             let histogram = metrics.first_byte.with_label_values(&[&req.route]);
             histogram.observe(first.as_secs_f64());
--- a/crates/notchwalk_relay/src/operator.rs
+++ b/crates/notchwalk_relay/src/operator.rs
@@ -36,7 +36,7 @@
         if !is_known {
             return (StatusCode::NOT_FOUND, "no such suspect\n".to_owned());
         }
-        self.shell.step(Event::Release { content });
+        self.shell.step(Event::QuarantineReleased { content });
         (StatusCode::OK, format!("released {content}\n"))
     }
 
@@ -57,7 +57,7 @@
             gauge.set(limit.rate());
         }
         metrics.limited_sends.reset();
-        let sent = router.fleet().sent_to_limited();
+        let sent = router.fleet().messages_sent_to_limited();
         metrics.limited_sends.inc_by(sent);
     }
 
@@ -76,7 +76,7 @@
                     "addr": server.record.addr,
                     "takes_work": server.is_available(now),
                     "said_leaving": server.is_draining(),
-                    "wants_nothing_ms": server.back_off_remaining(now).as_millis() as u64,
+                    "wants_nothing_ms": server.backoff_remaining(now).as_millis() as u64,
                     "limit_per_second": server.limit().map(|limit| limit.rate()),
                     "limit_allowance": server.available_requests(now),
                     "limit_users": server.limit_users(now),
--- a/crates/notchwalk_relay/src/peer_link.rs
+++ b/crates/notchwalk_relay/src/peer_link.rs
@@ -265,7 +265,7 @@
             let facts = format!("entry={name} silent_ms={}", time_to_expiry.as_millis());
             LogEvent::new(LogEventKind::PeerDead, facts).emit();
         }
-        shell.step(Event::PeerUnreachable { peer: peer.number });
+        shell.step(Event::PeerExpired { peer: peer.number });
     }
     let alive = shell.peers.borrow().alive_count(now);
     shell.metrics.peers_alive.set(alive.into());
@@ -336,7 +336,7 @@
         LogEvent::new(LogEventKind::PeerReachable, facts).emit();
     }
     if update.restarted {
-        shell.step(Event::PeerUnreachable { peer: number });
+        shell.step(Event::PeerExpired { peer: number });
     }
     if !message.suspects.is_empty() {
         shell.step(Event::QuarantineUpdates {
--- a/crates/notchwalk_relay/src/quarantine.rs
+++ b/crates/notchwalk_relay/src/quarantine.rs
@@ -77,7 +77,7 @@
 pub(crate) async fn probe(shell: Rc<Shell>, server: u32, addr: SocketAddr) {
     match shell.client.connection(addr, ConnectionReuse::Fresh).await {
         Err(HttpError::Connect(e)) if e.kind() == ErrorKind::ConnectionRefused => {
-            shell.step(Event::NotListening { server });
+            shell.step(Event::PortClosed { server });
         }
         Err(e) => log::debug!("could not determine whether {addr} accepts connections: {e}"),
         Ok(_) => {}
@@ -121,10 +121,10 @@
 
 /// Returns the instance id of the server with this short id; the short id itself if
 /// the server was removed.
-fn server_name(fleet: &Fleet, tag: u32) -> String {
-    let known = fleet.by_tag(tag).and_then(|key| fleet.get(key));
+fn server_name(fleet: &Fleet, short_id: u32) -> String {
+    let known = fleet.by_short_id(short_id).and_then(|key| fleet.get(key));
     known.map_or_else(
-        || format!("{tag:08x}"),
+        || format!("{short_id:08x}"),
         |server| server.record.instance.clone(),
     )
 }
@@ -216,7 +216,7 @@
     let left = Duration::from_millis(stored.until_ms.saturating_sub(store_ms));
     if !left.is_zero() {
         let times = stored.times;
-        return shell.step(Event::Restored {
+        return shell.step(Event::QuarantineRestored {
             content,
             left,
             quarantine_count: times,
--- a/crates/notchwalk_relay/src/server_notices.rs
+++ b/crates/notchwalk_relay/src/server_notices.rs
@@ -47,14 +47,14 @@
         apply_notice(shell, server, ServerNotice::Draining);
     }
     if let Some(backoff) = backoff(shell, server, &facts.retry_after) {
-        apply_notice(shell, server, ServerNotice::BackOff(backoff));
+        apply_notice(shell, server, ServerNotice::Backoff(backoff));
     }
 }
 
 fn apply_notice(shell: &Rc<Shell>, server: ServerKey, notice: ServerNotice) {
     let label = match notice {
         ServerNotice::Draining => Some("leaving"),
-        ServerNotice::BackOff(_) => Some("wants_nothing"),
+        ServerNotice::Backoff(_) => Some("wants_nothing"),
         ServerNotice::Limit { limit, .. } => limit.map(|_| "limit"),
     };
     if let Some(label) = label {
@@ -159,7 +159,7 @@
             let facts = format!("by_peer={reported_by_peer} record={stage:?} running={running}");
             (LogEventKind::ServerAnnouncedDraining, facts)
         }
-        ServerNotice::BackOff(time) => {
+        ServerNotice::Backoff(time) => {
             let facts = format!("for_ms={}", time.as_millis());
             (LogEventKind::ServerRequestedBackoff, facts)
         }
--- a/crates/notchwalk_route/src/effect.rs
+++ b/crates/notchwalk_route/src/effect.rs
@@ -139,10 +139,10 @@
         /// The orders, which succeed or fail together.
         orders: Vec<ReservationOrder>,
     },
-    /// Renew or release a reservation.
-    Order(ReservationOrder),
-    /// Check whether a process listens at a server's address.
-    Check {
+    /// Send an order that renews or releases a reservation.
+    SendReservationOrder(ReservationOrder),
+    /// Probe whether a process listens at a server's address.
+    ProbePort {
         /// The short id of the server's incarnation.
         server: u32,
         /// Its address.
@@ -159,9 +159,9 @@
         /// Whether a peer published it; otherwise this node received it.
         reported_by_peer: bool,
     },
-    /// Report that a server's limit is used up: requests for its service wait or go to other
+    /// Report that a server's limit is exhausted: requests for its service wait or go to other
     /// servers.
-    LimitUsedUp {
+    LimitExhausted {
         /// The server.
         server: ServerKey,
     },
--- a/crates/notchwalk_route/src/event.rs
+++ b/crates/notchwalk_route/src/event.rs
@@ -23,16 +23,16 @@
     NotSent,
     /// The server reported that it did not run the request.
     NotRun {
-        /// The server at fault, if it is another one.
-        at_fault: Option<SocketAddr>,
+        /// The faulty server, if it is another one.
+        faulty_server: Option<SocketAddr>,
         /// Whether the address now belongs to another instance.
         address_reused: bool,
     },
     /// The server responded with an error of its own, which is retained and can be
     /// delivered. The request counts as run.
-    Failed,
+    ServerError,
     /// The server sent nothing within the timeout. The request may have run.
-    TimedOut,
+    IdleTimeout,
     /// The connection was lost. The request may have run, and the server may have stopped.
     ConnectionLost,
     /// The server's response was invalid. The request may have run.
@@ -96,8 +96,8 @@
         /// The peer's work on these servers.
         work: Vec<PeerWork>,
     },
-    /// A peer became unreachable or restarted, so its earlier updates no longer apply.
-    PeerUnreachable {
+    /// A peer expired or restarted, so its earlier updates no longer apply.
+    PeerExpired {
         /// The peer's number on this node.
         peer: u32,
     },
@@ -114,12 +114,12 @@
         updates: Vec<QuarantineUpdate>,
     },
     /// No process listens at a server's address any more.
-    NotListening {
+    PortClosed {
         /// The short id of the server's incarnation.
         server: u32,
     },
     /// A quarantine was read from the store.
-    Restored {
+    QuarantineRestored {
         /// The fingerprint of the quarantined content.
         content: Fingerprint,
         /// The remaining time of the quarantine.
@@ -128,7 +128,7 @@
         quarantine_count: u32,
     },
     /// An operator ended a quarantine.
-    Release {
+    QuarantineReleased {
         /// The fingerprint of the quarantined content.
         content: Fingerprint,
     },
@@ -153,7 +153,7 @@
         /// The updates.
         updates: Vec<LimitUpdate>,
     },
-    /// All reservation orders of a request were answered or failed.
+    /// All reservation orders of a request received a response or failed.
     Reserved {
         /// The request.
         request: RequestKey,
@@ -161,11 +161,11 @@
         failed: Vec<FailedReservation>,
     },
     /// A reservation order had no response: it may be carried out late.
-    Unanswered(ReservationOrder),
+    ReservationUnanswered(ReservationOrder),
     /// Time passed.
     Tick,
     /// This node is shutting down.
-    Draining {
+    NodeDraining {
         /// Time after which new requests are refused.
         after: Duration,
     },
--- a/crates/notchwalk_route/src/fleet/draining_incarnations.rs
+++ b/crates/notchwalk_route/src/fleet/draining_incarnations.rs
@@ -24,23 +24,23 @@
 }
 
 impl DrainingIncarnations {
-    pub fn contains(&self, tag: u32) -> bool {
-        self.reasons.contains_key(&tag)
+    pub fn contains(&self, short_id: u32) -> bool {
+        self.reasons.contains_key(&short_id)
     }
 
-    pub fn add_reported(&mut self, tag: u32) {
-        self.add(tag, Reason::Reported);
+    pub fn add_reported(&mut self, short_id: u32) {
+        self.add(short_id, Reason::Reported);
     }
 
-    pub fn add_ended(&mut self, tag: u32) {
-        self.add(tag, Reason::Ended);
+    pub fn add_ended(&mut self, short_id: u32) {
+        self.add(short_id, Reason::Ended);
     }
 
-    fn add(&mut self, tag: u32, reason: Reason) {
-        if self.reasons.insert(tag, reason).is_some() {
+    fn add(&mut self, short_id: u32, reason: Reason) {
+        if self.reasons.insert(short_id, reason).is_some() {
             return;
         }
-        self.order.push_back(tag);
+        self.order.push_back(short_id);
         if self.order.len() > CAPACITY {
             let oldest = self.order.pop_front();
             oldest.map(|oldest| self.reasons.remove(&oldest));
@@ -49,11 +49,11 @@
 
     /// Removes an ended incarnation. The next incarnation has the same short id if servers
     /// announce no start time.
-    pub fn remove_ended(&mut self, tag: u32) {
-        if self.reasons.get(&tag) != Some(&Reason::Ended) {
+    pub fn remove_ended(&mut self, short_id: u32) {
+        if self.reasons.get(&short_id) != Some(&Reason::Ended) {
             return;
         }
-        self.reasons.remove(&tag);
-        self.order.retain(|&other| other != tag);
+        self.reasons.remove(&short_id);
+        self.order.retain(|&other| other != short_id);
     }
 }
--- a/crates/notchwalk_route/src/fleet/limit_update.rs
+++ b/crates/notchwalk_route/src/fleet/limit_update.rs
@@ -2,7 +2,7 @@
 
 use serde_tuple::{Deserialize_tuple, Serialize_tuple};
 
-use crate::{shares::tag_of, RateLimit};
+use crate::{shares::short_id_of, RateLimit};
 
 /// The nodes that share the limits of servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -19,7 +19,7 @@
     /// Creates the sharing of the node with this name.
     pub fn new(name: &str, registered: u32, reachable: u32) -> Self {
         Self {
-            own_id: tag_of(name),
+            own_id: short_id_of(name),
             registered,
             reachable: reachable.min(registered),
         }
--- a/crates/notchwalk_route/src/fleet/mod.rs
+++ b/crates/notchwalk_route/src/fleet/mod.rs
@@ -47,7 +47,7 @@
     /// Its former key.
     pub key: ServerKey,
     /// Its short id.
-    pub tag: u32,
+    pub short_id: u32,
     /// Whether it was draining, which means that it did not fail.
     pub was_draining: bool,
 }
@@ -57,7 +57,7 @@
 pub(crate) struct EndedIncarnation {
     pub key: ServerKey,
     /// Its short id.
-    pub tag: u32,
+    pub short_id: u32,
     /// The address that it listened on.
     pub addr: SocketAddr,
 }
@@ -67,7 +67,7 @@
 pub struct Fleet {
     servers: SlotMap<ServerKey, Server>,
     by_instance: HashMap<String, ServerKey>,
-    by_tag: HashMap<u32, ServerKey>,
+    by_short_id: HashMap<u32, ServerKey>,
     by_service: HashMap<String, Vec<ServerKey>>,
     /// The group of this node, which uses a subset of the servers.
     group: Group,
@@ -88,7 +88,7 @@
             ServerChange::Registered(record) => {
                 if record.started_ms.is_none() {
                     // Without a start time, a new registration counts as a new incarnation.
-                    self.draining.remove_ended(record.incarnation_tag());
+                    self.draining.remove_ended(record.incarnation_short_id());
                 }
                 self.upsert(record, now).into_iter().collect()
             }
@@ -120,17 +120,17 @@
         }
         let (instance, service) = (record.instance.clone(), record.service.clone());
         let mut server = Server::new(record);
-        let tag = server.tag;
-        if self.draining.contains(tag) {
+        let short_id = server.short_id;
+        if self.draining.contains(short_id) {
             server.apply_reported_draining();
         }
         let key = self.servers.insert(server);
         self.by_instance.insert(instance, key);
-        self.by_tag.insert(tag, key);
+        self.by_short_id.insert(short_id, key);
         let keys = self.by_service.entry(service).or_default();
         keys.push(key);
         let servers = &self.servers;
-        keys.sort_by_key(|&key| servers[key].tag);
+        keys.sort_by_key(|&key| servers[key].short_id);
         self.restore_limit(key, now);
         ended
     }
@@ -145,9 +145,12 @@
         if known.record.started_ms == record.started_ms {
             return None;
         }
-        let (tag, addr) = (known.tag, known.record.addr);
-        self.ended_incarnations
-            .push_back(EndedIncarnation { key, tag, addr });
+        let (short_id, addr) = (known.short_id, known.record.addr);
+        self.ended_incarnations.push_back(EndedIncarnation {
+            key,
+            short_id,
+            addr,
+        });
         if self.ended_incarnations.len() > MAX_ENDED {
             self.ended_incarnations.pop_front();
         }
@@ -164,9 +167,9 @@
     fn remove(&mut self, instance: &str) -> Option<RemovedServer> {
         let key = self.by_instance.remove(instance)?;
         let server = self.servers.remove(key)?;
-        self.by_tag.remove(&server.tag);
+        self.by_short_id.remove(&server.short_id);
         if server.is_draining() {
-            self.draining.add_ended(server.tag);
+            self.draining.add_ended(server.short_id);
         }
         self.limits.retain_limit(&server);
         if let Some(keys) = self.by_service.get_mut(&server.record.service) {
@@ -174,7 +177,7 @@
         }
         Some(RemovedServer {
             key,
-            tag: server.tag,
+            short_id: server.short_id,
             was_draining: server.is_draining(),
         })
     }
@@ -215,8 +218,8 @@
     }
 
     /// Returns the server with this short id.
-    pub fn by_tag(&self, tag: u32) -> Option<ServerKey> {
-        self.by_tag.get(&tag).copied()
+    pub fn by_short_id(&self, short_id: u32) -> Option<ServerKey> {
+        self.by_short_id.get(&short_id).copied()
     }
 
     /// Returns a server at this address.
@@ -259,16 +262,16 @@
         };
         let is_new = server.apply_notice(notice, now);
         if is_new && notice == ServerNotice::Draining {
-            self.draining_updates.push(server.tag);
+            self.draining_updates.push(server.short_id);
         }
         is_new
     }
 
     /// Marks an incarnation as draining on a peer's report; returns the server if that is
     /// new.
-    pub fn apply_reported_draining(&mut self, tag: u32) -> Option<ServerKey> {
-        let Some(&key) = self.by_tag.get(&tag) else {
-            self.draining.add_reported(tag);
+    pub fn apply_reported_draining(&mut self, short_id: u32) -> Option<ServerKey> {
+        let Some(&key) = self.by_short_id.get(&short_id) else {
+            self.draining.add_reported(short_id);
             return None;
         };
         self.servers[key].apply_reported_draining().then_some(key)
@@ -290,7 +293,7 @@
     pub fn draining_to_publish(&self, max: usize) -> Vec<u32> {
         let servers = self.servers.values();
         let draining = servers.filter(|server| server.announced_draining());
-        draining.map(|server| server.tag).take(max).collect()
+        draining.map(|server| server.short_id).take(max).collect()
     }
 
     /// Returns whether a server has responded successfully after `since`.
--- a/crates/notchwalk_route/src/fleet/server.rs
+++ b/crates/notchwalk_route/src/fleet/server.rs
@@ -5,7 +5,7 @@
 use notchwalk_core::Instant;
 
 use super::limit::ServerLimit;
-use crate::{shares::tag_of, RateLimit, ServerNotice};
+use crate::{shares::short_id_of, RateLimit, ServerNotice};
 
 /// Consecutive failures after which a server is ejected.
 const FAILURES_TO_EJECT: u32 = 2;
@@ -62,10 +62,10 @@
 
 impl ServerRecord {
     /// Derives the short id of this incarnation.
-    pub(super) fn incarnation_tag(&self) -> u32 {
+    pub(super) fn incarnation_short_id(&self) -> u32 {
         match self.started_ms {
-            Some(started_ms) => tag_of(&format!("{}/{started_ms}", self.instance)),
-            None => tag_of(&self.instance),
+            Some(started_ms) => short_id_of(&format!("{}/{started_ms}", self.instance)),
+            None => short_id_of(&self.instance),
         }
     }
 }
@@ -87,7 +87,7 @@
     /// Its registration.
     pub record: ServerRecord,
     /// The short id of its incarnation, the same on all nodes.
-    pub tag: u32,
+    pub short_id: u32,
     /// Consecutive failed requests.
     failures: u32,
     /// Moving average of failures, 0 to 1, as of `failure_rate_at`.
@@ -103,21 +103,21 @@
     /// another stage is older.
     draining: Draining,
     /// End of the backoff that it requested with `Retry-After`.
-    back_off_until: Instant,
+    backoff_until: Instant,
     /// Its rate limit for all nodes together.
     pub(super) limit: ServerLimit,
     /// Number of requests, prompt segments and reservation orders that this node has sent to
     /// it.
     pub(super) sent: u32,
-    /// Earliest time of the next report that its limit is used up.
-    pub(super) next_used_up_report: Instant,
+    /// Earliest time of the next report that its limit is exhausted.
+    pub(super) next_exhausted_report: Instant,
 }
 
 impl Server {
     pub(super) fn new(record: ServerRecord) -> Self {
         let draining = draining_from(&record);
         Self {
-            tag: record.incarnation_tag(),
+            short_id: record.incarnation_short_id(),
             record,
             failures: 0,
             failure_rate: 0.0,
@@ -126,10 +126,10 @@
             probed_at: Instant::ZERO,
             responded_at: Instant::ZERO,
             draining,
-            back_off_until: Instant::ZERO,
+            backoff_until: Instant::ZERO,
             limit: ServerLimit::default(),
             sent: 0,
-            next_used_up_report: Instant::ZERO,
+            next_exhausted_report: Instant::ZERO,
         }
     }
 
@@ -154,7 +154,7 @@
     /// Returns whether the server is neither draining nor within a backoff that it
     /// requested.
     pub fn accepts_requests(&self, now: Instant) -> bool {
-        !self.is_draining() && now >= self.back_off_until
+        !self.is_draining() && now >= self.backoff_until
     }
 
     /// Returns whether the server is draining. Every send to a server checks this.
@@ -170,7 +170,7 @@
     /// Returns the time until the server accepts work, regardless of its limit; `None` if
     /// it is draining.
     pub(super) fn time_until_available(&self, now: Instant) -> Option<Duration> {
-        let until = self.ejected_until.max(self.back_off_until);
+        let until = self.ejected_until.max(self.backoff_until);
         let until = match self.is_being_probed(now) {
             true => until.max(self.probed_at.after(PROBE_INTERVAL)),
             false => until,
@@ -226,8 +226,8 @@
     }
 
     /// Returns the remaining time of the backoff that the server requested.
-    pub fn back_off_remaining(&self, now: Instant) -> Duration {
-        self.back_off_until.since(now)
+    pub fn backoff_remaining(&self, now: Instant) -> Duration {
+        self.backoff_until.since(now)
     }
 
     /// Returns its failure rate, 0 to 1, which decreases with successes and with time.
@@ -265,10 +265,10 @@
                 self.draining = Draining::Announced;
                 is_new
             }
-            ServerNotice::BackOff(time) => {
+            ServerNotice::Backoff(time) => {
                 let until = now.after(time);
-                let is_new = until > self.back_off_until;
-                self.back_off_until = self.back_off_until.max(until);
+                let is_new = until > self.backoff_until;
+                self.backoff_until = self.backoff_until.max(until);
                 is_new
             }
             // Applied by `Fleet::record_limit`, as the limit is shared with other nodes.
--- a/crates/notchwalk_route/src/fleet/sharing.rs
+++ b/crates/notchwalk_route/src/fleet/sharing.rs
@@ -13,12 +13,12 @@
     limit_update::{LimitScope, LimitSharing, LimitUpdate, ObservedLimit},
     Fleet, Server, ServerKey,
 };
-use crate::{shares::tag_of, RateLimit, ServerNotice};
+use crate::{shares::short_id_of, RateLimit, ServerNotice};
 
 /// How long a service counts as in demand after a request for it.
 const DEMAND_TTL: Duration = Duration::from_secs(1);
-/// Minimum interval between two reports that a server's limit is used up.
-const USED_UP_REPORT_INTERVAL: Duration = Duration::from_secs(5);
+/// Minimum interval between two reports that a server's limit is exhausted.
+const EXHAUSTED_REPORT_INTERVAL: Duration = Duration::from_secs(5);
 /// Maximum number of retained limits of deregistered servers. Registrations expire while the
 /// store is unavailable.
 const MAX_RETAINED: usize = 64;
@@ -58,7 +58,8 @@
         if server.limit().is_none() {
             return;
         }
-        self.retained.push_back((server.tag, server.limit.clone()));
+        self.retained
+            .push_back((server.short_id, server.limit.clone()));
         if self.retained.len() > MAX_RETAINED {
             self.retained.pop_front();
         }
@@ -68,7 +69,7 @@
         let index = self
             .retained
             .iter()
-            .position(|(tag, _)| *tag == incarnation)?;
+            .position(|(short_id, _)| *short_id == incarnation)?;
         self.retained.remove(index).map(|(_, limit)| limit)
     }
 }
@@ -77,7 +78,7 @@
     /// Restores the limit of a server that has registered again.
     pub(super) fn restore_limit(&mut self, key: ServerKey, now: Instant) {
         let server = &mut self.servers[key];
-        if let Some(retained) = self.limits.take_retained(server.tag) {
+        if let Some(retained) = self.limits.take_retained(server.short_id) {
             server.limit = retained;
             self.track_limit(key, now);
         }
@@ -160,8 +161,8 @@
         let Some(server) = self.servers.get_mut(key) else {
             return false;
         };
-        let tag = server.tag;
-        let is_new = server.limit.apply(observed, tag, now);
+        let short_id = server.short_id;
+        let is_new = server.limit.apply(observed, short_id, now);
         if is_new {
             self.track_limit(key, now);
         }
@@ -179,7 +180,7 @@
     ) -> Vec<(ServerKey, ServerNotice)> {
         let mut changed = Vec::new();
         for update in updates {
-            let Some(key) = self.by_tag(update.server) else {
+            let Some(key) = self.by_short_id(update.server) else {
                 continue;
             };
             if let Some(observed) = update.observed {
@@ -203,7 +204,7 @@
             let Some((peer, name)) = from else { continue };
             if let Some(limited) = self.servers[key].limit.active_mut() {
                 let bucket = &mut limited.bucket;
-                bucket.apply_peer(peer, tag_of(name), update.sent, update.has_demand, now);
+                bucket.apply_peer(peer, short_id_of(name), update.sent, update.has_demand, now);
             }
         }
         changed
@@ -249,7 +250,7 @@
         });
         let last_demand = self.limits.last_demand.get(&server.record.service);
         Some(LimitUpdate {
-            server: server.tag,
+            server: server.short_id,
             observed,
             sent: server.sent,
             has_demand: last_demand.is_some_and(|&at| now.since(at) < DEMAND_TTL),
@@ -310,14 +311,14 @@
     }
 
     /// Returns how many messages this node has sent to limited servers.
-    pub fn sent_to_limited(&self) -> u64 {
+    pub fn messages_sent_to_limited(&self) -> u64 {
         self.limits.sent
     }
 
     /// Returns servers whose services are in demand but whose limits allow no request now.
-    /// Each is returned at most once per [`USED_UP_REPORT_INTERVAL`].
-    pub(crate) fn used_up_limits(&mut self, now: Instant) -> Vec<ServerKey> {
-        let mut used_up = Vec::new();
+    /// Each is returned at most once per [`EXHAUSTED_REPORT_INTERVAL`].
+    pub(crate) fn exhausted_limits(&mut self, now: Instant) -> Vec<ServerKey> {
+        let mut exhausted = Vec::new();
         for &key in &self.limits.servers {
             let Some(server) = self.servers.get_mut(key) else {
                 continue;
@@ -325,13 +326,13 @@
             let last_demand = self.limits.last_demand.get(&server.record.service);
             let has_demand = last_demand.is_some_and(|&at| now.since(at) < DEMAND_TTL);
             let is_allowed = server.time_until_allowed(now) == Some(Duration::ZERO);
-            if is_allowed || !has_demand || now < server.next_used_up_report {
+            if is_allowed || !has_demand || now < server.next_exhausted_report {
                 continue;
             }
-            server.next_used_up_report = now.after(USED_UP_REPORT_INTERVAL);
-            used_up.push(key);
+            server.next_exhausted_report = now.after(EXHAUSTED_REPORT_INTERVAL);
+            exhausted.push(key);
         }
-        used_up
+        exhausted
     }
 
     /// Returns when the servers of a service accept another request, except those in
--- a/crates/notchwalk_route/src/groups.rs
+++ b/crates/notchwalk_route/src/groups.rs
@@ -11,7 +11,7 @@
 //! groups may use the same server without receiving each other's load there. This can add
 //! latency but causes no errors.
 
-use crate::shares::tag_of;
+use crate::shares::short_id_of;
 
 /// Maximum number of nodes that form a single group.
 const MAX_UNDIVIDED_NODES: usize = 64;
@@ -91,7 +91,7 @@
 /// Returns the key that orders nodes. It spreads the nodes of one failure domain, whose
 /// names are similar, over all groups.
 pub fn node_order(name: &str) -> (u32, &str) {
-    (mix_bits(tag_of(name)), name)
+    (mix_bits(short_id_of(name)), name)
 }
 
 /// Mixes the bits of a short id (the finalizer of MurmurHash3): similar names have ids that
--- a/crates/notchwalk_route/src/lib.rs
+++ b/crates/notchwalk_route/src/lib.rs
@@ -56,7 +56,7 @@
 pub use router::{Router, RouterConfig};
 pub use routes::{host_name, RouteLookup, RouteTable};
 pub use server_notice::{RateLimit, ServerNotice};
-pub use shares::WorkspaceTag;
+pub use shares::WorkspaceShortId;
 pub use site::{
     Backend, ClientLimits, EngineParameters, Repeatability, Route, Service, SiteConfig, Workspace,
 };
--- a/crates/notchwalk_route/src/load_view.rs
+++ b/crates/notchwalk_route/src/load_view.rs
@@ -7,7 +7,7 @@
 use serde_tuple::{Deserialize_tuple, Serialize_tuple};
 use slotmap::SecondaryMap;
 
-use crate::{shares::Shares, Fleet, RequestKey, ServerKey, WorkspaceTag};
+use crate::{shares::Shares, Fleet, RequestKey, ServerKey, WorkspaceShortId};
 
 /// The phase of a request on a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -56,7 +56,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Work {
     pub owner: Owner,
-    pub workspace: WorkspaceTag,
+    pub workspace: WorkspaceShortId,
     pub phase: WorkPhase,
     pub context_tokens: f64,
     pub step_tokens: f64,
@@ -204,7 +204,7 @@
             let since = now.before(Duration::from_millis(update.age_ms.into()));
             let item = Work {
                 owner: Owner::Peer(peer),
-                workspace: WorkspaceTag::from_number(update.workspace),
+                workspace: WorkspaceShortId::from_number(update.workspace),
                 phase: update.phase,
                 context_tokens: update.context_tokens.into(),
                 step_tokens: update.step_tokens.into(),
@@ -326,11 +326,11 @@
     }
 
     /// Returns this node's work on a server for publishing.
-    pub fn own_work(&self, server: ServerKey, tag: u32, now: Instant) -> Vec<PeerWork> {
+    pub fn own_work(&self, server: ServerKey, short_id: u32, now: Instant) -> Vec<PeerWork> {
         let works = self.work_on(server).iter();
         let own = works.filter(|work| matches!(work.owner, Owner::Own(_)));
         own.map(|work| PeerWork {
-            server: tag,
+            server: short_id,
             phase: work.phase,
             context_tokens: work.context_tokens as u32,
             step_tokens: work.step_tokens as u32,
--- a/crates/notchwalk_route/src/placement/long.rs
+++ b/crates/notchwalk_route/src/placement/long.rs
@@ -51,12 +51,12 @@
     fn memory_demand(&self, demand: &RequestDemand, k: usize) -> MemoryDemand {
         if !self.exceeds_engine(demand) {
             return MemoryDemand {
-                on_decoder: demand.prompt_tokens + demand.answer_tokens,
+                on_decoder: demand.prompt_tokens + demand.output_tokens,
                 per_worker: 0.0,
                 reserve_tokens: None,
             };
         }
-        let share = (demand.prompt_tokens + demand.answer_tokens) / k as f64 * RESERVATION_MARGIN;
+        let share = (demand.prompt_tokens + demand.output_tokens) / k as f64 * RESERVATION_MARGIN;
         MemoryDemand {
             on_decoder: share,
             per_worker: share,
@@ -191,7 +191,7 @@
         limit_ms: f64,
     ) -> Option<Plan> {
         let segment_ms = self.prefill_ms(demand);
-        let tokens = demand.prompt_tokens + demand.answer_tokens;
+        let tokens = demand.prompt_tokens + demand.output_tokens;
         let mut best: Option<((usize, usize), f64, Plan)> = None;
         for candidate in &self.candidates(service, excluded) {
             let ttft_ms = self.ttft_ms(candidate, demand.prompt_tokens, segment_ms);
--- a/crates/notchwalk_route/src/placement/mod.rs
+++ b/crates/notchwalk_route/src/placement/mod.rs
@@ -29,7 +29,7 @@
 
 pub(crate) use call::place_call;
 
-/// Fraction of a request's value that is lost when its answer is late.
+/// Fraction of a request's value that is lost when its response is late.
 const LATE_LOSS_FRACTION: f64 = 0.75;
 /// Ratio of predicted to allowed time from which a miss is possible.
 const POSSIBLY_LATE_RATIO: f64 = 0.75;
@@ -53,14 +53,14 @@
 /// Mean delay between the decision and the request's arrival at the engine, in
 /// milliseconds.
 const DISPATCH_LATENCY_MS: f64 = 3.0;
-/// Stream events of a typical short answer, used to estimate the wait for a slot.
-const TYPICAL_SHORT_ANSWER_EVENTS: f64 = 25.0;
+/// Stream events of a typical short response, used to estimate the wait for a slot.
+const TYPICAL_SHORT_RESPONSE_EVENTS: f64 = 25.0;
 /// Value of an output token as a multiple of the value of a prompt token.
 const OUTPUT_TOKEN_WEIGHT: f64 = 10.0;
 /// Number of prompt tokens whose value equals a millisecond of engine time.
 const VALUE_TOKENS_PER_MS: f64 = 100.0;
-/// Answer length assumed where it is unknown.
-const DEFAULT_ANSWER_TOKENS: f64 = 1_000.0;
+/// Output length assumed where it is unknown.
+const DEFAULT_OUTPUT_TOKENS: f64 = 1_000.0;
 /// Ratio of reserved to estimated memory.
 const RESERVATION_MARGIN: f64 = 1.03;
 /// Fraction of an engine's memory that prompts may fill; the rest is left for output
@@ -78,7 +78,7 @@
 /// A placement decision.
 #[derive(Clone, Debug)]
 pub(crate) struct Plan {
-    /// The server that answers the request.
+    /// The server that responds to the request.
     pub primary: PlannedServer,
     /// Engines that prefill segments of the prompt.
     pub prefill_workers: Vec<PlannedServer>,
@@ -99,7 +99,7 @@
 /// The size and the time limits of a request, as inputs of the cost model.
 pub(crate) struct RequestDemand {
     pub prompt_tokens: f64,
-    pub answer_tokens: f64,
+    pub output_tokens: f64,
     /// Time left until the first-token objective, in milliseconds.
     pub objective_ms: f64,
     /// Time left until the caller times out, in milliseconds.
@@ -117,14 +117,14 @@
 impl RequestDemand {
     /// Returns the value of the request, in milliseconds of engine time.
     pub fn value_ms(&self) -> f64 {
-        value_ms(self.prompt_tokens, self.answer_tokens)
+        value_ms(self.prompt_tokens, self.output_tokens)
     }
 
     pub fn new(request: &Request, crash_risk: f64, now: Instant) -> Self {
         let facts = &request.facts;
         Self {
             prompt_tokens: f64::from(facts.prompt_tokens),
-            answer_tokens: f64::from(facts.answer_tokens),
+            output_tokens: f64::from(facts.output_tokens),
             objective_ms: ms_until(request.objective_at(), now).max(1.0),
             caller_timeout_ms: ms_until(request.caller_timeout_at(), now).max(1.0),
             worker_failures: request.prefill_worker_failures,
@@ -174,8 +174,8 @@
 }
 
 /// Returns the value of a request, in milliseconds of engine time.
-fn value_ms(prompt_tokens: f64, answer_tokens: f64) -> f64 {
-    (prompt_tokens + OUTPUT_TOKEN_WEIGHT * answer_tokens) / VALUE_TOKENS_PER_MS
+fn value_ms(prompt_tokens: f64, output_tokens: f64) -> f64 {
+    (prompt_tokens + OUTPUT_TOKEN_WEIGHT * output_tokens) / VALUE_TOKENS_PER_MS
 }
 
 fn late_loss_fraction(predicted_ms: f64, allowed_ms: f64) -> f64 {
@@ -218,9 +218,9 @@
         (f64::from(self.parameters.slots) * SHORT_SLOT_FRACTION).max(1.0)
     }
 
-    /// Returns whether a prompt and its answer exceed the memory of one engine.
+    /// Returns whether a prompt and its output exceed the memory of one engine.
     pub fn exceeds_engine(&self, demand: &RequestDemand) -> bool {
-        demand.prompt_tokens + demand.answer_tokens
+        demand.prompt_tokens + demand.output_tokens
             > USABLE_MEMORY_FRACTION * self.parameters.memory_tokens as f64
     }
 
@@ -295,7 +295,7 @@
             if added <= 0.0 {
                 continue;
             }
-            loss += added * value_ms(work.context_tokens, DEFAULT_ANSWER_TOKENS);
+            loss += added * value_ms(work.context_tokens, DEFAULT_OUTPUT_TOKENS);
         }
         loss
     }
@@ -307,7 +307,7 @@
             return 0.0;
         }
         let works = self.load_view.work_on(candidate.key).iter();
-        let value = works.map(|work| value_ms(work.context_tokens, DEFAULT_ANSWER_TOKENS));
+        let value = works.map(|work| value_ms(work.context_tokens, DEFAULT_OUTPUT_TOKENS));
         demand.crash_risk * LATE_LOSS_FRACTION * value.sum::<f64>()
     }
 
@@ -319,7 +319,7 @@
         // Requests beyond the slots are queued by the engine.
         let excess_requests = (load.occupied() + 1) as f64 - f64::from(self.parameters.slots);
         let queued = excess_requests.max(0.0) / f64::from(self.parameters.slots)
-            * TYPICAL_SHORT_ANSWER_EVENTS
+            * TYPICAL_SHORT_RESPONSE_EVENTS
             * step_ms;
         DISPATCH_LATENCY_MS
             + candidate.start_delay_ms
@@ -330,7 +330,7 @@
     }
 
     fn memory_fits(&self, candidate: &Candidate, demand: &RequestDemand) -> bool {
-        self.has_memory(candidate, demand.prompt_tokens + demand.answer_tokens)
+        self.has_memory(candidate, demand.prompt_tokens + demand.output_tokens)
     }
 
     fn has_memory(&self, candidate: &Candidate, tokens: f64) -> bool {
@@ -436,7 +436,7 @@
         if candidates.len() > MAX_ENGINES_PER_REQUEST {
             return None;
         }
-        let share = (demand.prompt_tokens + demand.answer_tokens) / candidates.len() as f64
+        let share = (demand.prompt_tokens + demand.output_tokens) / candidates.len() as f64
             * RESERVATION_MARGIN;
         let capacity = USABLE_MEMORY_FRACTION * self.parameters.memory_tokens as f64;
         let mut engines = candidates.iter();
--- a/crates/notchwalk_route/src/placement/short.rs
+++ b/crates/notchwalk_route/src/placement/short.rs
@@ -21,8 +21,11 @@
     pub(super) fn tie_break_ms(&self, candidate: &Candidate) -> f64 {
         /// About the time that one short request adds to an engine step.
         const TIE_BREAK_RANGE_MS: u32 = 30;
-        let tag = self.fleet.get(candidate.key).map_or(0, |server| server.tag);
-        let mixed = (tag ^ self.salt).wrapping_mul(0x9e37_79b1) >> 16;
+        let short_id = self
+            .fleet
+            .get(candidate.key)
+            .map_or(0, |server| server.short_id);
+        let mixed = (short_id ^ self.salt).wrapping_mul(0x9e37_79b1) >> 16;
         f64::from(mixed % TIE_BREAK_RANGE_MS)
     }
 
--- a/crates/notchwalk_route/src/request.rs
+++ b/crates/notchwalk_route/src/request.rs
@@ -6,7 +6,7 @@
 use notchwalk_quarantine::Fingerprint;
 use slotmap::new_key_type;
 
-use crate::{Assignment, Repeatability, Route, ServerKey, WorkspaceTag};
+use crate::{Assignment, Repeatability, Route, ServerKey, WorkspaceShortId};
 
 new_key_type! {
     /// Identifies a request in the router.
@@ -30,11 +30,11 @@
     /// Fingerprint of its content, the same for all of its attempts.
     pub content: Fingerprint,
     /// Its workspace; the default if it has no key.
-    pub workspace: WorkspaceTag,
+    pub workspace: WorkspaceShortId,
     /// Priority of its workspace; 0 is the highest.
     pub workspace_priority: u8,
     /// When its first byte arrived.
-    pub arrived: Instant,
+    pub arrived_at: Instant,
     /// The timeout that its caller announced.
     pub caller_timeout: Duration,
     /// The deadline from the timeouts of its caller and its route.
@@ -42,7 +42,7 @@
     /// Number of prompt tokens; 0 for a plain service.
     pub prompt_tokens: u32,
     /// Expected number of response tokens.
-    pub answer_tokens: u32,
+    pub output_tokens: u32,
 }
 
 /// The state of a request until its response has ended.
@@ -83,10 +83,10 @@
 impl Request {
     pub fn new(facts: RequestFacts, since_first_attempt: Duration, service: String) -> Self {
         Self {
-            first_attempt_at: facts.arrived.before(since_first_attempt),
-            sent_at: facts.arrived,
-            waiting_since: facts.arrived,
-            predicted_first_event: facts.arrived,
+            first_attempt_at: facts.arrived_at.before(since_first_attempt),
+            sent_at: facts.arrived_at,
+            waiting_since: facts.arrived_at,
+            predicted_first_event: facts.arrived_at,
             facts,
             service,
             attempted: Vec::new(),
@@ -118,7 +118,9 @@
             return self.facts.deadline;
         }
         let timeout = self.stream_timeout();
-        self.facts.deadline.min(self.facts.arrived.after(timeout))
+        self.facts
+            .deadline
+            .min(self.facts.arrived_at.after(timeout))
     }
 
     /// Returns the time without output after which its caller aborts a stream.
--- a/crates/notchwalk_route/src/router/ending.rs
+++ b/crates/notchwalk_route/src/router/ending.rs
@@ -133,22 +133,22 @@
         let server = request.server;
         // Don't choose a prefill worker that rejected its segment again.
         if let AttemptEnd::NotRun {
-            at_fault: Some(addr),
+            faulty_server: Some(addr),
             ..
         } = end
         {
-            let at_fault = self.fleet.by_addr(addr);
-            if at_fault != server {
+            let faulty_server = self.fleet.by_addr(addr);
+            if faulty_server != server {
                 request.prefill_worker_failures += 1;
             }
-            request.attempted.extend(at_fault);
+            request.attempted.extend(faulty_server);
         }
         if matches!(
             end,
             AttemptEnd::ConnectionLost
                 | AttemptEnd::InvalidResponse
-                | AttemptEnd::Failed
-                | AttemptEnd::TimedOut
+                | AttemptEnd::ServerError
+                | AttemptEnd::IdleTimeout
         ) {
             request.started_on += 1;
         }
@@ -178,24 +178,24 @@
         let Some(server) = server else {
             return;
         };
-        let at_fault = match end {
+        let faulty_server = match end {
             AttemptEnd::Delivered { is_success: true } => {
                 return self.fleet.record_success(server, now)
             }
             AttemptEnd::Delivered { is_success: false } => return,
             AttemptEnd::NotRun {
-                at_fault: Some(addr),
+                faulty_server: Some(addr),
                 ..
             } => {
-                let at_fault = self.fleet.by_addr(addr);
-                match at_fault.filter(|&at_fault| at_fault != server) {
+                let faulty_server = self.fleet.by_addr(addr);
+                match faulty_server.filter(|&faulty_server| faulty_server != server) {
                     // A worker that rejects a segment is unreachable, draining or full. It
                     // would reject the next segment too.
                     Some(worker) => {
                         self.fleet.record_unreachable(worker, now);
                         None
                     }
-                    None => at_fault,
+                    None => faulty_server,
                 }
             }
             AttemptEnd::NotRun {
@@ -204,13 +204,13 @@
             } => Some(server),
             AttemptEnd::NotRun { .. } => return,
             AttemptEnd::NotSent => return,
-            AttemptEnd::Failed => None,
+            AttemptEnd::ServerError => None,
             AttemptEnd::NotConnected => {
                 self.fleet.record_unreachable(server, now);
                 None
             }
             AttemptEnd::ConnectionLost | AttemptEnd::InvalidResponse => Some(server),
-            AttemptEnd::TimedOut => {
+            AttemptEnd::IdleTimeout => {
                 if let Some(ejection) = self.fleet.record_timeout(server, now) {
                     out.push(Effect::Ejected {
                         server,
@@ -220,12 +220,12 @@
                 None
             }
         };
-        let Some(at_fault) = at_fault else {
+        let Some(faulty_server) = faulty_server else {
             return;
         };
-        if let Some(ejection) = self.fleet.record_failure(at_fault, now) {
+        if let Some(ejection) = self.fleet.record_failure(faulty_server, now) {
             out.push(Effect::Ejected {
-                server: at_fault,
+                server: faulty_server,
                 duration: ejection,
             });
         }
@@ -261,7 +261,7 @@
         now: Instant,
         out: &mut Vec<Effect>,
     ) {
-        if end == AttemptEnd::Failed {
+        if end == AttemptEnd::ServerError {
             self.remove_request(key, now, out);
             out.push(Effect::DeliverFailure { request: key });
             return;
--- a/crates/notchwalk_route/src/router/limits.rs
+++ b/crates/notchwalk_route/src/router/limits.rs
@@ -10,7 +10,7 @@
 use crate::{request::Request, Effect, LimitUpdate, RequestKey};
 
 /// Fraction of the caller's remaining timeout that a late request may spend in the queue.
-/// The rest is left for the answer.
+/// The rest is left for the response.
 const MAX_LATE_WAIT_FRACTION: f64 = 0.75;
 /// Random addition to retry delays, as a fraction, so that refused callers don't all retry
 /// at the same time.
@@ -81,7 +81,7 @@
     ) -> bool {
         let queued_before = ahead.count(&request.service);
         let wait = self.limited_wait(&request.service, first_send, queued_before, now);
-        let is_caller_retry = request.first_attempt_at < request.facts.arrived;
+        let is_caller_retry = request.first_attempt_at < request.facts.arrived_at;
         let is_late = is_caller_retry || request.sends > 0 || now >= request.objective_at();
         let allowed = match is_late {
             true => request
--- a/crates/notchwalk_route/src/router/mod.rs
+++ b/crates/notchwalk_route/src/router/mod.rs
@@ -169,15 +169,15 @@
         servers: impl Iterator<Item = ServerKey>,
         now: Instant,
     ) -> (Vec<u32>, Vec<crate::PeerWork>) {
-        let (mut tags, mut work) = (Vec::new(), Vec::new());
+        let (mut short_ids, mut work) = (Vec::new(), Vec::new());
         for key in servers {
             let Some(server) = self.fleet.get(key) else {
                 continue;
             };
-            tags.push(server.tag);
-            work.extend(self.load_view.own_work(key, server.tag, now));
+            short_ids.push(server.short_id);
+            work.extend(self.load_view.own_work(key, server.short_id, now));
         }
-        (tags, work)
+        (short_ids, work)
     }
 
     /// Returns the number of open requests.
@@ -241,7 +241,7 @@
                 servers,
                 work,
             } => self.apply_peer_work(peer, &servers, work, now),
-            Event::PeerUnreachable { peer } => {
+            Event::PeerExpired { peer } => {
                 self.load_view.remove_peer(peer);
                 self.fleet.remove_peer_sends(peer);
                 self.quarantine.remove_peer(peer);
@@ -249,17 +249,17 @@
             Event::QuarantineUpdates { peer, updates } => {
                 self.apply_quarantine_updates(peer, &updates, now)
             }
-            Event::NotListening { server } => {
+            Event::PortClosed { server } => {
                 self.quarantine.record_server_ended(server, true, now);
             }
-            Event::Restored {
+            Event::QuarantineRestored {
                 content,
                 left,
                 quarantine_count,
             } => self
                 .quarantine
                 .restore(content, left, quarantine_count, now),
-            Event::Release { content } => {
+            Event::QuarantineReleased { content } => {
                 self.quarantine.release(content, now);
             }
             Event::Group(group) => self.fleet.set_group(group, now),
@@ -275,9 +275,9 @@
                 self.apply_peer_limits(group_peer, &updates, now, out);
             }
             Event::Reserved { request, failed } => self.handle_reserved(request, &failed, now, out),
-            Event::Unanswered(order) => self.reservations.record_unanswered(&order, now),
+            Event::ReservationUnanswered(order) => self.reservations.record_unanswered(&order, now),
             Event::Tick => self.tick(now, out),
-            Event::Draining { after } => self.draining_from = Some(now.after(after)),
+            Event::NodeDraining { after } => self.draining_from = Some(now.after(after)),
         }
         self.emit_findings(out);
     }
@@ -305,15 +305,16 @@
             }
             // The end of a draining server is not a crash.
             if !removed.was_draining {
-                self.quarantine.record_server_ended(removed.tag, false, now);
+                self.quarantine
+                    .record_server_ended(removed.short_id, false, now);
             }
             self.release_unstarted_reservations(removed.key, now, out);
         }
     }
 
     fn apply_draining_notices(&mut self, servers: &[u32], out: &mut Vec<Effect>) {
-        for &tag in servers {
-            let Some(server) = self.fleet.apply_reported_draining(tag) else {
+        for &short_id in servers {
+            let Some(server) = self.fleet.apply_reported_draining(short_id) else {
                 continue;
             };
             out.push(Effect::NewNotice {
@@ -332,9 +333,12 @@
         now: Instant,
     ) {
         let fleet = &self.fleet;
-        let keys: Vec<ServerKey> = servers.iter().filter_map(|&t| fleet.by_tag(t)).collect();
+        let keys: Vec<ServerKey> = servers
+            .iter()
+            .filter_map(|&id| fleet.by_short_id(id))
+            .collect();
         let known = work.into_iter();
-        let known = known.filter_map(|work| Some((fleet.by_tag(work.server)?, work)));
+        let known = known.filter_map(|work| Some((fleet.by_short_id(work.server)?, work)));
         self.load_view.replace_peer(peer, &keys, known, now);
     }
 
@@ -343,8 +347,8 @@
         self.quarantine.tick(now);
         self.probe_servers(now, out);
         self.fleet.remove_ended_limits(now);
-        for server in self.fleet.used_up_limits(now) {
-            out.push(Effect::LimitUsedUp { server });
+        for server in self.fleet.exhausted_limits(now) {
+            out.push(Effect::LimitExhausted { server });
         }
         for order in self.reservations.due(now) {
             self.send_order(order, now, out);
--- a/crates/notchwalk_route/src/router/reserving.rs
+++ b/crates/notchwalk_route/src/router/reserving.rs
@@ -154,7 +154,7 @@
         out: &mut Vec<Effect>,
     ) {
         self.count_order(&order, now);
-        out.push(Effect::Order(order));
+        out.push(Effect::SendReservationOrder(order));
     }
 
     fn count_order(&mut self, order: &ReservationOrder, now: Instant) {
--- a/crates/notchwalk_route/src/router/sending.rs
+++ b/crates/notchwalk_route/src/router/sending.rs
@@ -190,7 +190,7 @@
             reason: plan.reason,
             previous_sends: request.sends - 1,
             predicted_first_event: request.predicted_first_event.since(now),
-            since_first_attempt: request.facts.arrived.since(request.first_attempt_at),
+            since_first_attempt: request.facts.arrived_at.since(request.first_attempt_at),
             first_output_timeout: first_event_timeout(request, now),
             inter_token_timeout: inter_token_timeout(request),
         };
--- a/crates/notchwalk_route/src/router/suspects.rs
+++ b/crates/notchwalk_route/src/router/suspects.rs
@@ -9,7 +9,9 @@
 use notchwalk_quarantine::{Fingerprint, Quarantine, QuarantineUpdate, Verdict};
 
 use super::Router;
-use crate::{request::Request, shares::tag_of, AttemptEnd, Effect, Refusal, RequestKey, ServerKey};
+use crate::{
+    request::Request, shares::short_id_of, AttemptEnd, Effect, Refusal, RequestKey, ServerKey,
+};
 
 /// How long a request waits for another run of the same content before it is refused.
 const MAX_WAIT_FOR_OTHER_RUN: Duration = Duration::from_millis(1_000);
@@ -67,8 +69,8 @@
         }
     }
 
-    fn tag(&self, server: ServerKey) -> Option<u32> {
-        self.fleet.get(server).map(|server| server.tag)
+    fn short_id(&self, server: ServerKey) -> Option<u32> {
+        self.fleet.get(server).map(|server| server.short_id)
     }
 
     /// Records what the end of an attempt shows about its content and server.
@@ -85,48 +87,53 @@
         let Some(server) = request.server else {
             return;
         };
-        let tag = self.tag(server);
+        let short_id = self.short_id(server);
         let answered = matches!(
             end,
             AttemptEnd::Delivered { .. }
-                | AttemptEnd::Failed
+                | AttemptEnd::ServerError
                 | AttemptEnd::InvalidResponse
                 | AttemptEnd::NotRun {
-                    at_fault: None,
+                    faulty_server: None,
                     address_reused: false
                 }
         );
-        if let Some(tag) = tag.filter(|_| answered) {
-            self.quarantine.record_server_alive(tag, sent_at, now);
+        if let Some(short_id) = short_id.filter(|_| answered) {
+            self.quarantine.record_server_alive(short_id, sent_at, now);
         }
         match end {
             AttemptEnd::Delivered { is_success: true } => {
                 self.quarantine.record_success(content, now)
             }
             AttemptEnd::ConnectionLost => self.record_crash(key, server, false, now),
-            AttemptEnd::TimedOut => self.record_crash(key, server, true, now),
+            AttemptEnd::IdleTimeout => self.record_crash(key, server, true, now),
             AttemptEnd::NotConnected
             | AttemptEnd::NotRun {
                 address_reused: true,
                 ..
             } => {
                 self.quarantine.record_run_ended(content);
-                if let Some(tag) = tag {
-                    self.quarantine.record_server_ended(tag, true, now);
+                if let Some(short_id) = short_id {
+                    self.quarantine.record_server_ended(short_id, true, now);
                 }
             }
             AttemptEnd::NotRun {
-                at_fault: Some(addr),
+                faulty_server: Some(addr),
                 ..
             } => {
                 // The segment may have crashed the worker, if the worker was alive when the
                 // segment was sent.
                 let worker = self.fleet.by_addr(addr).filter(|&key| key != server);
                 let was_alive = |&key: &ServerKey| self.fleet.has_responded_since(key, sent_at);
-                match worker.filter(was_alive).and_then(|key| self.tag(key)) {
-                    Some(tag) => {
-                        self.quarantine
-                            .record_broken_connection(content, &[tag], 0, false, now);
+                match worker.filter(was_alive).and_then(|key| self.short_id(key)) {
+                    Some(short_id) => {
+                        self.quarantine.record_broken_connection(
+                            content,
+                            &[short_id],
+                            0,
+                            false,
+                            now,
+                        );
                     }
                     None => self.quarantine.record_run_ended(content),
                 }
@@ -143,22 +150,27 @@
         };
         let content = request.facts.content;
         let servers = std::iter::once(&server).chain(&request.prefill_workers);
-        let tags: Vec<u32> = servers.filter_map(|&key| self.crashed_tag(key)).collect();
-        if tags.is_empty() {
+        let short_ids: Vec<u32> = servers
+            .filter_map(|&key| self.crashed_short_id(key))
+            .collect();
+        if short_ids.is_empty() {
             return self.quarantine.record_run_ended(content);
         }
         let others = self.load_view.work_on(server).len().saturating_sub(1);
         let others = u16::try_from(others).unwrap_or(u16::MAX);
         self.quarantine
-            .record_broken_connection(content, &tags, others, silent, now);
+            .record_broken_connection(content, &short_ids, others, silent, now);
     }
 
     /// Returns the short id of a server that may have crashed.
-    fn crashed_tag(&self, server: ServerKey) -> Option<u32> {
+    fn crashed_short_id(&self, server: ServerKey) -> Option<u32> {
         let Some(known) = self.fleet.get(server) else {
-            return self.fleet.ended_incarnation(server).map(|ended| ended.tag);
+            return self
+                .fleet
+                .ended_incarnation(server)
+                .map(|ended| ended.short_id);
         };
-        (!known.is_draining()).then_some(known.tag)
+        (!known.is_draining()).then_some(known.short_id)
     }
 
     /// Restricts a request with suspected content to a subset of servers that depends on
@@ -187,8 +199,8 @@
         };
         let mut servers: Vec<ServerKey> = servers.filter(is_eligible).copied().collect();
         servers.sort_by_key(|&key| {
-            let tag = self.tag(key).unwrap_or_default();
-            tag_of(&format!("{content}/{tag}"))
+            let short_id = self.short_id(key).unwrap_or_default();
+            short_id_of(&format!("{content}/{short_id}"))
         });
         let candidates = (servers.len() / SERVERS_PER_CANDIDATE)
             .max(MIN_CANDIDATES)
@@ -246,12 +258,12 @@
     /// Emits checks of servers whose connections broke, to detect crashes.
     pub(super) fn probe_servers(&mut self, now: Instant, out: &mut Vec<Effect>) {
         for server in self.quarantine.take_probes(now) {
-            let server_key = self.fleet.by_tag(server);
+            let server_key = self.fleet.by_short_id(server);
             let Some(known) = server_key.and_then(|key| self.fleet.get(key)) else {
                 continue;
             };
             let addr = known.record.addr;
-            out.push(Effect::Check { server, addr });
+            out.push(Effect::ProbePort { server, addr });
         }
     }
 
--- a/crates/notchwalk_route/src/router/waiting.rs
+++ b/crates/notchwalk_route/src/router/waiting.rs
@@ -3,7 +3,7 @@
 //! Decisions depend on the current load only. A request that can meet its objective is sent
 //! once its value exceeds the loss that it causes to other requests. A late request is sent
 //! where it causes little loss, and at the latest before its caller times out. It is refused
-//! if no server can answer before then.
+//! if no server can respond before then.
 
 use std::time::Duration;
 
@@ -33,7 +33,7 @@
 /// Longest segment of a late oversized prompt, in milliseconds. Its engines are unavailable
 /// to new requests for that long.
 const MAX_LATE_SEGMENT_MS: f64 = 2_500.0;
-/// Time reserved for decoding a late answer, as a multiple of the inter-token objective.
+/// Time reserved for decoding a late response, as a multiple of the inter-token objective.
 const LATE_DECODE_INTERVALS: u32 = 3;
 /// A request of a workspace over its share is sent at once if its predicted time to first
 /// token is within this fraction of the remaining time to its objective. While all slots
--- a/crates/notchwalk_route/src/routes.rs
+++ b/crates/notchwalk_route/src/routes.rs
@@ -10,7 +10,7 @@
     /// No route matches the host and path.
     NoRoute,
     /// The route requires a key and the request has no valid one.
-    NoKey,
+    InvalidKey,
     /// The request matches a route and has a valid key, where one is required.
     Found {
         /// The route.
@@ -65,7 +65,7 @@
         };
         let workspace = key.and_then(|key| self.by_key.get(key)).cloned();
         if workspace.is_none() && self.requires_keys && !route.is_public {
-            return RouteLookup::NoKey;
+            return RouteLookup::InvalidKey;
         }
         RouteLookup::Found {
             route: route.clone(),
--- a/crates/notchwalk_route/src/server_notice.rs
+++ b/crates/notchwalk_route/src/server_notice.rs
@@ -40,7 +40,7 @@
     /// It is draining and will stop soon.
     Draining,
     /// It requests that this node backs off for this time.
-    BackOff(Duration),
+    Backoff(Duration),
     /// The rate that it accepts from all nodes together.
     Limit {
         /// The limit; `None` if the response announces none.
--- a/crates/notchwalk_route/src/shares.rs
+++ b/crates/notchwalk_route/src/shares.rs
@@ -14,12 +14,12 @@
 
 /// A workspace's short id, derived from its name and the same on all nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct WorkspaceTag(u32);
+pub struct WorkspaceShortId(u32);
 
-impl WorkspaceTag {
+impl WorkspaceShortId {
     /// Derives the id of a workspace.
     pub fn of(name: &str) -> Self {
-        Self(tag_of(name))
+        Self(short_id_of(name))
     }
 
     /// Creates an id from its number in a peer's update.
@@ -35,7 +35,7 @@
 
 /// Derives a short id from a name (FNV-1a, 32 bits). It must be the same on all nodes and
 /// differ between the names of one deployment.
-pub(crate) fn tag_of(name: &str) -> u32 {
+pub(crate) fn short_id_of(name: &str) -> u32 {
     const OFFSET: u32 = 0x811c_9dc5;
     const PRIME: u32 = 0x0100_0193;
     name.bytes().fold(OFFSET, |hash, byte| {
@@ -47,20 +47,20 @@
 #[derive(Debug, Default)]
 pub(crate) struct Shares {
     total: f64,
-    by_workspace: HashMap<WorkspaceTag, f64>,
+    by_workspace: HashMap<WorkspaceShortId, f64>,
 }
 
 impl Shares {
     /// Adds the load of a request.
-    pub fn add(&mut self, workspace: WorkspaceTag, engines: f64) {
+    pub fn add(&mut self, workspace: WorkspaceShortId, engines: f64) {
         self.total += engines;
         *self.by_workspace.entry(workspace).or_default() += engines;
     }
 
     /// Returns whether a workspace exceeds its share. Requests without a key belong to no
     /// workspace.
-    pub fn is_over(&self, workspace: WorkspaceTag) -> bool {
-        if workspace == WorkspaceTag::default() {
+    pub fn is_over(&self, workspace: WorkspaceShortId) -> bool {
+        if workspace == WorkspaceShortId::default() {
             return false;
         }
         let Some(&own) = self.by_workspace.get(&workspace) else {
--- a/crates/notchwalk_route/src/site.rs
+++ b/crates/notchwalk_route/src/site.rs
@@ -102,7 +102,7 @@
     pub chunk_tokens: u32,
     /// Time added to a token step if the prompt is split over several engines, in
     /// milliseconds.
-    pub hop_ms: f64,
+    pub split_step_ms: f64,
 }
 
 /// Limits on requests and connections of callers.
--- a/crates/notchwalk_route/src/wait_queue.rs
+++ b/crates/notchwalk_route/src/wait_queue.rs
@@ -6,13 +6,13 @@
 //! that can no longer meet their objective are sent late or refused. Late short requests
 //! also wait here for spare capacity.
 
-use crate::{shares::Shares, RequestKey, WorkspaceTag};
+use crate::{shares::Shares, RequestKey, WorkspaceShortId};
 
 /// A queued request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct QueuedRequest {
     pub request: RequestKey,
-    pub workspace: WorkspaceTag,
+    pub workspace: WorkspaceShortId,
     /// Prefill time of its prompt, in milliseconds; 0 for a short one.
     pub prefill_ms: f64,
 }
--- a/crates/notchwalk_route/tests/decisions/common.rs
+++ b/crates/notchwalk_route/tests/decisions/common.rs
@@ -8,7 +8,7 @@
     Assignment, AttemptEnd, Backend, Effect, EngineParameters, Event, LimitSharing, Refusal,
     Repeatability, RequestFacts, RequestKey, Route, RouteLookup, Router, RouterConfig,
     ServerChange, ServerKey, ServerRecord, ServerStage, Service, SiteConfig, Workspace,
-    WorkspaceTag,
+    WorkspaceShortId,
 };
 
 pub const ENGINES: &str = "engines";
@@ -25,7 +25,7 @@
         prefill_tokens_per_ms: 177.0,
         pair_ms_per_million: 0.184,
         chunk_tokens: 2_048,
-        hop_ms: 0.05,
+        split_step_ms: 0.05,
     }
 }
 
@@ -116,7 +116,7 @@
     pub now: Instant,
     pub effects: Vec<Effect>,
     /// Workspace of the requests that arrive.
-    pub workspace: WorkspaceTag,
+    pub workspace: WorkspaceShortId,
     /// Content of the requests that arrive; `None` gives each request different content.
     pub content: Option<Fingerprint>,
     arrivals: u64,
@@ -148,7 +148,7 @@
             router,
             now: Instant::from_millis(1_000),
             effects: Vec::new(),
-            workspace: WorkspaceTag::default(),
+            workspace: WorkspaceShortId::default(),
             content: None,
             arrivals: 0,
         };
@@ -198,11 +198,11 @@
         let facts = RequestFacts {
             workspace: self.workspace,
             workspace_priority: 0,
-            arrived: self.now,
+            arrived_at: self.now,
             caller_timeout,
             deadline: self.now.after(caller_timeout),
             prompt_tokens,
-            answer_tokens: 800,
+            output_tokens: 800,
             route,
             content: self.content.unwrap_or(default_content),
         };
--- a/crates/notchwalk_route/tests/decisions/draining.rs
+++ b/crates/notchwalk_route/tests/decisions/draining.rs
@@ -93,7 +93,7 @@
     rig.step(Event::Started { request: served });
     rig.advance(Duration::from_millis(800));
     for request in waiting {
-        rig.end_attempt(request, AttemptEnd::TimedOut);
+        rig.end_attempt(request, AttemptEnd::IdleTimeout);
     }
     let is_ejection = |effect: &Effect| matches!(effect, Effect::Ejected { .. });
     assert!(!rig.effects.iter().any(is_ejection));
@@ -105,7 +105,7 @@
     let requests: Vec<_> = (0..3).map(|_| rig.arrive("/short/", 3_000)).collect();
     rig.advance(Duration::from_millis(1_600));
     for request in requests {
-        rig.end_attempt(request, AttemptEnd::TimedOut);
+        rig.end_attempt(request, AttemptEnd::IdleTimeout);
     }
     let is_ejection = |effect: &Effect| matches!(effect, Effect::Ejected { .. });
     assert!(rig.effects.iter().any(is_ejection));
--- a/crates/notchwalk_route/tests/decisions/limits.rs
+++ b/crates/notchwalk_route/tests/decisions/limits.rs
@@ -98,7 +98,7 @@
     );
 }
 
-/// Fails a request on its first server while the limits of the others are used up; returns
+/// Fails a request on its first server while the limits of the others are exhausted; returns
 /// the time until it is sent again.
 fn time_until_second_attempt(service: &str, path: &str, tokens: u32) -> Duration {
     let mut rig = TestRouter::with_engines("entry-1", 3);
@@ -415,9 +415,9 @@
 
 /// The strictest of several notices applies.
 #[test]
-fn limit_does_not_override_draining_or_back_off() {
-    let back_off = ServerNotice::BackOff(3 * SECOND);
-    for notice in [ServerNotice::Draining, back_off] {
+fn limit_does_not_override_draining_or_backoff() {
+    let backoff = ServerNotice::Backoff(3 * SECOND);
+    for notice in [ServerNotice::Draining, backoff] {
         for limit_first in [false, true] {
             let mut rig = TestRouter::new();
             let server = server_key(&rig, PLAIN_SERVICE, 0);
@@ -445,7 +445,7 @@
     announce_all(&mut rig, PLAIN_SERVICE, 3, 1.0);
     let content = content("crashes");
     let (left, times) = (60 * SECOND, 1);
-    rig.step(Event::Restored {
+    rig.step(Event::QuarantineRestored {
         content,
         left,
         quarantine_count: times,
@@ -553,7 +553,7 @@
 
 /// Reports for operators are rate limited.
 #[test]
-fn used_up_limit_is_reported_periodically() {
+fn exhausted_limit_is_reported_periodically() {
     let mut rig = TestRouter::new();
     announce(&mut rig, PLAIN_SERVICE, 0, 1.0);
     for _ in 0..800 {
@@ -563,7 +563,7 @@
     }
     let server = server_key(&rig, PLAIN_SERVICE, 0);
     let reports = rig.effects.iter();
-    let reports = reports.filter(|effect| **effect == Effect::LimitUsedUp { server });
+    let reports = reports.filter(|effect| **effect == Effect::LimitExhausted { server });
     assert!(
         (1..=3).contains(&reports.count()),
         "expected a report every 5 s in 12 s"
--- a/crates/notchwalk_route/tests/decisions/placement.rs
+++ b/crates/notchwalk_route/tests/decisions/placement.rs
@@ -132,7 +132,7 @@
     second.advance(Duration::from_millis(10_100));
     assert_eq!(occupied(&second), 0);
     first.broadcast_work_to(&mut second, 1);
-    second.step(Event::PeerUnreachable { peer: 1 });
+    second.step(Event::PeerExpired { peer: 1 });
     assert_eq!(occupied(&second), 0);
 }
 
--- a/crates/notchwalk_route/tests/decisions/random_runs.rs
+++ b/crates/notchwalk_route/tests/decisions/random_runs.rs
@@ -111,11 +111,11 @@
                     let (state, _, _) = self.states.get_mut(&request).expect("request arrived");
                     state.reserving = true;
                 }
-                Effect::Order(_)
+                Effect::SendReservationOrder(_)
                 | Effect::Ejected { .. }
                 | Effect::NewNotice { .. }
-                | Effect::Check { .. }
-                | Effect::LimitUsedUp { .. }
+                | Effect::ProbePort { .. }
+                | Effect::LimitExhausted { .. }
                 | Effect::Finding(_) => {}
             }
         }
@@ -286,7 +286,7 @@
             return;
         };
         let notice = match backoff {
-            Some(ms) => ServerNotice::BackOff(Duration::from_millis(ms.into())),
+            Some(ms) => ServerNotice::Backoff(Duration::from_millis(ms.into())),
             None => ServerNotice::Draining,
         };
         let until = backoff.map(|ms| self.rig.now.after(Duration::from_millis(ms.into())));
@@ -309,18 +309,18 @@
         let end = match end {
             0 => AttemptEnd::NotConnected,
             1 => AttemptEnd::NotRun {
-                at_fault: None,
+                faulty_server: None,
                 address_reused: true,
             },
             2 => AttemptEnd::NotRun {
-                at_fault: None,
+                faulty_server: None,
                 address_reused: false,
             },
-            3 => AttemptEnd::Failed,
+            3 => AttemptEnd::ServerError,
             4 => AttemptEnd::ConnectionLost,
             _ => AttemptEnd::Delivered { is_success: true },
         };
-        if matches!(end, AttemptEnd::Failed | AttemptEnd::ConnectionLost) {
+        if matches!(end, AttemptEnd::ServerError | AttemptEnd::ConnectionLost) {
             state.may_have_run += 1;
         }
         state.reached = end != AttemptEnd::NotConnected;
@@ -335,10 +335,10 @@
         let Some((_, known)) = servers.find(|(_, known)| known.record.instance == instance) else {
             return;
         };
-        let tag = known.tag;
+        let short_id = known.short_id;
         drop(servers);
         let work = PeerWork {
-            server: tag,
+            server: short_id,
             phase: WorkPhase::Decode,
             context_tokens: 5_000,
             step_tokens: 5_000,
@@ -357,7 +357,7 @@
 
     /// Ends all requests and checks that no state remains.
     fn finish(mut self) {
-        self.rig.step(Event::PeerUnreachable { peer: 1 });
+        self.rig.step(Event::PeerExpired { peer: 1 });
         for request in std::mem::take(&mut self.order) {
             if !self.states[&request].0.ended {
                 self.rig.step(Event::Abandoned { request });
--- a/crates/notchwalk_route/tests/decisions/reservations.rs
+++ b/crates/notchwalk_route/tests/decisions/reservations.rs
@@ -26,7 +26,7 @@
 fn take_orders(rig: &mut TestRouter) -> Vec<ReservationOrder> {
     let mut taken = Vec::new();
     rig.effects.retain(|effect| match effect {
-        Effect::Order(order) => {
+        Effect::SendReservationOrder(order) => {
             taken.push(order.clone());
             false
         }
@@ -159,7 +159,7 @@
             tokens,
             ..reserved[0].clone()
         };
-        rig.step(Event::Unanswered(lost));
+        rig.step(Event::ReservationUnanswered(lost));
         rig.step(Event::Abandoned { request });
         take_orders(&mut rig);
         for _ in 0..11 {
@@ -216,12 +216,12 @@
         rig.arrive("/short/", 5_000);
     }
     rig.take_sends();
-    let arrived = rig.now;
+    let arrived_at = rig.now;
     rig.arrive("/long/", OVERSIZED_TOKENS);
     while rig.refusals().is_empty() {
         rig.advance(Duration::from_millis(15));
     }
-    assert!(rig.now.since(arrived) < Duration::from_millis(750));
+    assert!(rig.now.since(arrived_at) < Duration::from_millis(750));
     assert!(rig.refusals()[0].has_not_run());
 }
 
--- a/crates/notchwalk_route/tests/decisions/retries.rs
+++ b/crates/notchwalk_route/tests/decisions/retries.rs
@@ -10,7 +10,7 @@
 use crate::common::TestRouter;
 
 const REJECTED: AttemptEnd = AttemptEnd::NotRun {
-    at_fault: None,
+    faulty_server: None,
     address_reused: false,
 };
 
@@ -64,9 +64,9 @@
     let mut rig = TestRouter::new();
     let request = rig.arrive("/again/", 0);
     rig.take_only_send();
-    rig.end_attempt(request, AttemptEnd::Failed);
+    rig.end_attempt(request, AttemptEnd::ServerError);
     rig.take_only_send();
-    rig.end_attempt(request, AttemptEnd::Failed);
+    rig.end_attempt(request, AttemptEnd::ServerError);
     assert!(rig.effects.contains(&Effect::DeliverFailure { request }));
 }
 
@@ -145,7 +145,7 @@
     rig.end_attempt(
         request,
         AttemptEnd::NotRun {
-            at_fault: Some(worker),
+            faulty_server: Some(worker),
             address_reused: false,
         },
     );
@@ -180,18 +180,18 @@
     for _ in 0..6 {
         let to = rig.take_only_send();
         let mut workers = to.prefill_workers.iter().map(|worker| worker.addr);
-        let at_fault = match has_crashed(to.addr) {
+        let faulty_server = match has_crashed(to.addr) {
             true => Some(to.addr),
             false => workers.find(|&addr| has_crashed(addr)),
         };
-        if at_fault.is_none() {
+        if faulty_server.is_none() {
             return;
         }
         let address_reused = false;
         rig.end_attempt(
             request,
             AttemptEnd::NotRun {
-                at_fault,
+                faulty_server,
                 address_reused,
             },
         );
--- a/crates/notchwalk_route/tests/decisions/routes.rs
+++ b/crates/notchwalk_route/tests/decisions/routes.rs
@@ -32,8 +32,11 @@
 fn key_is_required_unless_the_route_is_public() {
     let mut rig = TestRouter::new();
     let lookup = |rig: &TestRouter, key| rig.router.routes().lookup("a.example", "/once/", key);
-    assert!(matches!(lookup(&rig, None), RouteLookup::NoKey));
-    assert!(matches!(lookup(&rig, Some("other")), RouteLookup::NoKey));
+    assert!(matches!(lookup(&rig, None), RouteLookup::InvalidKey));
+    assert!(matches!(
+        lookup(&rig, Some("other")),
+        RouteLookup::InvalidKey
+    ));
     let mut site = site();
     site.version = 2;
     site.routes
--- a/crates/notchwalk_route/tests/decisions/server_notices.rs
+++ b/crates/notchwalk_route/tests/decisions/server_notices.rs
@@ -30,8 +30,8 @@
     used
 }
 
-fn announce_back_off(rig: &mut TestRouter, number: u8, seconds: u64) {
-    let notice = ServerNotice::BackOff(Duration::from_secs(seconds));
+fn announce_backoff(rig: &mut TestRouter, number: u8, seconds: u64) {
+    let notice = ServerNotice::Backoff(Duration::from_secs(seconds));
     announce(rig, PLAIN_SERVICE, number, notice);
 }
 
@@ -122,7 +122,7 @@
     });
     assert!(rig.take_sends().is_empty(), "sent to a draining engine");
     let released = rig.effects.iter().filter(
-        |effect| matches!(effect, Effect::Order(order) if order.tokens.is_none() && order.addr == addr),
+        |effect| matches!(effect, Effect::SendReservationOrder(order) if order.tokens.is_none() && order.addr == addr),
     );
     assert_eq!(released.count(), 1);
     rig.effects.clear();
@@ -188,7 +188,7 @@
 #[test]
 fn server_receives_no_requests_during_the_backoff_that_it_requested() {
     let mut rig = TestRouter::new();
-    announce_back_off(&mut rig, 0, 3);
+    announce_backoff(&mut rig, 0, 3);
     assert!(!is_used(&mut rig, "desk-0"));
     rig.advance(Duration::from_millis(2_900));
     assert!(!is_used(&mut rig, "desk-0"));
@@ -197,19 +197,19 @@
 }
 
 #[test]
-fn shorter_back_off_does_not_replace_a_longer_one() {
+fn shorter_backoff_does_not_replace_a_longer_one() {
     let mut rig = TestRouter::new();
-    announce_back_off(&mut rig, 0, 3);
-    announce_back_off(&mut rig, 0, 1);
+    announce_backoff(&mut rig, 0, 3);
+    announce_backoff(&mut rig, 0, 1);
     rig.advance(Duration::from_secs(2));
     assert!(!is_used(&mut rig, "desk-0"));
 }
 
 #[test]
-fn next_incarnation_ends_the_back_off() {
+fn next_incarnation_ends_the_backoff() {
     let mut rig = TestRouter::new();
     register(&mut rig, desk(0, 1_000));
-    announce_back_off(&mut rig, 0, 600);
+    announce_backoff(&mut rig, 0, 600);
     assert!(!is_used(&mut rig, "desk-0"));
     register(&mut rig, desk(0, 2_000));
     assert!(is_used(&mut rig, "desk-0"));
@@ -235,8 +235,8 @@
 fn requests_are_refused_with_the_shortest_retry_after_if_all_servers_back_off() {
     let mut rig = TestRouter::with_engines("entry-1", 3);
     for number in 0..3 {
-        announce_back_off(&mut rig, number, 5 + u64::from(number));
-        let notice = ServerNotice::BackOff(Duration::from_secs(7 + u64::from(number)));
+        announce_backoff(&mut rig, number, 5 + u64::from(number));
+        let notice = ServerNotice::Backoff(Duration::from_secs(7 + u64::from(number)));
         announce(&mut rig, ENGINES, number, notice);
     }
     let at_desk = refused(&mut rig, "/once/", 0);
--- a/crates/notchwalk_route/tests/decisions/shares.rs
+++ b/crates/notchwalk_route/tests/decisions/shares.rs
@@ -6,7 +6,7 @@
 use std::{collections::HashMap, time::Duration};
 
 use notchwalk_core::Instant;
-use notchwalk_route::{AttemptEnd, Effect, Event, RequestKey, WorkspaceTag};
+use notchwalk_route::{AttemptEnd, Effect, Event, RequestKey, WorkspaceShortId};
 
 use crate::common::TestRouter;
 
@@ -46,7 +46,7 @@
     let mut sends = 0;
     for tick in 0..TICKS {
         for demand in demands.iter().filter(|demand| tick % demand.interval == 0) {
-            rig.workspace = WorkspaceTag::of(demand.workspace);
+            rig.workspace = WorkspaceShortId::of(demand.workspace);
             for _ in 0..demand.requests {
                 workspace_of.insert(rig.arrive("/short/", 5_000), demand.workspace);
                 counts.entry(demand.workspace).or_default().arrived += 1;
@@ -68,7 +68,8 @@
         for key in ended {
             rig.end_attempt(key, AttemptEnd::Delivered { is_success: true });
         }
-        rig.effects.retain(|e| !matches!(e, Effect::Order(_)));
+        rig.effects
+            .retain(|e| !matches!(e, Effect::SendReservationOrder(_)));
     }
     counts
 }
@@ -111,7 +112,7 @@
 #[test]
 fn single_workspace_may_use_all_engines() {
     let mut rig = TestRouter::with_engines("entry-1", 4);
-    rig.workspace = WorkspaceTag::of("flood");
+    rig.workspace = WorkspaceShortId::of("flood");
     for _ in 0..50 {
         rig.arrive("/short/", 5_000);
         rig.advance(TICK);
--- a/crates/notchwalk_route/tests/decisions/suspects.rs
+++ b/crates/notchwalk_route/tests/decisions/suspects.rs
@@ -11,7 +11,7 @@
 use crate::common::{content, count_by_server, record, TestRouter, ENGINES, PLAIN_SERVICE};
 
 const ADDRESS_REUSED: AttemptEnd = AttemptEnd::NotRun {
-    at_fault: None,
+    faulty_server: None,
     address_reused: true,
 };
 
--- a/crates/notchwalk_route/tests/decisions/waiting.rs
+++ b/crates/notchwalk_route/tests/decisions/waiting.rs
@@ -90,16 +90,16 @@
 #[test]
 fn long_prompt_that_cannot_meet_caller_timeout_is_refused() {
     let mut rig = TestRouter::with_engines("entry-1", 2);
-    let arrived = rig.now;
+    let arrived_at = rig.now;
     for _ in 0..6 {
         rig.arrive("/long/", 200_000);
     }
     let mut sends = rig.take_sends();
-    while rig.now < arrived.after(LONG_CALLER_TIMEOUT / 2) {
+    while rig.now < arrived_at.after(LONG_CALLER_TIMEOUT / 2) {
         rig.advance(TICK);
         for (key, to) in rig.take_sends() {
             let first_at = rig.now.after(to.predicted_first_event);
-            assert!(first_at <= arrived.after(LONG_CALLER_TIMEOUT), "{to:?}");
+            assert!(first_at <= arrived_at.after(LONG_CALLER_TIMEOUT), "{to:?}");
             sends.push((key, to));
         }
     }
@@ -134,7 +134,7 @@
     }
     let at_once = rig.take_sends();
     assert!(at_once.len() <= 16, "{} sent at once", at_once.len());
-    // One answer ends, and a request arrives that can meet its objective.
+    // One response ends, and a request arrives that can meet its objective.
     let (ended, _) = at_once[0];
     rig.advance(Duration::from_millis(200));
     rig.end_attempt(ended, AttemptEnd::Delivered { is_success: true });
--- a/crates/notchwalk_standin/src/routed/limits.rs
+++ b/crates/notchwalk_standin/src/routed/limits.rs
@@ -13,7 +13,7 @@
 use notchwalk_route::{
     AttemptEnd, Backend, Effect, Event, LimitScope, LimitSharing, LimitUpdate, RateLimit,
     Repeatability, RequestFacts, RequestKey, Route, RouteLookup, Router, RouterConfig,
-    ServerChange, ServerNotice, ServerRecord, ServerStage, Service, SiteConfig, WorkspaceTag,
+    ServerChange, ServerNotice, ServerRecord, ServerStage, Service, SiteConfig, WorkspaceShortId,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -335,7 +335,7 @@
             .collect();
         for peer in unreachable {
             self.nodes[node].last_received[peer] = Instant::ZERO;
-            self.step(node, Event::PeerUnreachable { peer: peer as u32 });
+            self.step(node, Event::PeerExpired { peer: peer as u32 });
         }
         let sharing = LimitSharing::new(&node_name(node), self.plan.nodes as u32, count);
         self.step(node, Event::LimitSharing(sharing));
@@ -427,13 +427,13 @@
         let facts = RequestFacts {
             route,
             content: content.finish(),
-            workspace: WorkspaceTag::default(),
+            workspace: WorkspaceShortId::default(),
             workspace_priority: 0,
-            arrived: self.now,
+            arrived_at: self.now,
             caller_timeout: REQUEST_TIMEOUT,
             deadline: self.now.after(REQUEST_TIMEOUT),
             prompt_tokens: 0,
-            answer_tokens: 0,
+            output_tokens: 0,
         };
         let request = router.new_request();
         self.nodes[node].arrived_at.insert(request, self.now);
--- a/crates/notchwalk_standin/src/routed/policy.rs
+++ b/crates/notchwalk_standin/src/routed/policy.rs
@@ -26,7 +26,7 @@
         prefill_tokens_per_ms: 177.0,
         pair_ms_per_million: 0.184,
         chunk_tokens: 2_048,
-        hop_ms: 0.05,
+        split_step_ms: 0.05,
     }
 }
 
--- a/crates/notchwalk_standin/src/routed/simulation.rs
+++ b/crates/notchwalk_standin/src/routed/simulation.rs
@@ -12,7 +12,7 @@
 use notchwalk_quarantine::{Fingerprint, FingerprintBuilder, RequestHead};
 use notchwalk_route::{
     Assignment, AttemptEnd, Effect, Event, FailedReservation, PeerWork, RequestFacts, RequestKey,
-    Route, RouteLookup, Router, RouterConfig, ServerChange, WorkspaceTag,
+    Route, RouteLookup, Router, RouterConfig, ServerChange, WorkspaceShortId,
 };
 
 use super::{
@@ -244,13 +244,13 @@
         let facts = RequestFacts {
             route: self.routes[arrival.kind].clone(),
             content: content_of(index),
-            workspace: WorkspaceTag::default(),
+            workspace: WorkspaceShortId::default(),
             workspace_priority: 0,
-            arrived: self.now,
+            arrived_at: self.now,
             caller_timeout: kind.caller_timeout,
             deadline: self.now.after(kind.caller_timeout),
             prompt_tokens: arrival.prompt as u32,
-            answer_tokens: (f64::from(arrival.events) * TOKENS_PER_EVENT) as u32,
+            output_tokens: (f64::from(arrival.events) * TOKENS_PER_EVENT) as u32,
         };
         let event = Event::Arrived {
             request: key,
@@ -348,12 +348,12 @@
                 );
             }
             // `drop_request` releases the memory.
-            Effect::Order(_)
+            Effect::SendReservationOrder(_)
             | Effect::Ejected { .. }
             | Effect::NewNotice { .. }
             | Effect::DeliverFailure { .. }
-            | Effect::Check { .. }
-            | Effect::LimitUsedUp { .. }
+            | Effect::ProbePort { .. }
+            | Effect::LimitExhausted { .. }
             | Effect::Finding(_) => {}
         }
     }
