--- a/crates/notchwalk_relay/src/attempt.rs
+++ b/crates/notchwalk_relay/src/attempt.rs
@@ -64,13 +64,13 @@
     /// Splits the stream at event boundaries.
     pub splitter: EventSplitter,
     /// The id of the last event that the caller has.
-    pub last_event: Option<u64>,
+    pub last_event_id: Option<u64>,
 }
 
 impl Delivery {
-    /// Starts a delivery; `last_event` is the last event that the caller has from an
+    /// Starts a delivery; `last_event_id` names the last event that the caller has from an
     /// earlier request.
-    pub fn new(last_event: Option<u64>) -> Self {
+    pub fn new(last_event_id: Option<u64>) -> Self {
         Self {
             head_sent: false,
             first_at: None,
@@ -81,7 +81,7 @@
             attempts: 0,
             server_error: None,
             splitter: EventSplitter::default(),
-            last_event,
+            last_event_id,
         }
     }
 
@@ -175,7 +175,7 @@
     delivery
         .predicted_first_event
         .get_or_insert(waited + to.predicted_first_event);
-    let head = send_and_read_head(shell, req, delivery.last_event, to, exchange);
+    let head = send_and_read_head(shell, req, delivery.last_event_id, to, exchange);
     let head = head.await;
     let response = match head {
         Awaited::Done(Ok(Some(response))) => response,
@@ -192,7 +192,7 @@
         .dialect
         .backend_response(&req.caller.id, response.status, &response.headers);
     let not_run = |address_reused| AttemptEnd::NotRun {
-        faulty_server: facts.at_fault,
+        faulty_server: facts.faulty_server,
         address_reused,
     };
     match facts.kind {
@@ -203,7 +203,7 @@
             discard_body(response).await;
             AttemptOutcome::Ended(not_run(false))
         }
-        ResponseKind::Moved => AttemptOutcome::Ended(not_run(true)),
+        ResponseKind::Misdirected => AttemptOutcome::Ended(not_run(true)),
         ResponseKind::Success if req.streaming => {
             relay_stream(shell, exchange, req, delivery, to, response).await
         }
@@ -233,7 +233,7 @@
 async fn send_and_read_head(
     shell: &Rc<Shell>,
     req: &ActiveRequest,
-    last_event: Option<u64>,
+    last_event_id: Option<u64>,
     to: &Assignment,
     exchange: &mut Exchange,
 ) -> Awaited<Result<Option<StreamedResponse>, HttpError>> {
@@ -251,7 +251,7 @@
             assignment: to,
             workspace: req.workspace.as_deref(),
             timeout: req.deadline.since(shell.now()),
-            last_event,
+            last_event_id,
         });
         let host = head.headers.get(header::HOST);
         let host = host.and_then(|host| host.to_str().ok()).unwrap_or("");
@@ -407,7 +407,7 @@
         {
             return AttemptOutcome::CallerDisconnected;
         }
-        delivery.last_event = delivery.splitter.last_id().or(delivery.last_event);
+        delivery.last_event_id = delivery.splitter.last_id().or(delivery.last_event_id);
         delivery.record_write(shell.now());
     }
     let rest = delivery.splitter.take_rest();
--- a/crates/notchwalk_relay/src/daemon.rs
+++ b/crates/notchwalk_relay/src/daemon.rs
@@ -89,15 +89,15 @@
 impl Listeners {
     /// Binds all addresses and updates `settings` with the assigned ports.
     fn bind(settings: &mut RelaySettings) -> Result<Self, DaemonError> {
-        let addr = settings.peer;
+        let addr = settings.peer_addr;
         let failed = |source| DaemonError::Listen { addr, source };
         let peer = UdpSocket::bind(addr).map_err(failed)?;
-        settings.peer = peer.local_addr().map_err(failed)?;
+        settings.peer_addr = peer.local_addr().map_err(failed)?;
         Ok(Self {
-            caller: listen(&mut settings.caller)?,
-            ready: listen(&mut settings.ready)?,
-            directory: listen(&mut settings.directory)?,
-            operator: listen(&mut settings.operator)?,
+            caller: listen(&mut settings.caller_addr)?,
+            ready: listen(&mut settings.ready_addr)?,
+            directory: listen(&mut settings.directory_addr)?,
+            operator: listen(&mut settings.operator_addr)?,
             peer,
         })
     }
@@ -162,11 +162,11 @@
             "name={} boot={} caller={} ready={} directory={} peer={} operator={}",
             settings.name,
             shell.boot,
-            settings.caller,
-            settings.ready,
-            settings.directory,
-            settings.peer,
-            settings.operator
+            settings.caller_addr,
+            settings.ready_addr,
+            settings.directory_addr,
+            settings.peer_addr,
+            settings.operator_addr
         );
         LogEvent::new(LogEventKind::DaemonStarted, facts).emit();
         let config = ConfigReader::new(shell.clone());
--- a/crates/notchwalk_relay/src/dialect.rs
+++ b/crates/notchwalk_relay/src/dialect.rs
@@ -17,15 +17,15 @@
     /// The caller's timeout, if given.
     pub timeout: Option<Duration>,
     /// The caller's API key, if given.
-    pub key: Option<String>,
+    pub api_key: Option<String>,
     /// Number of prompt tokens; 0 if not given.
     pub prompt_tokens: u32,
-    /// Maximum number of response tokens; 0 if not given.
-    pub max_answer_tokens: u32,
-    /// Number of response tokens that the caller estimates.
-    pub estimated_answer_tokens: Option<u32>,
+    /// Maximum number of output tokens; 0 if not given.
+    pub max_output_tokens: u32,
+    /// Number of output tokens that the caller estimates.
+    pub estimated_output_tokens: Option<u32>,
     /// The id of the last event received of an interrupted stream.
-    pub last_event: Option<u64>,
+    pub last_event_id: Option<u64>,
 }
 
 /// The inputs for the head of a request to a backend server.
@@ -40,7 +40,7 @@
     /// The remaining time of the caller's timeout.
     pub timeout: Duration,
     /// The id of the last event that the caller has.
-    pub last_event: Option<u64>,
+    pub last_event_id: Option<u64>,
 }
 
 /// The response to a directory query.
--- a/crates/notchwalk_relay/src/directory.rs
+++ b/crates/notchwalk_relay/src/directory.rs
@@ -24,7 +24,7 @@
         let shell = &self.shell;
         let mut addresses = shell.peers.borrow().ready_addrs(shell.now());
         if shell.is_ready() {
-            addresses.push(shell.settings.caller);
+            addresses.push(shell.settings.caller_addr);
         }
         addresses.sort_unstable();
         addresses.truncate(MAX_ADDRESSES);
--- a/crates/notchwalk_relay/src/front/accept.rs
+++ b/crates/notchwalk_relay/src/front/accept.rs
@@ -20,8 +20,8 @@
 /// How long before the route's timeout a request fails, so that the final response
 /// arrives in time.
 const TIMEOUT_MARGIN: Duration = Duration::from_millis(20);
-/// Assumed fraction of the maximum response tokens if the caller gives no estimate.
-const DEFAULT_ANSWER_FRACTION: f64 = 0.5;
+/// Assumed fraction of the maximum output tokens if the caller gives no estimate.
+const DEFAULT_OUTPUT_FRACTION: f64 = 0.5;
 
 /// A request that was read completely; its key is set once it is passed to the router.
 pub(super) struct Accepted {
@@ -102,8 +102,8 @@
                 return Err(rejected(status, reason));
             }
         };
-        let default_answer_tokens =
-            (f64::from(caller.max_answer_tokens) * DEFAULT_ANSWER_FRACTION) as u32;
+        let default_output_tokens =
+            (f64::from(caller.max_output_tokens) * DEFAULT_OUTPUT_FRACTION) as u32;
         let deadline = arrived_at.after(request_timeout);
         let facts = RequestFacts {
             workspace: workspace
@@ -117,8 +117,8 @@
             deadline,
             prompt_tokens: caller.prompt_tokens,
             output_tokens: caller
-                .estimated_answer_tokens
-                .unwrap_or(default_answer_tokens),
+                .estimated_output_tokens
+                .unwrap_or(default_output_tokens),
             route: route.clone(),
             content,
         };
@@ -140,7 +140,7 @@
         let router = self.shell.router.borrow();
         router
             .routes()
-            .lookup(host(exchange), exchange.path(), caller.key.as_deref())
+            .lookup(host(exchange), exchange.path(), caller.api_key.as_deref())
     }
 
     /// Reads the body and computes the request's fingerprint along the way. An error
--- a/crates/notchwalk_relay/src/front/mod.rs
+++ b/crates/notchwalk_relay/src/front/mod.rs
@@ -86,7 +86,7 @@
             request: key,
             facts: accepted.facts,
         });
-        let mut delivery = Delivery::new(req.caller.last_event);
+        let mut delivery = Delivery::new(req.caller.last_event_id);
         let outcome = self
             .execute_effects(exchange, &req, inbox, &mut delivery)
             .await;
--- a/crates/notchwalk_relay/src/peer_link.rs
+++ b/crates/notchwalk_relay/src/peer_link.rs
@@ -309,7 +309,7 @@
 }
 
 fn handle_message(shell: &Rc<Shell>, from: SocketAddr, message: PeerMessage) {
-    if from == shell.settings.peer {
+    if from == shell.settings.peer_addr {
         return;
     }
     let state = PeerState {
--- a/crates/notchwalk_relay/src/response.rs
+++ b/crates/notchwalk_relay/src/response.rs
@@ -14,7 +14,7 @@
     /// The server did not execute the request.
     NotRun,
     /// The address now belongs to another instance; the request was not executed.
-    Moved,
+    Misdirected,
     /// The response belongs to another request.
     Mismatched,
     /// Not a valid server response: mandatory headers are missing.
@@ -26,8 +26,8 @@
 pub struct ResponseFacts {
     /// How the response is to be treated.
     pub kind: ResponseKind,
-    /// The address of the server at fault, if not the responding one.
-    pub at_fault: Option<SocketAddr>,
+    /// The address of the faulty server, if not the responding one.
+    pub faulty_server: Option<SocketAddr>,
     /// The instance id of the responding server, if the response names it.
     pub instance: Option<String>,
     /// Whether the server announces that it is draining.
--- a/crates/notchwalk_relay/src/server_notices.rs
+++ b/crates/notchwalk_relay/src/server_notices.rs
@@ -80,7 +80,7 @@
     if let Some(instance) = &facts.instance {
         return fleet.by_instance(instance);
     }
-    if facts.kind != ResponseKind::Moved {
+    if facts.kind != ResponseKind::Misdirected {
         return origin.server.or_else(|| fleet.by_addr(origin.addr));
     }
     fleet.other_server_at(origin.addr, origin.server)
--- a/crates/notchwalk_relay/src/settings.rs
+++ b/crates/notchwalk_relay/src/settings.rs
@@ -14,17 +14,17 @@
     /// The failure domain of the VM.
     pub failure_domain: String,
     /// Listening address for callers' requests.
-    pub caller: SocketAddr,
+    pub caller_addr: SocketAddr,
     /// Listening address for readiness checks.
-    pub ready: SocketAddr,
+    pub ready_addr: SocketAddr,
     /// Listening address for directory queries.
-    pub directory: SocketAddr,
+    pub directory_addr: SocketAddr,
     /// Listening address for messages from peers.
-    pub peer: SocketAddr,
+    pub peer_addr: SocketAddr,
     /// Listening address for metrics and the state dump.
-    pub operator: SocketAddr,
+    pub operator_addr: SocketAddr,
     /// The address of the platform's store.
-    pub store: SocketAddr,
+    pub store_addr: SocketAddr,
     /// How long callers may cache the directory's response.
     pub directory_ttl: Duration,
     /// Retries allowed per request of a service.
@@ -63,11 +63,11 @@
     let entry = ini.section("entry");
     let name = entry.required::<String>("name");
     let failure_domain = entry.required::<String>("failure_domain");
-    let caller = entry.required::<SocketAddr>("caller_address");
-    let ready = entry.required::<SocketAddr>("ready_address");
-    let directory = entry.required::<SocketAddr>("directory_address");
-    let peer = entry.required::<SocketAddr>("peer_address");
-    let operator = entry.required::<SocketAddr>("operator_address");
+    let caller_addr = entry.required::<SocketAddr>("caller_address");
+    let ready_addr = entry.required::<SocketAddr>("ready_address");
+    let directory_addr = entry.required::<SocketAddr>("directory_address");
+    let peer_addr = entry.required::<SocketAddr>("peer_address");
+    let operator_addr = entry.required::<SocketAddr>("operator_address");
     let directory_ttl_ms = entry.in_range("directory_ttl_ms", 2_000, 100, 600_000);
     let stop_grace_s = entry.in_range("stop_grace_s", 8.0, 1.0, 600.0);
     let max_descriptors = entry.in_range("max_descriptors", 4_200, 64, 1_000_000);
@@ -80,12 +80,12 @@
     Some(RelaySettings {
         name: name?,
         failure_domain: failure_domain?,
-        caller: caller?,
-        ready: ready?,
-        directory: directory?,
-        peer: peer?,
-        operator: operator?,
-        store: store_addr?,
+        caller_addr: caller_addr?,
+        ready_addr: ready_addr?,
+        directory_addr: directory_addr?,
+        peer_addr: peer_addr?,
+        operator_addr: operator_addr?,
+        store_addr: store_addr?,
         directory_ttl: Duration::from_millis(directory_ttl_ms),
         retry_ratio,
         retry_slack,
--- a/crates/notchwalk_relay/src/shell.rs
+++ b/crates/notchwalk_relay/src/shell.rs
@@ -145,8 +145,8 @@
         PresenceRecord {
             name: self.settings.name.clone(),
             boot: self.boot,
-            peer: self.settings.peer,
-            caller: self.settings.caller,
+            peer: self.settings.peer_addr,
+            caller: self.settings.caller_addr,
         }
     }
 
