--- a/crates/notchwalk_platform/src/rows.rs
+++ b/crates/notchwalk_platform/src/rows.rs
@@ -73,13 +73,13 @@
     /// Fails if the store is unavailable.
     fn read(&self, table: &str, from: &str) -> PlatformFuture<'_, RowPage>;
 
-    /// Returns the changes of a table after a version. Waits up to `wait` for the first
+    /// Polls for the changes of a table after a version. Waits up to `wait` for the first
     /// change.
     ///
     /// # Errors
     ///
     /// Fails if the store is unavailable or no longer has the history after `after`.
-    fn changes(
+    fn poll_changes(
         &self,
         table: &str,
         after: StoreVersion,
--- a/crates/notchwalk_relay/src/table_watch.rs
+++ b/crates/notchwalk_relay/src/table_watch.rs
@@ -214,7 +214,7 @@
     async fn read_changes(&mut self, after: StoreVersion) -> Result<bool, FeedError> {
         let poll = PendingPoll::now(&self.shell, Some(after));
         let (table, poll_wait) = (self.reader.table(), self.reader.poll_wait());
-        let changes = self.shell.store.changes(table, after, poll_wait);
+        let changes = self.shell.store.poll_changes(table, after, poll_wait);
         let Some(page) = wait_unless_behind(&self.shell, &self.reader, changes).await? else {
             self.abandon_poll(poll);
             return Ok(false);
