--- a/crates/notchwalk_daemon/src/process.rs
+++ b/crates/notchwalk_daemon/src/process.rs
@@ -73,7 +73,7 @@
     }
 
     /// Takes a pending reload request.
-    pub fn take_reload(&self) -> bool {
+    pub fn take_reload_request(&self) -> bool {
         self.reload.swap(false, Ordering::Relaxed)
     }
 }
--- a/crates/notchwalk_relay/src/daemon.rs
+++ b/crates/notchwalk_relay/src/daemon.rs
@@ -191,7 +191,7 @@
             shell.check_suspension();
             shell.step(Event::Tick);
             log_sink::flush();
-            if signals.take_reload() {
+            if signals.take_reload_request() {
                 self.reload();
             }
             if signals.stop_requested() && self.advance_shutdown().await {
