--- a/crates/notchwalk_relay/src/server_notices.rs
+++ b/crates/notchwalk_relay/src/server_notices.rs
@@ -115,7 +115,7 @@
     match retry_after {
         RetryAfter::Absent => None,
         RetryAfter::After(time) if *time > MAX_BACKOFF => {
-            let reason = format!("{} s exceeds the maximum", time.as_secs());
+            let reason = format!("{} s are too long", time.as_secs());
             let applied = format!("taken_ms={}", MAX_BACKOFF.as_millis());
             log_invalid(shell, server, &reason, &applied);
             Some(MAX_BACKOFF)
