--- a/crates/notchwalk_relay/src/front/accept.rs
+++ b/crates/notchwalk_relay/src/front/accept.rs
@@ -7,7 +7,7 @@
 use notchwalk_core::Instant;
 use notchwalk_http::prelude::*;
 use notchwalk_quarantine::{Fingerprint, FingerprintBuilder, RequestHead};
-use notchwalk_route::{host_name, RequestFacts, RequestKey, RouteLookup, WorkspaceTag};
+use notchwalk_route::{host_name, RequestFacts, RequestKey, RouteLookup, WorkspaceShortId};
 
 use super::Front;
 use crate::{active_request::ActiveRequest, CallerFacts};
@@ -20,8 +20,8 @@
 /// How long before the route's timeout a request fails, so that the final response
 /// arrives in time.
 const TIMEOUT_MARGIN: Duration = Duration::from_millis(20);
-/// Assumed fraction of the maximum response tokens if the caller gives no estimate.
-const DEFAULT_ANSWER_FRACTION: f64 = 0.5;
+/// Assumed fraction of the maximum output tokens if the caller gives no estimate.
+const DEFAULT_OUTPUT_FRACTION: f64 = 0.5;
 
 /// A request that was read completely; its key is set once it is passed to the router.
 pub(super) struct Accepted {
@@ -65,7 +65,7 @@
     pub(super) async fn accept(
         &self,
         exchange: &mut Exchange,
-        arrived: Instant,
+        arrived_at: Instant,
     ) -> Result<Accepted, Rejection> {
         let caller = self.shell.dialect.caller_request(&exchange.head.headers);
         let caller =
@@ -85,7 +85,7 @@
         }
         let (route, workspace) = match self.look_up(exchange, &caller) {
             RouteLookup::NoRoute => return Err(rejected(StatusCode::NOT_FOUND, "no such route")),
-            RouteLookup::NoKey => {
+            RouteLookup::InvalidKey => {
                 return Err(rejected(StatusCode::UNAUTHORIZED, "the key is not known"));
             }
             RouteLookup::Found { route, workspace } => (route, workspace),
@@ -102,21 +102,23 @@
                 return Err(rejected(status, reason));
             }
         };
-        let default_answer_tokens =
-            (f64::from(caller.max_answer_tokens) * DEFAULT_ANSWER_FRACTION) as u32;
-        let deadline = arrived.after(request_timeout);
+        let default_output_tokens =
+            (f64::from(caller.max_output_tokens) * DEFAULT_OUTPUT_FRACTION) as u32;
+        let deadline = arrived_at.after(request_timeout);
         let facts = RequestFacts {
             workspace: workspace
                 .as_ref()
-                .map_or(WorkspaceTag::default(), |(name, _)| WorkspaceTag::of(name)),
+                .map_or(WorkspaceShortId::default(), |(name, _)| {
+                    WorkspaceShortId::of(name)
+                }),
             workspace_priority: workspace.as_ref().map_or(0, |(_, priority)| *priority),
-            arrived,
+            arrived_at,
             caller_timeout,
             deadline,
             prompt_tokens: caller.prompt_tokens,
-            answer_tokens: caller
-                .estimated_answer_tokens
-                .unwrap_or(default_answer_tokens),
+            output_tokens: caller
+                .estimated_output_tokens
+                .unwrap_or(default_output_tokens),
             route: route.clone(),
             content,
         };
@@ -126,7 +128,7 @@
             caller,
             workspace: workspace.map(|(name, _)| Rc::from(&*name)),
             route: Rc::from(route.name.as_str()),
-            arrived,
+            arrived_at,
             deadline,
             body,
             streaming: route.streaming,
@@ -138,7 +140,7 @@
         let router = self.shell.router.borrow();
         router
             .routes()
-            .lookup(host(exchange), exchange.path(), caller.key.as_deref())
+            .lookup(host(exchange), exchange.path(), caller.api_key.as_deref())
     }
 
     /// Reads the body and computes the request's fingerprint along the way. An error
--- a/crates/notchwalk_relay/src/server_notices.rs
+++ b/crates/notchwalk_relay/src/server_notices.rs
@@ -47,14 +47,14 @@
         apply_notice(shell, server, ServerNotice::Draining);
     }
     if let Some(backoff) = backoff(shell, server, &facts.retry_after) {
-        apply_notice(shell, server, ServerNotice::BackOff(backoff));
+        apply_notice(shell, server, ServerNotice::Backoff(backoff));
     }
 }
 
 fn apply_notice(shell: &Rc<Shell>, server: ServerKey, notice: ServerNotice) {
     let label = match notice {
         ServerNotice::Draining => Some("leaving"),
-        ServerNotice::BackOff(_) => Some("wants_nothing"),
+        ServerNotice::Backoff(_) => Some("wants_nothing"),
         ServerNotice::Limit { limit, .. } => limit.map(|_| "limit"),
     };
     if let Some(label) = label {
@@ -80,7 +80,7 @@
     if let Some(instance) = &facts.instance {
         return fleet.by_instance(instance);
     }
-    if facts.kind != ResponseKind::Moved {
+    if facts.kind != ResponseKind::Misdirected {
         return origin.server.or_else(|| fleet.by_addr(origin.addr));
     }
     fleet.other_server_at(origin.addr, origin.server)
@@ -115,7 +115,7 @@
     match retry_after {
         RetryAfter::Absent => None,
         RetryAfter::After(time) if *time > MAX_BACKOFF => {
-            let reason = format!("{} s exceeds the maximum", time.as_secs());
+            let reason = format!("{} s are too long", time.as_secs());
             let applied = format!("taken_ms={}", MAX_BACKOFF.as_millis());
             log_invalid(shell, server, &reason, &applied);
             Some(MAX_BACKOFF)
@@ -159,9 +159,9 @@
             let facts = format!("by_peer={reported_by_peer} record={stage:?} running={running}");
             (LogEventKind::ServerAnnouncedDraining, facts)
         }
-        ServerNotice::BackOff(time) => {
+        ServerNotice::Backoff(time) => {
             let facts = format!("for_ms={}", time.as_millis());
-            (LogEventKind::ServerRequestedBackOff, facts)
+            (LogEventKind::ServerRequestedBackoff, facts)
         }
         ServerNotice::Limit {
             limit,
--- a/crates/notchwalk_relay/src/table_watch.rs
+++ b/crates/notchwalk_relay/src/table_watch.rs
@@ -180,7 +180,7 @@
         /// Delay per live node.
         const SPREAD_PER_NODE: Duration = Duration::from_millis(3);
         if validity == ResponseValidity::FormerEpoch {
-            let reason = "the response is from a former epoch of the store".to_owned();
+            let reason = "the answer is of a former era of the store".to_owned();
             return Err(PlatformError::NoAnswer(reason).into());
         }
         let alive = self.shell.peers.borrow().alive_count(self.shell.now());
@@ -214,7 +214,7 @@
     async fn read_changes(&mut self, after: StoreVersion) -> Result<bool, FeedError> {
         let poll = PendingPoll::now(&self.shell, Some(after));
         let (table, poll_wait) = (self.reader.table(), self.reader.poll_wait());
-        let changes = self.shell.store.changes(table, after, poll_wait);
+        let changes = self.shell.store.poll_changes(table, after, poll_wait);
         let Some(page) = wait_unless_behind(&self.shell, &self.reader, changes).await? else {
             self.abandon_poll(poll);
             return Ok(false);
