--- a/crates/notchwalk_quarantine/src/error.rs
+++ b/crates/notchwalk_quarantine/src/error.rs
@@ -1,8 +1,8 @@
-//! Errors of the crate.
+//! Error types.
 
 use derive_more::{Display, Error};
 
-/// The text of a fingerprint is malformed.
+/// The error of parsing a fingerprint that is not 32 hexadecimal digits.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
-#[display("a fingerprint has 32 hexadecimal digits")]
+#[display("invalid fingerprint: expected 32 hexadecimal digits")]
 pub struct FingerprintError;
--- a/crates/notchwalk_quarantine/src/fingerprint.rs
+++ b/crates/notchwalk_quarantine/src/fingerprint.rs
@@ -10,7 +10,7 @@
 
 use crate::FingerprintError;
 
-/// Length of a fingerprint, long enough that no caller can construct a request with the
+/// Length of a fingerprint. Long enough that callers cannot find a request with the
 /// fingerprint of another workspace's request.
 const FINGERPRINT_BYTES: usize = 16;
 
--- a/crates/notchwalk_quarantine/src/quarantine/evidence.rs
+++ b/crates/notchwalk_quarantine/src/quarantine/evidence.rs
@@ -98,9 +98,9 @@
             Some(period) => (1, period.until),
             None => (0, suspect.last_crash()),
         };
-        let least = self.suspects.iter().min_by_key(|(_, s)| rank(s));
-        if let Some(least) = least.map(|(&content, _)| content) {
-            self.suspects.remove(&least);
+        let evicted = self.suspects.iter().min_by_key(|(_, s)| rank(s));
+        if let Some(evicted) = evicted.map(|(&content, _)| content) {
+            self.suspects.remove(&evicted);
         }
     }
 
@@ -127,14 +127,16 @@
             since.after(TIMESTAMP_TOLERANCE),
             until.before(MAX_READ_DELAY),
         );
-        let mut any = false;
+        let mut removed_any = false;
         for suspect in self.suspects.values_mut() {
-            any |= suspect
+            removed_any |= suspect
                 .retain(|crash| crash.server != server || crash.at <= since || crash.at >= until);
         }
-        any
+        removed_any
     }
 
+    /// Clears the evidence against a content up to `at` and ends its quarantine if that began
+    /// no later.
     pub(super) fn clear(&mut self, content: Fingerprint, at: Instant, reason: EndReason) {
         let Some(suspect) = self.suspects.get_mut(&content) else {
             return;
@@ -150,12 +152,15 @@
 }
 
 /// Returns whether two reports are of the same crash of a server.
-pub(super) fn is_same(a: &Crash, b: &Crash) -> bool {
+pub(super) fn is_same_crash(a: &Crash, b: &Crash) -> bool {
     /// Nodes detect the broken connections of one server at slightly different times.
     const TOLERANCE: Duration = Duration::from_millis(100);
     a.server == b.server && a.at.since(b.at).max(b.at.since(a.at)) < TOLERANCE
 }
 
 fn has_crash(suspect: &Suspect, crash: &Crash) -> bool {
-    suspect.crashes().iter().any(|known| is_same(known, crash))
+    suspect
+        .crashes()
+        .iter()
+        .any(|known| is_same_crash(known, crash))
 }
--- a/crates/notchwalk_quarantine/src/quarantine/peers.rs
+++ b/crates/notchwalk_quarantine/src/quarantine/peers.rs
@@ -93,7 +93,8 @@
         }
     }
 
-    /// Restores a quarantine from the store.
+    /// Restores a quarantine from the store. `times` counts the quarantines so far, including
+    /// this one.
     pub fn restore(&mut self, content: Fingerprint, left: Duration, times: u32, now: Instant) {
         let period = QuarantinePeriod {
             since: now,
--- a/crates/notchwalk_quarantine/src/quarantine/policy.rs
+++ b/crates/notchwalk_quarantine/src/quarantine/policy.rs
@@ -5,7 +5,7 @@
 use notchwalk_core::Instant;
 
 use super::{
-    evidence::{is_same, CRASH_RETENTION},
+    evidence::{is_same_crash, CRASH_RETENTION},
     Quarantine,
 };
 use crate::{
@@ -14,11 +14,11 @@
     EndReason, Fingerprint, QuarantineFinding, Quarantined,
 };
 
-/// Minimum score for a quarantine: three isolated incidents. With two, requests that twice ran
-/// beside a crashing one would be quarantined too.
+/// Minimum score for a quarantine: three isolated incidents. A request may twice run on the
+/// same server as a crashing one by chance.
 const QUARANTINE_SCORE: u32 = 2 * 3;
 /// How long a content is held after each crash if only its raised threshold allows further
-/// runs. By then a concurrent run has completed, or its server has ended.
+/// runs. Within this time a concurrent run completes or its server ends.
 pub(super) const HOLD_AFTER_CRASH: Duration = Duration::from_millis(1_200);
 /// Minimum score for a repeated quarantine.
 const REPEATED_QUARANTINE_SCORE: u32 = 2;
@@ -32,12 +32,13 @@
 /// Delay between the last crash and the quarantine, in which correlated losses become known.
 /// The content is held until then.
 const DECLARATION_DELAY: Duration = Duration::from_millis(150);
-/// Delay between the last crash and the quarantine on nodes that observed none of the crashes.
-/// They declare the quarantine only if the nodes that observed a crash have not done so.
+/// The same delay on nodes that observed none of the crashes. They declare the quarantine only
+/// if the nodes that observed a crash have not done so.
 const REMOTE_DECLARATION_DELAY: Duration = Duration::from_secs(2);
 /// How long the end of a server is retained, to confirm crashes that are reported later
 /// and to count unrelated losses.
 const SERVER_END_RETENTION: Duration = Duration::from_secs(30);
+/// Minimum interval between two evaluations of the rules.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// Probability that the end of a server was caused by one of its requests.
 const REQUEST_CAUSE_PROBABILITY: f64 = 0.5;
@@ -51,17 +52,18 @@
         }
         self.last_tick = now;
         self.observing_since.get_or_insert(now);
-        let ends = now.before(SERVER_END_RETENTION);
-        self.ended_servers.retain(|_, &mut at| at > ends);
-        let unconfirmed = now.before(CONFIRMATION_TIMEOUT);
-        let expired = now.before(CRASH_RETENTION);
+        let end_cutoff = now.before(SERVER_END_RETENTION);
+        self.ended_servers.retain(|_, &mut at| at > end_cutoff);
+        let unconfirmed_cutoff = now.before(CONFIRMATION_TIMEOUT);
+        let retention_cutoff = now.before(CRASH_RETENTION);
         let contents: Vec<Fingerprint> = self.suspects.keys().copied().collect();
         for content in contents {
             let Some(suspect) = self.suspects.get_mut(&content) else {
                 continue;
             };
-            suspect
-                .retain(|crash| crash.at > expired && (crash.confirmed || crash.at > unconfirmed));
+            suspect.retain(|crash| {
+                crash.at > retention_cutoff && (crash.confirmed || crash.at > unconfirmed_cutoff)
+            });
             if suspect.period.is_some_and(|period| now >= period.until) {
                 suspect.period = None;
                 suspect.retain(|_| false);
@@ -108,6 +110,9 @@
         }
     }
 
+    /// Quarantines a content, unless it already is or was cleared after the start of `period`.
+    /// Removes its crashes from other suspects below their threshold. `times` counts the
+    /// quarantines so far, including this one.
     pub(super) fn put_in_quarantine(
         &mut self,
         content: Fingerprint,
@@ -142,7 +147,7 @@
             if other == content || suspect.is_quarantined(now) || reaches_base_threshold {
                 continue;
             }
-            suspect.retain(|crash| !crashes.iter().any(|known| is_same(known, crash)));
+            suspect.retain(|crash| !crashes.iter().any(|known| is_same_crash(known, crash)));
         }
         for crash in &crashes {
             self.update_correlation(crash.at, now);
@@ -174,12 +179,12 @@
     if incidents.count() > 1 {
         return 1.0;
     }
-    let others = suspect
+    let fewest_others = suspect
         .crashes()
         .iter()
         .map(|crash| crash.other_requests)
         .min();
-    REQUEST_CAUSE_PROBABILITY / f64::from(1 + others.unwrap_or(0))
+    REQUEST_CAUSE_PROBABILITY / f64::from(1 + fewest_others.unwrap_or(0))
 }
 
 /// Returns whether a suspect can be removed. Its quarantine count is retained until the count
--- a/crates/notchwalk_quarantine/src/quarantine/unrelated_losses.rs
+++ b/crates/notchwalk_quarantine/src/quarantine/unrelated_losses.rs
@@ -39,14 +39,15 @@
         let ended = self.ended_servers.iter().filter(|(_, &at)| at >= from);
         let attributed = self.attributed_servers();
         let ran_on = |server: u32| suspect.crashes().iter().any(|c| c.server == server);
-        let others = ended.filter(|(&server, _)| !ran_on(server) && !attributed.contains(&server));
-        let others = others.count();
+        let unrelated =
+            ended.filter(|(&server, _)| !ran_on(server) && !attributed.contains(&server));
+        let unrelated = unrelated.count();
         // Losses that accompany the latest crash are known only seconds later.
         let confirmed = suspect.crashes().iter().filter(|c| c.confirmed).count();
-        if others < UNRELATED_PER_CRASH * confirmed.saturating_sub(1) {
+        if unrelated < UNRELATED_PER_CRASH * confirmed.saturating_sub(1) {
             return 0;
         }
-        u32::try_from(others).map_or(MAX_EXTRA_SCORE, |n| n.min(MAX_EXTRA_SCORE))
+        u32::try_from(unrelated).map_or(MAX_EXTRA_SCORE, |n| n.min(MAX_EXTRA_SCORE))
     }
 
     /// Returns the lost servers that ran a content which is quarantined or had at least two
--- a/crates/notchwalk_quarantine/src/recent.rs
+++ b/crates/notchwalk_quarantine/src/recent.rs
@@ -1,5 +1,5 @@
-//! Contents that completed successfully a short time ago. If a server crashes while it runs
-//! one of them, the content may still run concurrently.
+//! Contents that completed successfully a short time ago. They may run concurrently even while
+//! they are suspected.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -18,7 +18,7 @@
 /// A bounded set of the latest successes.
 #[derive(Debug, Default)]
 pub(crate) struct RecentSuccesses {
-    at: HashMap<Fingerprint, Instant>,
+    last_success: HashMap<Fingerprint, Instant>,
     /// Oldest first. A content has one item for each of its successes.
     order: VecDeque<(Fingerprint, Instant)>,
 }
@@ -26,7 +26,7 @@
 impl RecentSuccesses {
     /// Records a success.
     pub fn record(&mut self, content: Fingerprint, now: Instant) {
-        self.at.insert(content, now);
+        self.last_success.insert(content, now);
         self.order.push_back((content, now));
         if self.order.len() <= CAPACITY {
             return;
@@ -34,14 +34,14 @@
         let Some((oldest, at)) = self.order.pop_front() else {
             return;
         };
-        if self.at.get(&oldest) == Some(&at) {
-            self.at.remove(&oldest);
+        if self.last_success.get(&oldest) == Some(&at) {
+            self.last_success.remove(&oldest);
         }
     }
 
     /// Returns whether a content succeeded within the retention period.
     pub fn contains(&self, content: Fingerprint, now: Instant) -> bool {
-        let at = self.at.get(&content);
+        let at = self.last_success.get(&content);
         at.is_some_and(|&at| now.since(at) < RETENTION)
     }
 }
--- a/crates/notchwalk_quarantine/src/suspect.rs
+++ b/crates/notchwalk_quarantine/src/suspect.rs
@@ -83,7 +83,7 @@
     runs: Vec<Run>,
 }
 
-/// Returns whether two crashes may have a common cause.
+/// Returns whether two crashes are close enough in time to have a common cause.
 fn may_be_correlated(a: Instant, b: Instant) -> bool {
     a.since(b).max(b.since(a)) < CORRELATION_WINDOW
 }
@@ -125,7 +125,8 @@
         &self.crashes
     }
 
-    /// Adds a crash. Returns whether it was new.
+    /// Adds a crash, or merges it with the known crash of the same incarnation. Returns whether
+    /// it counts as a new one.
     pub fn add(&mut self, crash: Crash) -> bool {
         if crash.at <= self.cleared_at {
             return false;
@@ -213,9 +214,10 @@
         }
     }
 
+    /// Groups the crashes into incidents. Unconfirmed crashes of silent servers don't count.
     pub fn incidents(&self) -> Incidents {
         let mut incidents = Incidents::default();
-        let mut began: Option<Instant> = None;
+        let mut started_at: Option<Instant> = None;
         let mut is_confirmed = false;
         for crash in &self.crashes {
             if crash.silent && !crash.confirmed {
@@ -228,9 +230,10 @@
                 ),
                 false => (&mut incidents.isolated, &mut incidents.isolated_confirmed),
             };
-            let same = began.is_some_and(|began| crash.at.since(began) < INCIDENT_WINDOW);
-            if !same {
-                began = Some(crash.at);
+            let is_same_incident =
+                started_at.is_some_and(|started_at| crash.at.since(started_at) < INCIDENT_WINDOW);
+            if !is_same_incident {
+                started_at = Some(crash.at);
                 is_confirmed = false;
                 *all += 1;
             }
@@ -242,6 +245,7 @@
         incidents
     }
 
+    /// Returns the time of the latest crash, or [`Instant::ZERO`] if there is none.
     pub fn last_crash(&self) -> Instant {
         self.crashes.last().map_or(Instant::ZERO, |crash| crash.at)
     }
--- a/crates/notchwalk_quarantine/src/verdict.rs
+++ b/crates/notchwalk_quarantine/src/verdict.rs
@@ -51,7 +51,7 @@
         content: Fingerprint,
         /// The crash.
         crash: Crash,
-        /// Number of separate incidents so far.
+        /// Number of incidents of this content so far.
         incidents: u32,
     },
     /// A content was quarantined.
