--- a/crates/notchwalk_route/src/effect.rs
+++ b/crates/notchwalk_route/src/effect.rs
@@ -48,7 +48,7 @@
     pub deadline: Instant,
     /// The reason for the placement.
     pub reason: PlacementReason,
-    /// How often the request was sent before.
+    /// Number of earlier sends of the request.
     pub previous_sends: u32,
     /// Predicted time to the first event.
     pub predicted_first_event: Duration,
--- a/crates/notchwalk_route/src/event.rs
+++ b/crates/notchwalk_route/src/event.rs
@@ -132,14 +132,14 @@
         /// The fingerprint of the quarantined content.
         content: Fingerprint,
     },
-    /// This node's group.
+    /// This node's group was derived from the registered nodes and servers.
     Group(Group),
-    /// The number of nodes that share budgets.
+    /// The number of nodes changed.
     NodeCount {
         /// The number of nodes, this one included.
         count: u32,
     },
-    /// The nodes that share the limits of servers.
+    /// The number of nodes that share the limits of servers changed.
     LimitSharing(LimitSharing),
     /// A peer published updates on limited servers.
     LimitUpdates {
--- a/crates/notchwalk_route/src/first_attempt.rs
+++ b/crates/notchwalk_route/src/first_attempt.rs
@@ -8,9 +8,8 @@
 
 /// Number of recent timeouts retained per route.
 const MAX_TIMEOUTS: usize = 64;
-/// Fraction of the recent timeouts that is longer than the usual one. It is small because
-/// after an outage most requests are retries with shorter timeouts, and above zero because a
-/// few callers have unusually long timeouts.
+/// Fraction of the recent timeouts that is longer than the usual one. After an outage most
+/// requests are retries with shorter timeouts, and a few callers have unusually long ones.
 const USUAL_RANK: f64 = 0.1;
 
 /// The recent caller timeouts of each route.
--- a/crates/notchwalk_route/src/fleet/limit.rs
+++ b/crates/notchwalk_route/src/fleet/limit.rs
@@ -12,7 +12,7 @@
 const MIN_RATE: f64 = 0.2;
 /// Fraction of a limit that is used. It keeps all nodes within the limit while their views
 /// differ.
-const USED_FRACTION: f64 = 0.95;
+const USED_LIMIT_FRACTION: f64 = 0.95;
 /// A limit from a peer is ignored unless its request was sent this much later than the newest
 /// one whose response announced no limit. The age in an update excludes the time in transit.
 const PEER_AGE_MARGIN: Duration = Duration::from_millis(50);
@@ -141,6 +141,6 @@
     pub fn set_share(&mut self, own_id: u32, share: f64, now: Instant) {
         let rate = self.limit.rate().max(MIN_RATE);
         self.bucket
-            .set_rate(own_id, rate * USED_FRACTION * share, now);
+            .set_rate(own_id, rate * USED_LIMIT_FRACTION * share, now);
     }
 }
--- a/crates/notchwalk_route/src/fleet/server.rs
+++ b/crates/notchwalk_route/src/fleet/server.rs
@@ -21,15 +21,15 @@
 /// Half-life of the failure rate without observations. A server that is avoided because of
 /// its failures gets no requests that could succeed and lower its rate.
 const FAILURE_HALF_LIFE: Duration = Duration::from_secs(2);
-/// Time without observations after which the failure rate counts as zero. At light load even
-/// a small rate outweighs any difference in load.
+/// Time without observations after which the failure rate counts as zero: at light load even
+/// a small rate would outweigh differences in load.
 const FAILURE_RATE_TTL: Duration = MAX_EJECTION;
 /// Minimum interval between requests to a server after its ejection, until a request
 /// succeeds. A server that hangs then delays one request at a time.
 const PROBE_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Time without observations after which the count of consecutive failures is reset.
-const FAILURE_RESET: Duration = Duration::from_secs(20);
+/// Time without observations after which the count of consecutive failures expires.
+const FAILURE_COUNT_TTL: Duration = Duration::from_secs(20);
 
 /// The stage that a server announces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -184,7 +184,7 @@
         let Some(limited) = self.limit.active() else {
             return Some(Duration::ZERO);
         };
-        limited.bucket.may_send_in(self.sent, now)
+        limited.bucket.time_until_send(self.sent, now)
     }
 
     /// Counts messages sent to the server, or rolls back (negative) messages that were not
@@ -323,7 +323,7 @@
     }
 
     fn reset_old_failures(&mut self, now: Instant) {
-        if now.since(self.failure_rate_at) > FAILURE_RESET {
+        if now.since(self.failure_rate_at) > FAILURE_COUNT_TTL {
             self.failures = 0;
         }
     }
--- a/crates/notchwalk_route/src/fleet/shared_bucket.rs
+++ b/crates/notchwalk_route/src/fleet/shared_bucket.rs
@@ -29,7 +29,7 @@
 /// rate an overdrawn bucket refills quickly.
 const MAX_USERS_PER_RPS: f64 = 4.0;
 /// How long a peer's demand counts after its last update that reported demand.
-const DEMAND_TTL: Duration = Duration::from_secs(2);
+const PEER_DEMAND_TTL: Duration = Duration::from_secs(2);
 /// Maximum decrease of a peer's counter that counts as a rollback of sends that reached no
 /// server. A larger decrease means that the counter has been reset.
 const MAX_ROLLBACK: i32 = 8;
@@ -52,9 +52,9 @@
     own_id: u32,
     /// Fill rate, in requests per second.
     rate: f64,
-    /// Available tokens as of `at`, one per request; negative if overdrawn.
+    /// Available tokens as of `level_at`, one per request; negative if overdrawn.
     level: f64,
-    at: Instant,
+    level_at: Instant,
     peers: HashMap<u32, PeerSends>,
 }
 
@@ -67,7 +67,7 @@
             own_id: 0,
             rate: 0.0,
             level: 0.0,
-            at: now,
+            level_at: now,
             peers: HashMap::new(),
         }
     }
@@ -75,13 +75,13 @@
     /// Sets the id of this node and the fill rate in requests per second.
     pub fn set_rate(&mut self, own_id: u32, rate: f64, now: Instant) {
         self.level = self.level(now);
-        self.at = now;
+        self.level_at = now;
         (self.own_id, self.rate) = (own_id, rate);
     }
 
     /// Returns the number of requests that the reachable nodes may send now.
     pub fn level(&self, now: Instant) -> f64 {
-        let filled = self.level + self.rate * now.since(self.at).as_secs_f64();
+        let filled = self.level + self.rate * now.since(self.level_at).as_secs_f64();
         let users = self.users(now);
         let capacity = 1.0 + users as f64 * self.tokens_per_turn(users);
         filled.min(capacity)
@@ -135,7 +135,7 @@
 
     /// Returns the time until this node, which has sent `own_sent` requests to the server,
     /// may send another; `None` if it may send none.
-    pub fn may_send_in(&self, own_sent: u32, now: Instant) -> Option<Duration> {
+    pub fn time_until_send(&self, own_sent: u32, now: Instant) -> Option<Duration> {
         let turn = self.turn(own_sent, now)?;
         let tokens_per_turn = self.tokens_per_turn(self.users(now));
         let missing = 1.0 + turn as f64 * tokens_per_turn - self.level(now);
@@ -149,14 +149,14 @@
     /// reached no server.
     pub fn take(&mut self, requests: i32, now: Instant) {
         self.level = self.level(now) - f64::from(requests);
-        self.at = now;
+        self.level_at = now;
     }
 
     /// Applies a peer's send counter. The first counter only sets the baseline.
     pub fn apply_peer(&mut self, peer: u32, id: u32, sent: u32, has_demand: bool, now: Instant) {
         let known = self.peers.get(&peer).copied();
         let demand_until = match has_demand {
-            true => now.after(DEMAND_TTL),
+            true => now.after(PEER_DEMAND_TTL),
             false => known.map_or(now, |known| known.demand_until),
         };
         let added = known.map_or(0, |known| sent.wrapping_sub(known.sent) as i32);
--- a/crates/notchwalk_route/src/fleet/sharing.rs
+++ b/crates/notchwalk_route/src/fleet/sharing.rs
@@ -15,8 +15,8 @@
 };
 use crate::{shares::short_id_of, RateLimit, ServerNotice};
 
-/// How long a service counts as in demand after a request for it.
-const DEMAND_TTL: Duration = Duration::from_secs(1);
+/// How long after a request for a service this node counts as having demand for it.
+const SERVICE_DEMAND_TTL: Duration = Duration::from_secs(1);
 /// Minimum interval between two reports that a server's limit is exhausted.
 const EXHAUSTED_REPORT_INTERVAL: Duration = Duration::from_secs(5);
 /// Maximum number of retained limits of deregistered servers. Registrations expire while the
@@ -253,7 +253,7 @@
             server: server.short_id,
             observed,
             sent: server.sent,
-            has_demand: last_demand.is_some_and(|&at| now.since(at) < DEMAND_TTL),
+            has_demand: last_demand.is_some_and(|&at| now.since(at) < SERVICE_DEMAND_TTL),
         })
     }
 
@@ -324,7 +324,7 @@
                 continue;
             };
             let last_demand = self.limits.last_demand.get(&server.record.service);
-            let has_demand = last_demand.is_some_and(|&at| now.since(at) < DEMAND_TTL);
+            let has_demand = last_demand.is_some_and(|&at| now.since(at) < SERVICE_DEMAND_TTL);
             let is_allowed = server.time_until_allowed(now) == Some(Duration::ZERO);
             if is_allowed || !has_demand || now < server.next_exhausted_report {
                 continue;
--- a/crates/notchwalk_route/src/groups.rs
+++ b/crates/notchwalk_route/src/groups.rs
@@ -1,9 +1,9 @@
 //! Groups of nodes that use a subset of the servers.
 //!
 //! In a small deployment each node publishes its load to all others, and all nodes use all
-//! servers. This traffic grows with the square of the number of nodes. In a large one the
-//! nodes are divided into groups: each group uses its own subset of the servers, and its
-//! nodes publish their load only to each other.
+//! servers, so this traffic grows with the square of the number of nodes. In a large
+//! deployment the nodes are divided into groups: each group uses its own subset of the
+//! servers, and its nodes publish their load only to each other.
 //!
 //! Groups need no coordination. Each node derives its group from the registered nodes and
 //! servers, both in an order that is the same on all nodes. Adding a node or a server moves
@@ -20,7 +20,7 @@
 /// Minimum number of servers per group for the largest service: a long prompt occupies
 /// many servers, and other requests are served at the same time.
 const MIN_SERVERS_PER_GROUP: usize = 48;
-/// Minimum number of servers per group for any service; with fewer, neighboring groups
+/// Minimum number of servers per group for any service; with fewer, neighbouring groups
 /// share a subset.
 const MIN_SUBSET_SIZE: usize = 8;
 
@@ -75,7 +75,7 @@
         self.count / self.merged(servers).count
     }
 
-    /// Merges this group with its neighbors until the subset has enough servers.
+    /// Merges this group with its neighbours until the subset has enough servers.
     fn merged(self, servers: usize) -> Self {
         let Self {
             mut index,
--- a/crates/notchwalk_route/src/load_view.rs
+++ b/crates/notchwalk_route/src/load_view.rs
@@ -109,8 +109,8 @@
     /// Requests without a tight inter-token latency objective that are in prefill and will
     /// decode here. An engine prefills segments for other engines before them.
     pub own_long_prefills: usize,
-    /// Requests with a tight inter-token latency objective.
-    pub short: usize,
+    /// Requests with a tight inter-token latency objective, in prefill or decode.
+    pub short_requests: usize,
     /// The tightest inter-token latency objective in decode, in milliseconds; infinite if
     /// there is none.
     pub tightest_inter_token_ms: f64,
@@ -140,14 +140,15 @@
     changed: Vec<ServerKey>,
 }
 
-/// Maximum inter-token latency objective of short requests, in milliseconds.
-const SHORT_INTER_TOKEN_MS: f64 = 400.0;
-/// Remaining prefill time of a request that counts as a load of one engine, in milliseconds.
-const FULL_PREFILL_MS: f64 = 1_000.0;
+/// Maximum inter-token latency objective that counts as tight, in milliseconds.
+const MAX_SHORT_INTER_TOKEN_MS: f64 = 400.0;
+/// Remaining prefill time that counts as the full load of one engine, in milliseconds.
+const FULL_LOAD_PREFILL_MS: f64 = 1_000.0;
 /// Inter-token latency objective of requests without one, in milliseconds.
 pub(crate) const DEFAULT_INTER_TOKEN_MS: f64 = 60_000.0;
 
 impl LoadView {
+    /// Adds work of this node to a server.
     pub(crate) fn add(&mut self, server: ServerKey, work: Work) {
         if let Some(entry) = self.work.entry(server) {
             entry.or_default().push(work);
@@ -187,7 +188,7 @@
     }
 
     /// Replaces the work of a peer on the given servers.
-    pub(crate) fn replace_peer(
+    pub(crate) fn replace_peer_work(
         &mut self,
         peer: u32,
         servers: &[ServerKey],
@@ -230,13 +231,13 @@
 
     /// Removes peers without an update since `since`.
     pub(crate) fn remove_stale_peers(&mut self, since: Instant) {
-        let silent: Vec<u32> = self
+        let stale: Vec<u32> = self
             .peers
             .iter()
             .filter(|(_, &updated_at)| updated_at < since)
             .map(|(&peer, _)| peer)
             .collect();
-        for peer in silent {
+        for peer in stale {
             self.remove_peer(peer);
         }
     }
@@ -257,14 +258,14 @@
                     .min(work.inter_token_ms);
                 load.tightest_upcoming_inter_token_ms = tightest;
             }
-            if decodes && work.inter_token_ms <= SHORT_INTER_TOKEN_MS {
-                load.short += 1;
+            if decodes && work.inter_token_ms <= MAX_SHORT_INTER_TOKEN_MS {
+                load.short_requests += 1;
             }
             match work.phase {
                 WorkPhase::Prefill => {
                     load.prefilling += 1;
                     load.own_long_prefills +=
-                        usize::from(work.inter_token_ms > SHORT_INTER_TOKEN_MS);
+                        usize::from(work.inter_token_ms > MAX_SHORT_INTER_TOKEN_MS);
                 }
                 WorkPhase::Decode => {
                     load.decoding += 1;
@@ -291,7 +292,7 @@
                     WorkPhase::Prefill | WorkPhase::Decode => 1.0 / f64::from(slots.max(1)),
                     WorkPhase::RemotePrefill | WorkPhase::RemoteCache | WorkPhase::Call => 0.0,
                 };
-                let prefill = work.remaining_prefill_ms(now) / FULL_PREFILL_MS;
+                let prefill = work.remaining_prefill_ms(now) / FULL_LOAD_PREFILL_MS;
                 shares.add(work.workspace, slot + prefill.min(1.0));
             }
         }
--- a/crates/notchwalk_route/src/placement/long.rs
+++ b/crates/notchwalk_route/src/placement/long.rs
@@ -77,7 +77,7 @@
     ) -> Option<Plan> {
         if self.max_engines(demand) == 1 && demand.crash_risk > 0.0 {
             // Minimise the impact of a crash instead of the time to first token.
-            return self.place_on_one(&self.candidates(service, excluded), demand);
+            return self.place_on_single_engine(&self.candidates(service, excluded), demand);
         }
         let cost = self.cost();
         let value_ms = demand.value_ms();
@@ -121,7 +121,8 @@
                 ttft_ms = ttft_ms.max(end_ms + decoder.engine_step_ms);
                 loss_ms += PER_ENGINE_PENALTY_MS + candidate.failure_penalty_ms;
                 if candidate.in_short_pool {
-                    loss_ms += segment_ms * candidate.load.short as f64 / self.short_per_engine();
+                    loss_ms +=
+                        segment_ms * candidate.load.short_requests as f64 / self.short_per_engine();
                 }
             }
             loss_ms += value_ms * late_loss_fraction(ttft_ms, demand.objective_ms) + ttft_ms;
@@ -199,7 +200,7 @@
                 continue;
             }
             let long = candidate.load.decoding + candidate.load.own_long_prefills;
-            let affected = (candidate.load.short, long);
+            let affected = (candidate.load.short_requests, long);
             let busy_ms = candidate.load.remaining_prefill_ms
                 + candidate.failure_penalty_ms
                 + self.crash_penalty_ms(candidate, demand);
@@ -301,7 +302,7 @@
     /// requests late, in milliseconds.
     fn prefill_headroom_ms(&self, candidate: &Candidate) -> f64 {
         let busy = candidate.engine_step_ms + candidate.load.remaining_prefill_ms;
-        if candidate.in_short_pool || candidate.load.short > 0 {
+        if candidate.in_short_pool || candidate.load.short_requests > 0 {
             let inter_token_ms = candidate
                 .load
                 .tightest_inter_token_ms
--- a/crates/notchwalk_route/src/placement/mod.rs
+++ b/crates/notchwalk_route/src/placement/mod.rs
@@ -6,8 +6,7 @@
 //!
 //! Every choice minimises the expected loss: the value of the requests that become late or
 //! are affected by a crash. The value of a request is proportional to its prompt and output
-//! tokens, so that requests of all sizes are comparable. Engine time would overrate the
-//! longest prompts, as attention is quadratic in the prompt length.
+//! tokens and not to its engine time, since attention is quadratic in the prompt length.
 //!
 //! Short requests are placed on as few engines as their number allows, the short pool. The
 //! other engines are free for long prompts.
@@ -46,6 +45,7 @@
 /// Loss added for a segment of a long prompt on an engine of the short pool, in milliseconds
 /// of engine time.
 const SHORT_POOL_PENALTY_MS: f64 = 20.0;
+/// Minimum number of tokens per segment of a split prompt.
 const MIN_SEGMENT_TOKENS: f64 = 2_500.0;
 /// Maximum number of engines that an engine accepts in one request: the prefill workers, and
 /// the decoding engine if it holds a reservation.
@@ -75,7 +75,7 @@
     pub prefill_end_ms: f64,
 }
 
-/// A placement decision.
+/// The servers chosen for a request, with the predicted times and loss.
 #[derive(Clone, Debug)]
 pub(crate) struct Plan {
     /// The server that responds to the request.
@@ -137,11 +137,11 @@
 struct Candidate {
     key: ServerKey,
     load: ServerLoad,
-    /// Current step time without prefill.
+    /// Duration of its engine step without prefill, in milliseconds.
     engine_step_ms: f64,
-    /// Time until the engine's next step.
+    /// Time until its next engine step, in milliseconds.
     start_delay_ms: f64,
-    /// Loss added for recent failures.
+    /// Loss added for recent failures, in milliseconds of engine time.
     failure_penalty_ms: f64,
     in_short_pool: bool,
     /// Whether its rate limit is too low for prompt segments.
@@ -178,6 +178,8 @@
     (prompt_tokens + OUTPUT_TOKEN_WEIGHT * output_tokens) / VALUE_TOKENS_PER_MS
 }
 
+/// Returns the expected fraction of a request's value that is lost if its response takes
+/// `predicted_ms` and may take `allowed_ms`.
 fn late_loss_fraction(predicted_ms: f64, allowed_ms: f64) -> f64 {
     let ratio = predicted_ms / allowed_ms;
     LATE_LOSS_FRACTION
@@ -239,7 +241,7 @@
                 continue;
             };
             let load = self.load_view.load(key, self.now);
-            short += load.short;
+            short += load.short_requests;
             if !server.is_available(self.now) || excluded.contains(&key) {
                 continue;
             }
@@ -268,7 +270,7 @@
         // prefill.
         order.sort_by(|&a, &b| {
             let affinity = |candidate: &Candidate| {
-                candidate.load.short as f64 * SHORT_POOL_AFFINITY_MS
+                candidate.load.short_requests as f64 * SHORT_POOL_AFFINITY_MS
                     - candidate.load.remaining_prefill_ms
             };
             affinity(&candidates[b]).total_cmp(&affinity(&candidates[a]))
@@ -311,6 +313,8 @@
         demand.crash_risk * LATE_LOSS_FRACTION * value.sum::<f64>()
     }
 
+    /// Predicts the time to first token of a prompt that is added to an engine, in
+    /// milliseconds.
     fn ttft_ms(&self, candidate: &Candidate, segment_tokens: f64, segment_ms: f64) -> f64 {
         let load = &candidate.load;
         let decoding = load.decoding + load.prefilling + 1;
--- a/crates/notchwalk_route/src/placement/short.rs
+++ b/crates/notchwalk_route/src/placement/short.rs
@@ -37,7 +37,7 @@
         excluded: &[ServerKey],
     ) -> Option<Plan> {
         let candidates = self.candidates(service, excluded);
-        let single = self.place_on_one(&candidates, demand);
+        let single = self.place_on_single_engine(&candidates, demand);
         if demand.prompt_tokens <= MAX_UNSPLIT_TOKENS {
             return single;
         }
@@ -85,7 +85,8 @@
         best
     }
 
-    pub(super) fn place_on_one(
+    /// Chooses the engine with the least expected loss for an unsplit prompt.
+    pub(super) fn place_on_single_engine(
         &self,
         candidates: &[Candidate],
         demand: &RequestDemand,
@@ -127,6 +128,8 @@
         best
     }
 
+    /// Chooses the number of engines, at least two, and the engines with the least expected
+    /// loss for a split prompt.
     pub(super) fn place_split(
         &self,
         mut candidates: Vec<Candidate>,
--- a/crates/notchwalk_route/src/request.rs
+++ b/crates/notchwalk_route/src/request.rs
@@ -13,9 +13,9 @@
     pub struct RequestKey;
 }
 
-/// Callers abort a stream after a time without output, which is at least this long. The
-/// longest of this and the two multiples below applies.
-const MIN_STREAM_TIMEOUT: Duration = Duration::from_secs(2);
+/// Minimum time without output after which callers abort a stream. The longest of this and
+/// the two multiples below applies.
+const MIN_CALLER_STREAM_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time without output after which callers abort, as a multiple of the latency objective.
 const STREAM_TIMEOUT_PER_OBJECTIVE: u32 = 4;
 /// Time without output after which callers abort, as a multiple of the inter-token latency
@@ -106,7 +106,7 @@
         self.facts.route.repeatability != Repeatability::AtMostOnce
     }
 
-    /// Returns the end of its latency objective, which starts with the caller's first attempt.
+    /// Returns when its latency objective ends, counted from the caller's first attempt.
     pub fn objective_at(&self) -> Instant {
         self.first_attempt_at.after(self.facts.route.objective)
     }
@@ -117,17 +117,17 @@
         if !route.streaming || self.started {
             return self.facts.deadline;
         }
-        let timeout = self.stream_timeout();
+        let timeout = self.caller_stream_timeout();
         self.facts
             .deadline
             .min(self.facts.arrived_at.after(timeout))
     }
 
     /// Returns the time without output after which its caller aborts a stream.
-    fn stream_timeout(&self) -> Duration {
+    fn caller_stream_timeout(&self) -> Duration {
         let route = &self.facts.route;
         let inter_token = route.inter_token_objective.unwrap_or_default();
-        MIN_STREAM_TIMEOUT
+        MIN_CALLER_STREAM_TIMEOUT
             .max(route.objective * STREAM_TIMEOUT_PER_OBJECTIVE)
             .max(inter_token * STREAM_TIMEOUT_PER_INTER_TOKEN)
     }
@@ -139,7 +139,7 @@
             true => self
                 .facts
                 .deadline
-                .min(self.waiting_since.after(self.stream_timeout())),
+                .min(self.waiting_since.after(self.caller_stream_timeout())),
             false => self.caller_timeout_at(),
         }
     }
--- a/crates/notchwalk_route/src/retry_budget.rs
+++ b/crates/notchwalk_route/src/retry_budget.rs
@@ -8,7 +8,7 @@
 /// Limits retries over a sliding window.
 #[derive(Debug)]
 pub struct RetryBudget {
-    /// Retries allowed per first attempt.
+    /// Retries allowed per request.
     ratio: f64,
     /// Additional retries allowed per window over all nodes.
     slack: f64,
@@ -22,12 +22,11 @@
     retries: u32,
 }
 
-/// Fraction of the allowed retries that is used. It keeps all nodes within the limit while
-/// they have different counts of nodes.
-const USED_FRACTION: f64 = 0.7;
+/// Fraction of the allowed retries that is used. It keeps all nodes together within the limit
+/// while they disagree on the number of nodes.
+const USED_BUDGET_FRACTION: f64 = 0.7;
 
-/// Fraction of its slack that a node has at its start, so that the first requests can be
-/// retried if a server has failed.
+/// Fraction of its slack that a node may use right after its start.
 const INITIAL_SLACK_FRACTION: f64 = 0.2;
 
 impl RetryBudget {
@@ -98,7 +97,7 @@
         let first_attempts = f64::from(self.first_attempts - expired_firsts);
         let retries = f64::from(self.retries - expired_retries);
         let slack = self.slack(now, nodes);
-        retries + 1.0 <= USED_FRACTION * (self.ratio * first_attempts + slack)
+        retries + 1.0 <= USED_BUDGET_FRACTION * (self.ratio * first_attempts + slack)
     }
 
     /// Takes one retry from the budget; returns whether it allows one.
--- a/crates/notchwalk_route/src/router/ending.rs
+++ b/crates/notchwalk_route/src/router/ending.rs
@@ -1,4 +1,4 @@
-//! Handles the end of an attempt, and refuses or completes requests.
+//! Handles the ends of attempts and requests: retries, refusals and the release of servers.
 
 use std::time::Duration;
 
@@ -21,6 +21,7 @@
 const RETRY_AFTER_SUSPECTED: Duration = Duration::from_millis(2_000);
 
 impl Router {
+    /// Handles the first event of a stream, which ends the prefill.
     pub(super) fn handle_started(&mut self, key: RequestKey, now: Instant) {
         let Some(Some(request)) = self.requests.get_mut(key) else {
             return;
@@ -54,6 +55,7 @@
         }
     }
 
+    /// Removes a request from all state and releases its reservations.
     pub(super) fn remove_request(&mut self, key: RequestKey, now: Instant, out: &mut Vec<Effect>) {
         self.queue.remove(key);
         self.remove_from_servers(key);
@@ -65,6 +67,8 @@
         self.requests.remove(key);
     }
 
+    /// Refuses a request and drops its state. If it may have run, the reason is
+    /// [`Refusal::Unknown`] instead of one that guarantees that it has not.
     pub(super) fn refuse(
         &mut self,
         key: RequestKey,
@@ -131,7 +135,7 @@
             return;
         };
         let server = request.server;
-        // Don't choose a prefill worker that rejected its segment again.
+        // Excludes a prefill worker that rejected its segment from further attempts.
         if let AttemptEnd::NotRun {
             faulty_server: Some(addr),
             ..
@@ -168,6 +172,7 @@
         self.finish_failed(key, end, now, out);
     }
 
+    /// Records what the end of an attempt shows about the health of its servers.
     pub(super) fn record_server_outcome(
         &mut self,
         server: Option<ServerKey>,
@@ -231,6 +236,8 @@
         }
     }
 
+    /// Returns whether a request may be sent again, and takes a retry from the budget if the
+    /// attempt put load on a server.
     pub(super) fn may_retry(&mut self, key: RequestKey, end: AttemptEnd, now: Instant) -> bool {
         let Some(Some(request)) = self.requests.get(key) else {
             return false;
@@ -247,13 +254,14 @@
         if request.started_on >= attempts {
             return false;
         }
-        // The attempt put no load on a server.
+        // The attempt put no load on a server, so it does not count as a retry.
         if matches!(end, AttemptEnd::NotConnected | AttemptEnd::NotSent) {
             return true;
         }
         self.retry_budget.take(now, self.node_count)
     }
 
+    /// Ends a request that may not be sent again.
     pub(super) fn finish_failed(
         &mut self,
         key: RequestKey,
--- a/crates/notchwalk_route/src/router/limits.rs
+++ b/crates/notchwalk_route/src/router/limits.rs
@@ -9,9 +9,9 @@
 use super::Router;
 use crate::{request::Request, Effect, LimitUpdate, RequestKey};
 
-/// Fraction of the caller's remaining timeout that a late request may spend in the queue.
+/// Fraction of the caller's remaining timeout that a late request may wait for a rate limit.
 /// The rest is left for the response.
-const MAX_LATE_WAIT_FRACTION: f64 = 0.75;
+const MAX_LIMIT_WAIT_FRACTION: f64 = 0.75;
 /// Random addition to retry delays, as a fraction, so that refused callers don't all retry
 /// at the same time.
 const RETRY_JITTER: f64 = 0.25;
@@ -32,6 +32,7 @@
         }
     }
 
+    /// Returns the number of requests counted for a service.
     fn count(&self, service: &str) -> u32 {
         let mut counts = self.by_service.iter();
         let found = counts.find(|(name, _)| name == service);
@@ -40,6 +41,7 @@
 }
 
 impl Router {
+    /// Applies a peer's updates on limited servers and reports the limits that changed.
     pub(super) fn apply_peer_limits(
         &mut self,
         group_peer: Option<(u32, &str)>,
@@ -87,7 +89,7 @@
             true => request
                 .caller_aborts_at()
                 .since(now)
-                .mul_f64(MAX_LATE_WAIT_FRACTION),
+                .mul_f64(MAX_LIMIT_WAIT_FRACTION),
             false => request.objective_at().since(now),
         };
         let may_wait = wait + self.min_ttft(request, now) < allowed;
@@ -105,7 +107,7 @@
         queued_before: u32,
         now: Instant,
     ) -> Duration {
-        /// Upper bound of the result.
+        /// Maximum result.
         const MAX_WAIT: Duration = Duration::from_secs(3_600);
         let rate = self.fleet.own_allowed_rate(service, now);
         let queue_time = f64::from(queued_before) / rate;
--- a/crates/notchwalk_route/src/router/mod.rs
+++ b/crates/notchwalk_route/src/router/mod.rs
@@ -1,4 +1,4 @@
-//! The reducer: takes one event, returns effects. This file holds the state and dispatches
+//! The reducer: takes one event and appends effects. This file holds the state and dispatches
 //! the events.
 //!
 //! | file | responsibility |
@@ -32,8 +32,7 @@
     ServerNotice, Service, SiteConfig,
 };
 
-/// Time without updates after which a peer's work expires, if the driver has not removed
-/// the peer before.
+/// Time without updates after which a peer's work expires.
 const PEER_WORK_TTL: Duration = Duration::from_secs(10);
 /// Minimum time left to the deadline for another attempt.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(60);
@@ -57,7 +56,7 @@
     pub seed: u64,
 }
 
-/// Decides where requests go. See the crate documentation.
+/// Decides which server each request is sent to, and when. See the crate documentation.
 #[derive(Debug)]
 pub struct Router {
     config: RouterConfig,
@@ -68,7 +67,7 @@
     fleet: Fleet,
     load_view: LoadView,
     retry_budget: RetryBudget,
-    /// Number of nodes that share the retry slack, if known.
+    /// Number of nodes, if known.
     node_count: Option<u32>,
     requests: SlotMap<RequestKey, Option<Request>>,
     reservations: Reservations,
@@ -157,8 +156,8 @@
         self.own_work(changed.into_iter(), now)
     }
 
-    /// Returns this node's own work on all servers that ever had work. Peers have no state to
-    /// correct about the others.
+    /// Returns this node's own work on all servers that ever had work. Peers need no update
+    /// about the others.
     pub fn all_own_work(&self, now: Instant) -> (Vec<u32>, Vec<crate::PeerWork>) {
         let servers = self.fleet.iter().map(|(key, _)| key);
         self.own_work(servers.filter(|&key| self.load_view.has_had_work(key)), now)
@@ -229,7 +228,7 @@
                     });
                 }
             }
-            Event::DrainingReported { servers } => self.apply_draining_notices(&servers, out),
+            Event::DrainingReported { servers } => self.apply_reported_draining(&servers, out),
             Event::Arrived { request, facts } => self.handle_arrived(request, facts, now, out),
             Event::Started { request } => self.handle_started(request, now),
             Event::AttemptEnded { request, end } => {
@@ -312,7 +311,7 @@
         }
     }
 
-    fn apply_draining_notices(&mut self, servers: &[u32], out: &mut Vec<Effect>) {
+    fn apply_reported_draining(&mut self, servers: &[u32], out: &mut Vec<Effect>) {
         for &short_id in servers {
             let Some(server) = self.fleet.apply_reported_draining(short_id) else {
                 continue;
@@ -339,7 +338,7 @@
             .collect();
         let known = work.into_iter();
         let known = known.filter_map(|work| Some((fleet.by_short_id(work.server)?, work)));
-        self.load_view.replace_peer(peer, &keys, known, now);
+        self.load_view.replace_peer_work(peer, &keys, known, now);
     }
 
     fn tick(&mut self, now: Instant, out: &mut Vec<Effect>) {
@@ -375,7 +374,7 @@
     now.after(Duration::from_secs_f64(ms.max(0.0) / 1e3))
 }
 
-/// Returns a hash of a name.
+/// Returns a hash of a node's name, which is part of the placement salt.
 fn salt_of(name: &str) -> u32 {
     name.bytes()
         .fold(0, |salt, byte| salt.rotate_left(5) ^ u32::from(byte))
--- a/crates/notchwalk_route/src/router/sending.rs
+++ b/crates/notchwalk_route/src/router/sending.rs
@@ -13,10 +13,11 @@
     Assignment, Effect, PrefillWorker, Refusal, RequestFacts, RequestKey, WorkPhase,
 };
 
-/// Default priorities on the server, 0 first.
+/// Priority of a request with a short prompt on its server; 0 is the highest.
 const SHORT_PRIORITY: u8 = 2;
+/// Priority of a request with a long prompt on its server; 0 is the highest.
 const LONG_PRIORITY: u8 = 5;
-/// Maximum number of prompt tokens of a request with the priority of short requests.
+/// Maximum number of tokens of a short prompt.
 const LONG_PROMPT_TOKENS: u32 = 24_000;
 
 impl Router {
@@ -69,10 +70,12 @@
         String::new()
     }
 
+    /// Returns a request's size and time limits for the cost model.
     pub(super) fn demand(&self, request: &Request, now: Instant) -> RequestDemand {
         RequestDemand::new(request, self.crash_risk(request, now), now)
     }
 
+    /// Returns the placement with the least expected loss; `None` if no server is available.
     pub(super) fn plan(&self, request: &Request, now: Instant) -> Option<Plan> {
         let Some(placement) = self.engine_placement(&request.service, now) else {
             let (fleet, load_view) = (&self.fleet, &self.load_view);
@@ -92,6 +95,7 @@
         placement.place(&request.service, &demand, &request.attempted)
     }
 
+    /// Sends a request as planned, after reserving memory if the plan requires it.
     pub(super) fn send_planned(
         &mut self,
         key: RequestKey,
@@ -125,6 +129,7 @@
         }
     }
 
+    /// Assigns a request to the servers of a plan and adds its work to the load view.
     pub(super) fn assign(
         &mut self,
         key: RequestKey,
@@ -191,7 +196,7 @@
             previous_sends: request.sends - 1,
             predicted_first_event: request.predicted_first_event.since(now),
             since_first_attempt: request.facts.arrived_at.since(request.first_attempt_at),
-            first_output_timeout: first_event_timeout(request, now),
+            first_output_timeout: first_output_timeout(request, now),
             inter_token_timeout: inter_token_timeout(request),
         };
         self.load_view.add(plan.primary.server, work);
@@ -235,18 +240,19 @@
 
 /// Returns the timeout for the first event, after which the request is sent to another
 /// server; `None` if the request may run only once.
-fn first_event_timeout(request: &Request, now: Instant) -> Option<Duration> {
-    /// Leaves time for another attempt: callers of streams time out after 2 s at the
-    /// earliest.
-    const MIN_STREAM_TIMEOUT: Duration = Duration::from_millis(1_500);
-    const MIN_CALL_TIMEOUT: Duration = Duration::from_millis(900);
+fn first_output_timeout(request: &Request, now: Instant) -> Option<Duration> {
+    /// For streams. Leaves time for another attempt: callers of streams time out after 2 s
+    /// at the earliest.
+    const MIN_FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(1_500);
+    /// For responses that are not streamed.
+    const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(900);
     if !request.may_repeat() {
         return None;
     }
     let route = &request.facts.route;
     let min_timeout = match route.streaming {
-        true => MIN_STREAM_TIMEOUT.max(route.objective),
-        false => MIN_CALL_TIMEOUT,
+        true => MIN_FIRST_EVENT_TIMEOUT.max(route.objective),
+        false => MIN_RESPONSE_TIMEOUT,
     };
     // Repeating a long prefill is expensive, and an engine with a long prompt is more
     // likely busy than broken.
--- a/crates/notchwalk_route/src/router/suspects.rs
+++ b/crates/notchwalk_route/src/router/suspects.rs
@@ -1,7 +1,7 @@
 //! Attributes server crashes to request contents and enforces quarantines.
 //!
-//! Guards against a request that crashes every server it runs on, and that its caller
-//! repeats at any node.
+//! Guards against a request that crashes every server it runs on and that its caller retries
+//! at any node.
 
 use std::time::Duration;
 
@@ -13,8 +13,8 @@
     request::Request, shares::short_id_of, AttemptEnd, Effect, Refusal, RequestKey, ServerKey,
 };
 
-/// How long a request waits for another run of the same content before it is refused.
-const MAX_WAIT_FOR_OTHER_RUN: Duration = Duration::from_millis(1_000);
+/// Maximum time that a request waits for another run of the same content to end.
+const MAX_CONCURRENT_RUN_WAIT: Duration = Duration::from_millis(1_000);
 
 /// Whether the quarantine rules allow a request to be sent.
 pub(super) enum ContentCheck {
@@ -44,7 +44,7 @@
             Verdict::Quarantined { .. } => ContentCheck::Refuse(Refusal::Quarantined),
             Verdict::Held => ContentCheck::Refuse(Refusal::Suspected),
             Verdict::RunningElsewhere
-                if now.since(request.waiting_since) < MAX_WAIT_FOR_OTHER_RUN =>
+                if now.since(request.waiting_since) < MAX_CONCURRENT_RUN_WAIT =>
             {
                 ContentCheck::Wait
             }
@@ -230,6 +230,7 @@
         }
     }
 
+    /// Returns whether a request of this node with this content is assigned to a server.
     fn is_running(&self, content: Fingerprint) -> bool {
         let requests = self.requests.values().flatten();
         let mut same = requests.filter(|request| request.facts.content == content);
@@ -255,7 +256,7 @@
         self.remove_request(key, now, out);
     }
 
-    /// Emits checks of servers whose connections broke, to detect crashes.
+    /// Emits port probes of servers whose connections broke, to confirm crashes.
     pub(super) fn probe_servers(&mut self, now: Instant, out: &mut Vec<Effect>) {
         for server in self.quarantine.take_probes(now) {
             let server_key = self.fleet.by_short_id(server);
--- a/crates/notchwalk_route/src/router/waiting.rs
+++ b/crates/notchwalk_route/src/router/waiting.rs
@@ -51,7 +51,7 @@
 
 /// What to do with a request.
 enum Decision {
-    /// Leave it queued.
+    /// Keep it queued.
     Wait,
     /// Send it; `None` if no server is available.
     Send(Option<Plan>),
--- a/crates/notchwalk_route/src/wait_queue.rs
+++ b/crates/notchwalk_route/src/wait_queue.rs
@@ -1,10 +1,9 @@
 //! The queue of requests that wait for engines.
 //!
-//! Long prompts occupy engines for seconds. Binding them to an engine on arrival would
-//! serve them first in, first out, and make all of them late near saturation. They are
-//! queued here instead and dispatched, cheapest first, when engines have headroom; those
-//! that can no longer meet their objective are sent late or refused. Late short requests
-//! also wait here for spare capacity.
+//! Long prompts occupy engines for seconds. Assigned on arrival, they would run first in,
+//! first out, and all be late near saturation. They are queued here instead and dispatched,
+//! cheapest first, when engines have headroom. Those that can no longer meet their objective
+//! are sent late or refused. Late short requests also wait here, for spare capacity.
 
 use crate::{shares::Shares, RequestKey, WorkspaceShortId};
 
@@ -17,6 +16,7 @@
     pub prefill_ms: f64,
 }
 
+/// The queued requests.
 #[derive(Debug, Default)]
 pub(crate) struct WaitQueue {
     requests: Vec<QueuedRequest>,
