--- a/crates/notchwalk_decide/src/admission.rs
+++ b/crates/notchwalk_decide/src/admission.rs
@@ -24,7 +24,7 @@
 const MIN_RETRY_AFTER_MS: u64 = 200;
 /// Longest `Retry-After`, in milliseconds.
 const MAX_RETRY_AFTER_MS: u64 = 60_000;
-/// The priority of a request that names none.
+/// The priority of a request that specifies none.
 const DEFAULT_PRIORITY: u8 = 5;
 
 /// Returns a jittered `Retry-After` around `ms`, in milliseconds.
@@ -33,6 +33,7 @@
     Some(node.rng.random_range(ms * 3 / 4..=ms * 5 / 4))
 }
 
+/// The estimated size of a request.
 struct RequestSize {
     group: GroupKey,
     lane: Lane,
@@ -114,6 +115,7 @@
     })
 }
 
+/// Admits a request, or returns why it is refused.
 fn admit(node: &mut Node, cx: &mut Cx<'_>, arrival: Arrival) -> Result<(), Refusal> {
     check_before_body(node, cx, arrival.workspace)?;
     let Some(bundle) = node.catalog.bundle.clone() else {
--- a/crates/notchwalk_decide/src/attempt.rs
+++ b/crates/notchwalk_decide/src/attempt.rs
@@ -1,6 +1,6 @@
-//! Attempts: dispatch, frames, and retries after failures. A caller's response is
-//! built from any number of attempts without gaps or duplicates, since each
-//! frame names request, attempt and offset.
+//! Attempts: dispatch, frames, and retries after failures. Each frame names its
+//! request, attempt and offset, so a response that is continued by further
+//! attempts has no gaps or duplicates.
 
 use std::time::Duration;
 
@@ -23,25 +23,25 @@
     timer::TimerKind,
 };
 
-/// Upper bound of the attempts of a request.
+/// Maximum number of attempts of a request.
 const MAX_ATTEMPTS: u16 = 8;
 /// The backoff after the first failed attempt; doubles each time.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
-/// Upper bound of the backoff.
+/// Maximum backoff.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
-/// Longest gap between frames after the first token.
+/// Maximum time between frames after the first token.
 pub(crate) const STREAM_STALL_TIMEOUT: Duration = Duration::from_secs(5);
 /// Time limit of the first token, in addition to a multiple of the prefill
 /// time.
 const FIRST_TOKEN_BASE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Multiple of the estimated prefill time allowed for the first token.
 const FIRST_TOKEN_PREFILL_FACTOR: u64 = 4;
-/// How long a server gets no work after refusing an attempt.
-const REFUSED_BACKOFF: Duration = Duration::from_millis(100);
-/// The reservation is raised when the completion reaches this share of its
-/// reserved tokens, in percent.
+/// How long a server gets no new work after it refused an attempt.
+const REFUSAL_BACKOFF: Duration = Duration::from_millis(100);
+/// Percentage of its reserved tokens at which a growing completion gets a larger
+/// reservation.
 const TOP_UP_AT_PERCENT: u64 = 80;
-/// Size of the increase relative to the completion so far, in percent.
+/// Size of the increase, as a percentage of the completion so far.
 const TOP_UP_PERCENT: u64 = 50;
 
 /// The header of a frame.
@@ -159,7 +159,7 @@
     let state = node.catalog.workspace(slot);
     state.served_us = state.served_us.saturating_add_signed(cost_us);
     let weight = state.weight;
-    node.membership.served_since.insert(slot);
+    node.membership.served_since_heartbeat.insert(slot);
     node.queue.charge(slot, cost_us, weight);
 }
 
@@ -375,7 +375,7 @@
         schedule::server_succeeded(node, cx, server);
     }
     let percent = node.bundle().map_or(0, |b| b.policy.retry_percent);
-    node.retry.record_success(percent);
+    node.retry_budget.record_success(percent);
     node.counters.completed += 1;
     let completion = Completion {
         prompt_tokens,
@@ -393,7 +393,7 @@
     req.avoid = Some(server);
     match &end {
         AttemptEnd::Refused { .. } => {
-            node.servers.arena[server].refused_until = cx.now.after(REFUSED_BACKOFF);
+            node.servers.arena[server].refused_until = cx.now.after(REFUSAL_BACKOFF);
         }
         AttemptEnd::NotSent => {
             suspects::on_server_unreachable(node, cx, server);
@@ -437,7 +437,7 @@
         return fail_suspected(node, cx, key, code, ms);
     }
     let percent = node.bundle().map_or(0, |b| b.policy.retry_percent);
-    if !not_run && !node.retry.try_spend(percent) {
+    if !not_run && !node.retry_budget.try_spend(percent) {
         return fail(node, cx, key, FailureCode::BackendFailed, Some(2_000));
     }
     let req = &node.requests[key];
@@ -484,7 +484,7 @@
     fail_with(node, cx, key, failure);
 }
 
-/// Returns whether a failed request ran, as reported to its caller.
+/// Returns whether a failed request ran, if known.
 fn outcome_of(req: &Request) -> ExecutionOutcome {
     match (&req.work, req.sent) {
         (_, false) => ExecutionOutcome::NotRun,
--- a/crates/notchwalk_decide/src/catalog.rs
+++ b/crates/notchwalk_decide/src/catalog.rs
@@ -40,11 +40,11 @@
     pub name: String,
     /// The weight in the active bundle.
     pub weight: f64,
-    /// Requests running.
+    /// Number of running requests.
     pub in_flight: u32,
-    /// Requests queued.
+    /// Number of queued requests.
     pub queued: u32,
-    /// Upper bound of the requests running.
+    /// Maximum number of running requests.
     pub max_in_flight: u32,
     /// Cost served by this node since boot, in microseconds.
     pub served_us: u64,
--- a/crates/notchwalk_decide/src/claim.rs
+++ b/crates/notchwalk_decide/src/claim.rs
@@ -22,7 +22,7 @@
 
 /// Time limit for a claim, after which the call fails as not run.
 const CLAIM_TIMEOUT: Duration = Duration::from_secs(4);
-/// How long to wait for one response of the table.
+/// Maximum time to wait for a response of the table.
 const TABLE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Delay before the table is queried again.
 const TABLE_RETRY_DELAY: Duration = Duration::from_millis(100);
@@ -30,13 +30,13 @@
 const RELEASE_TTL: Duration = Duration::from_secs(600);
 /// Delay before a release is first repeated; doubles each time.
 const INITIAL_RELEASE_DELAY: Duration = Duration::from_millis(500);
-/// Upper bound of that delay.
+/// Maximum delay between repeated releases.
 const MAX_RELEASE_DELAY: Duration = Duration::from_secs(20);
 
 /// The claim of a request.
 #[derive(Clone, Debug)]
 pub(crate) struct Claim {
-    /// The row's key.
+    /// The key of the claim's row in the platform's table.
     pub key: String,
     /// The token that marks this request as the row's owner.
     pub token: String,
@@ -170,7 +170,7 @@
     claim.written = false;
     let row_key = claim.key.clone();
     if row.fingerprint != fingerprint {
-        return reject(
+        return fail_with_outcome(
             node,
             cx,
             key,
@@ -190,15 +190,16 @@
     match owner_may_be_running(node, &row.token) {
         true => {
             let code = FailureCode::CallInProgress;
-            reject(node, cx, key, code, ExecutionOutcome::Unknown, Some(500));
+            fail_with_outcome(node, cx, key, code, ExecutionOutcome::Unknown, Some(500));
         }
         false => {
             let code = FailureCode::OutcomeUnknown;
-            reject(node, cx, key, code, ExecutionOutcome::Unknown, None);
+            fail_with_outcome(node, cx, key, code, ExecutionOutcome::Unknown, None);
         }
     }
 }
 
+/// Returns whether the request that owns a claim may still be running.
 fn owner_may_be_running(node: &Node, token: &str) -> bool {
     let Ok(owner) = token.parse::<RequestId>() else {
         return false;
@@ -209,7 +210,8 @@
     node.membership.may_be_alive(owner.vm, owner.boot)
 }
 
-fn reject(
+/// Fails a request whose claim is owned by another request.
+fn fail_with_outcome(
     node: &mut Node,
     cx: &mut Cx<'_>,
     key: RequestKey,
@@ -252,7 +254,9 @@
         next: cx.now,
         delay: INITIAL_RELEASE_DELAY,
     };
-    node.releases.pending.insert(claim.key.clone(), release);
+    node.claim_releases
+        .pending
+        .insert(claim.key.clone(), release);
 }
 
 #[derive(Debug)]
@@ -293,14 +297,14 @@
 /// Sends the releases that are due.
 pub(crate) fn on_tick(node: &mut Node, cx: &mut Cx<'_>) {
     const SCAN_INTERVAL: Duration = Duration::from_millis(100);
-    if node.releases.pending.is_empty() || cx.now < node.releases.next_scan {
+    if node.claim_releases.pending.is_empty() || cx.now < node.claim_releases.next_scan {
         return;
     }
-    node.releases.next_scan = cx.now.after(SCAN_INTERVAL);
-    node.releases
+    node.claim_releases.next_scan = cx.now.after(SCAN_INTERVAL);
+    node.claim_releases
         .pending
         .retain(|_, r| cx.now.since(r.since) < RELEASE_TTL);
-    for (key, release) in &mut node.releases.pending {
+    for (key, release) in &mut node.claim_releases.pending {
         if cx.now < release.next {
             continue;
         }
--- a/crates/notchwalk_decide/src/config.rs
+++ b/crates/notchwalk_decide/src/config.rs
@@ -13,8 +13,8 @@
     /// end.
     #[default]
     TopUp,
-    /// Reserves nothing; only compares the request with the usage that the
-    /// engine reports.
+    /// Reserves no memory for the completion; compares the request with the
+    /// usage that the engine reports.
     CheckThenAct,
     /// Reserves the prompt plus the longest completion allowed.
     Maximum,
--- a/crates/notchwalk_decide/src/credit.rs
+++ b/crates/notchwalk_decide/src/credit.rs
@@ -1,4 +1,5 @@
-//! Credits: how much of each engine this node may use without coordination.
+//! Credits: the share of each server that this node may use without
+//! coordination.
 //!
 //! Each server has a home among the live nodes, chosen by rendezvous hashing.
 //! The home grants each node a share by reported demand, which is sent with its
@@ -33,7 +34,7 @@
     open_requests: HashMap<(WorkspaceSlot, GroupKey), u32>,
     /// The summed weight of the workspaces with open requests, by group.
     weight: Vec<f64>,
-    /// The same in thousandths, with a slow decay.
+    /// The same in thousandths, with a slow decay; this is the reported demand.
     smoothed_weight: Vec<u64>,
     next_grant: Instant,
     homes: HashMap<ServerId, VmId>,
--- a/crates/notchwalk_decide/src/drain.rs
+++ b/crates/notchwalk_decide/src/drain.rs
@@ -45,7 +45,7 @@
     let done = node.drain.refuses(cx.now)
         && node.requests.is_empty()
         && node.cancels.len() == 0
-        && node.releases.len() == 0;
+        && node.claim_releases.len() == 0;
     if done && !node.drain.stopped {
         node.drain.stopped = true;
         cx.emit(Effect::Stop);
--- a/crates/notchwalk_decide/src/dump.rs
+++ b/crates/notchwalk_decide/src/dump.rs
@@ -30,9 +30,9 @@
 /// The state of a backend server.
 #[derive(Clone, Debug, Serialize)]
 pub struct ServerDump {
-    /// The number.
+    /// The server's id.
     pub id: u32,
-    /// The kind.
+    /// The kind: engine or plain service.
     pub kind: String,
     /// The failure domain.
     pub failure_domain: String,
@@ -54,7 +54,7 @@
     pub long_held_tokens: u64,
     /// Prompt tokens sent by this node and not yet prefilled.
     pub backlog_tokens: u64,
-    /// Memory as last reported, in tokens.
+    /// Memory capacity as last reported, in tokens.
     pub capacity_tokens: u64,
     /// Memory in use as last reported, in tokens.
     pub used_tokens: u64,
@@ -67,7 +67,7 @@
 /// The state of a peer.
 #[derive(Clone, Debug, Serialize)]
 pub struct PeerDump {
-    /// The VM.
+    /// The VM it runs on.
     pub vm: u32,
     /// The liveness state.
     pub state: String,
@@ -150,9 +150,9 @@
             open_requests: self.requests.len(),
             queued_requests: self.queue.len(),
             open_cancels: self.cancels.len(),
-            open_claim_releases: self.releases.len(),
+            open_claim_releases: self.claim_releases.len(),
             timers: self.timers.len(),
-            retry_budget: self.retry.available(),
+            retry_budget: self.retry_budget.available(),
             order_fence: self.orders.fencing_token(now),
             counters: self.counters.clone(),
             lanes: dump_lanes(self),
@@ -236,7 +236,7 @@
             share_per_mille: credit::share_of(node, now, key),
             running: server.running,
             held_tokens: server.reserved,
-            long_held_tokens: node.long.reserved_on(id),
+            long_held_tokens: node.reservation_ledgers.reserved_on(id),
             backlog_tokens: server.total_backlog(),
             capacity_tokens: server.capacity(),
             used_tokens: used,
--- a/crates/notchwalk_decide/src/event.rs
+++ b/crates/notchwalk_decide/src/event.rs
@@ -23,7 +23,7 @@
     pub version: Option<String>,
     /// Estimated length of the prompt, in tokens.
     pub prompt_tokens: Tokens,
-    /// Upper bound of the completion's length, in tokens.
+    /// Maximum length of the completion, in tokens.
     pub max_tokens: u32,
     /// Hashes of the prompt's first blocks.
     pub prefix: Vec<u64>,
--- a/crates/notchwalk_decide/src/lane.rs
+++ b/crates/notchwalk_decide/src/lane.rs
@@ -19,17 +19,17 @@
 /// All lanes, in the order in which they are served.
 pub const LANES: [Lane; 4] = [Lane::Short, Lane::Medium, Lane::Long, Lane::Huge];
 
-const SHORT_TOKENS: Tokens = 4_096;
-const MEDIUM_TOKENS: Tokens = 32_768;
-const LONG_TOKENS: Tokens = 131_072;
+const MAX_SHORT_TOKENS: Tokens = 4_096;
+const MAX_MEDIUM_TOKENS: Tokens = 32_768;
+const MAX_LONG_TOKENS: Tokens = 131_072;
 
 impl Lane {
     /// Returns the lane for a number of uncached prompt tokens.
     pub fn of(tokens: Tokens) -> Self {
         match tokens {
-            n if n <= SHORT_TOKENS => Self::Short,
-            n if n <= MEDIUM_TOKENS => Self::Medium,
-            n if n <= LONG_TOKENS => Self::Long,
+            n if n <= MAX_SHORT_TOKENS => Self::Short,
+            n if n <= MAX_MEDIUM_TOKENS => Self::Medium,
+            n if n <= MAX_LONG_TOKENS => Self::Long,
             _ => Self::Huge,
         }
     }
--- a/crates/notchwalk_decide/src/lib.rs
+++ b/crates/notchwalk_decide/src/lib.rs
@@ -1,10 +1,29 @@
-//! The decisions of a node: one reducer over all events, with effects as data.
-//! It does no I/O, reads no clock and starts no threads. Random numbers come
-//! from a given seed, so replaying a recorded stream of events gives the same
-//! effects.
+//! The decisions of a node: admission, queueing, placement and retries of
+//! requests to model engines and plain services.
 //!
-//! [`Node::step`] is the main entry point. Each concern has a module of its
-//! own; `node.rs` routes events to them.
+//! [`Node::step`] takes one [`Event`] and appends [`Effect`]s. It does no I/O,
+//! reads no clock and starts no threads. Random numbers come from a given seed,
+//! so replaying a recorded stream of events gives the same effects.
+//!
+//! | module | responsibility |
+//! |---|---|
+//! | `node` | state of a node, and dispatch of events to the other modules |
+//! | `admission` | refusal of requests that cannot be served |
+//! | `claim` | claims of calls with an idempotency key |
+//! | `queue`, `lane` | weighted fair queueing between workspaces, by length class |
+//! | `schedule`, `placement` | dispatch of queued requests and choice of a server |
+//! | `attempt`, `retry` | attempts, frames, retries and their budget |
+//! | `long_work`, `long_home` | reservations for long prompts |
+//! | `credit` | shares of the servers between nodes |
+//! | `server`, `prefix` | backend servers and their prefix caches |
+//! | `membership` | peers and heartbeats |
+//! | `suspects` | requests that crash the servers that run them |
+//! | `sweep` | cancels and reclaimed engine memory |
+//! | `orders` | models and adapters that engines load, under a lease |
+//! | `drain` | graceful shutdown |
+//! | `cost` | cost estimates per model |
+//! | `catalog` | the active bundle and keys of its names |
+//! | `dump` | state dump for operators |
 
 mod admission;
 mod attempt;
--- a/crates/notchwalk_decide/src/long_home.rs
+++ b/crates/notchwalk_decide/src/long_home.rs
@@ -74,21 +74,25 @@
     if capacity == 0 {
         return 1_000;
     }
-    let Some(ledger) = node.long.ledgers.get(&server.id) else {
+    let Some(ledger) = node.reservation_ledgers.ledgers.get(&server.id) else {
         return 1_000;
     };
-    let mut unavailable = node.long.reserved_on(server.id);
+    let mut unavailable = node.reservation_ledgers.reserved_on(server.id);
     if let Some(pending) = ledger.pending.filter(|p| now < p.until) {
         unavailable += pending.tokens;
     }
     let short_floor = node.bundle().map_or(0, |b| b.policy.short_reserve_percent) * 10;
-    let left = capacity.saturating_sub(unavailable) * 1_000 / capacity;
-    left.max(short_floor.min(1_000))
+    let available = capacity.saturating_sub(unavailable) * 1_000 / capacity;
+    available.max(short_floor.min(1_000))
 }
 
 /// Handles a request for a reservation, its progress or its release.
 pub(crate) fn on_request(node: &mut Node, cx: &mut Cx<'_>, from: VmId, message: LongRequest) {
-    let ledger = node.long.ledgers.entry(message.server).or_default();
+    let ledger = node
+        .reservation_ledgers
+        .ledgers
+        .entry(message.server)
+        .or_default();
     match message.kind {
         LongRequestKind::Release => {
             ledger.reserved.remove(&message.request);
@@ -144,7 +148,11 @@
         return LongReplyKind::Denied;
     };
     let (capacity, used) = (report.capacity_tokens, report.used_tokens);
-    let ledger = node.long.ledgers.entry(message.server).or_default();
+    let ledger = node
+        .reservation_ledgers
+        .ledgers
+        .entry(message.server)
+        .or_default();
     if let Some(reserved) = ledger.reserved.get_mut(&message.request) {
         reserved.last_confirmed = now;
         return LongReplyKind::Granted;
@@ -196,7 +204,11 @@
         if credit::home_since(node, now, reported.server).is_none() {
             continue;
         }
-        let ledger = node.long.ledgers.entry(reported.server).or_default();
+        let ledger = node
+            .reservation_ledgers
+            .ledgers
+            .entry(reported.server)
+            .or_default();
         let reserved = ledger
             .reserved
             .entry(reported.request)
@@ -214,19 +226,19 @@
 /// servers that moved to another home.
 pub(crate) fn on_tick(node: &mut Node, cx: &mut Cx<'_>) {
     const SCAN_INTERVAL: Duration = Duration::from_millis(500);
-    if cx.now < node.long.next_scan {
+    if cx.now < node.reservation_ledgers.next_scan {
         return;
     }
-    node.long.next_scan = cx.now.after(SCAN_INTERVAL);
+    node.reservation_ledgers.next_scan = cx.now.after(SCAN_INTERVAL);
     let own = own_reservations(node);
     on_peer_reservations(node, cx.now, &own);
-    let servers: Vec<ServerId> = node.long.ledgers.keys().copied().collect();
+    let servers: Vec<ServerId> = node.reservation_ledgers.ledgers.keys().copied().collect();
     for server in servers {
         if credit::home_since(node, cx.now, server).is_none() {
-            node.long.ledgers.remove(&server);
+            node.reservation_ledgers.ledgers.remove(&server);
             continue;
         }
-        let Some(ledger) = node.long.ledgers.get_mut(&server) else {
+        let Some(ledger) = node.reservation_ledgers.ledgers.get_mut(&server) else {
             continue;
         };
         let is_confirmed =
--- a/crates/notchwalk_decide/src/long_work.rs
+++ b/crates/notchwalk_decide/src/long_work.rs
@@ -1,5 +1,5 @@
-//! Long prompts. Each needs a reservation from the home of its engine, so that
-//! nodes together never overcommit an engine with them. A prompt larger than an
+//! Long prompts. Each needs a memory reservation from the home of its engine, so
+//! that the nodes together never overcommit an engine. A prompt larger than an
 //! engine's memory is spread over several engines, all or none.
 //!
 //! The home checks its ledger and reserves in one step. Reservations are made
@@ -28,15 +28,15 @@
     timer::TimerKind,
 };
 
-/// Upper bound of the requests that wait for reservations at the same time.
+/// Maximum number of requests that wait for reservations at the same time.
 const MAX_RESERVING: usize = 8;
-/// How long to wait for a home's reply.
+/// Maximum time to wait for a home's reply.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(500);
 /// Delay before a reservation that waits for memory is requested again.
 const RESERVE_RETRY_DELAY: Duration = Duration::from_millis(60);
 /// Backoff after all servers denied a reservation.
 const DENIED_BACKOFF: Duration = Duration::from_millis(80);
-/// Approximate conversion of charged engine time to prompt tokens.
+/// Engine time per prefilled prompt token, to convert charged time to tokens.
 const PREFILL_US_PER_TOKEN: u64 = 40;
 /// Time limit of a segment, in addition to a multiple of its prefill time, in
 /// milliseconds.
@@ -144,11 +144,11 @@
     let load = target.fresh_report(now).map_or(u64::from(u32::MAX), |r| {
         r.backlog_tokens + r.used_tokens / 4
     });
-    let own = node.long.reserved_on(target.id);
+    let reserved = node.reservation_ledgers.reserved_on(target.id);
     // Servers where this node has used up its share of time rank lower.
     let debt_us = target.time_charged_until.since(now).as_micros() as u64;
     let debt = debt_us / PREFILL_US_PER_TOKEN;
-    (load + own + debt + jitter + avoided).saturating_sub(cached)
+    (load + reserved + debt + jitter + avoided).saturating_sub(cached)
 }
 
 fn back_off_denied(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey) {
--- a/crates/notchwalk_decide/src/membership.rs
+++ b/crates/notchwalk_decide/src/membership.rs
@@ -27,12 +27,12 @@
 /// Interval between heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 /// Silence after which a peer is suspected.
-const SUSPECT_AFTER: Duration = Duration::from_millis(1_600);
+const SUSPECT_TIMEOUT: Duration = Duration::from_millis(1_600);
 /// Silence towards all nodes after which a peer is declared dead.
-const DEAD_AFTER: Duration = Duration::from_millis(3_000);
-/// Upper bound of the workspaces whose served cost is in a heartbeat.
+const DEAD_TIMEOUT: Duration = Duration::from_millis(3_000);
+/// Maximum number of workspaces whose served cost is in a heartbeat.
 const MAX_SERVED_WORKSPACES: usize = 32;
-/// Upper bound of the peers that get heartbeats from one node.
+/// Maximum number of peers that get heartbeats from one node.
 const MAX_HEARTBEAT_PEERS: usize = 8;
 /// Interval between scans for silent peers.
 const SCAN_INTERVAL: Duration = Duration::from_millis(100);
@@ -50,6 +50,7 @@
     Dead,
 }
 
+/// The state of a peer.
 #[derive(Clone, Debug)]
 pub(crate) struct Peer {
     /// The record in the VM list; `None` if the peer is not listed.
@@ -113,7 +114,7 @@
     next_scan: Instant,
     rotation: usize,
     /// Workspaces whose served cost changed since the last heartbeat.
-    pub served_since: BTreeSet<WorkspaceSlot>,
+    pub served_since_heartbeat: BTreeSet<WorkspaceSlot>,
     /// Counts changes of the set of live nodes.
     pub epoch: u64,
 }
@@ -129,7 +130,7 @@
             seq: 0,
             next_heartbeat: Instant::ZERO,
             next_scan: Instant::ZERO,
-            served_since: BTreeSet::new(),
+            served_since_heartbeat: BTreeSet::new(),
             rotation: cfg.seed as usize % 997,
             epoch: 1,
         }
@@ -385,8 +386,8 @@
         let state = match peer.state {
             PeerState::Unheard => continue,
             PeerState::Dead => continue,
-            _ if silence < SUSPECT_AFTER => PeerState::Alive,
-            _ if silence_from_all < DEAD_AFTER => PeerState::Suspect,
+            _ if silence < SUSPECT_TIMEOUT => PeerState::Alive,
+            _ if silence_from_all < DEAD_TIMEOUT => PeerState::Suspect,
             _ => PeerState::Dead,
         };
         if state == peer.state {
@@ -442,7 +443,7 @@
             continue;
         };
         let age_ms = now.since(at).as_millis() as u64;
-        if age_ms > DEAD_AFTER.as_millis() as u64 || list.len() >= MAX_HEARTBEAT_PEERS {
+        if age_ms > DEAD_TIMEOUT.as_millis() as u64 || list.len() >= MAX_HEARTBEAT_PEERS {
             continue;
         }
         list.push(PeerContact {
@@ -457,7 +458,7 @@
 /// Returns the workspaces with the highest cost among those served since the
 /// last heartbeat.
 fn top_served(node: &mut Node) -> Vec<ServedCost> {
-    let served = std::mem::take(&mut node.membership.served_since);
+    let served = std::mem::take(&mut node.membership.served_since_heartbeat);
     let state = |slot: &WorkspaceSlot| &node.catalog.workspaces[slot.index()];
     let mut slots: Vec<_> = served.into_iter().collect();
     if slots.len() > MAX_SERVED_WORKSPACES {
--- a/crates/notchwalk_decide/src/node.rs
+++ b/crates/notchwalk_decide/src/node.rs
@@ -68,7 +68,7 @@
     pub frames_dropped: u64,
     /// Tokens delivered to callers.
     pub tokens: u64,
-    /// Reservations raised while completions grew.
+    /// Reservations raised for growing completions.
     pub top_ups: u64,
     /// Cancels confirmed.
     pub cancels: u64,
@@ -94,13 +94,13 @@
     pub(crate) costs: Vec<CostModel>,
     pub(crate) credits: Credits,
     pub(crate) membership: Membership,
-    pub(crate) long: ReservationLedgers,
+    pub(crate) reservation_ledgers: ReservationLedgers,
     /// Requests that wait for reservations from homes.
     pub(crate) reserving: usize,
     pub(crate) timers: Timers,
-    pub(crate) retry: RetryBudget,
+    pub(crate) retry_budget: RetryBudget,
     pub(crate) cancels: Cancels,
-    pub(crate) releases: ClaimReleases,
+    pub(crate) claim_releases: ClaimReleases,
     pub(crate) orders: Orders,
     pub(crate) drain: Drain,
     pub(crate) quarantine: Quarantine,
@@ -124,12 +124,12 @@
             servers: Servers::default(),
             costs: Vec::new(),
             credits: Credits::default(),
-            long: ReservationLedgers::default(),
+            reservation_ledgers: ReservationLedgers::default(),
             reserving: 0,
             timers: Timers::default(),
-            retry: RetryBudget::default(),
+            retry_budget: RetryBudget::default(),
             cancels: Cancels::default(),
-            releases: ClaimReleases::default(),
+            claim_releases: ClaimReleases::default(),
             orders: Orders::default(),
             drain: Drain::default(),
             quarantine: Quarantine::default(),
@@ -199,7 +199,7 @@
             } => sweep::on_cancel_ended(self, cx, server, id, confirmed),
             Event::Claim { request, response } => claim::on_response(self, cx, request, response),
             Event::ClaimReleased { key, confirmed } => {
-                self.releases.on_released(cx.now, &key, confirmed);
+                self.claim_releases.on_released(cx.now, &key, confirmed);
             }
             Event::Lease { row, applied } => orders::on_lease(self, cx, row, applied),
             Event::LeaseUnanswered => orders::on_lease_unanswered(self),
@@ -333,7 +333,7 @@
 
     /// Returns the retries available.
     pub fn retry_budget(&self) -> f64 {
-        self.retry.available()
+        self.retry_budget.available()
     }
 
     /// Returns the number of open requests.
--- a/crates/notchwalk_decide/src/orders.rs
+++ b/crates/notchwalk_decide/src/orders.rs
@@ -28,7 +28,7 @@
 /// How long before its expiry the holder stops sending orders.
 const LEASE_SAFETY_MARGIN: Duration = Duration::from_secs(1);
 /// Interval between reads or renewals of the row.
-const RENEW_INTERVAL: Duration = Duration::from_millis(1_500);
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(1_500);
 /// Interval between checks for differences between the versions and adapters
 /// that engines have loaded and those in the bundle.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
@@ -147,7 +147,7 @@
         cx.log(LogEventKind::LeaseLost, "reason=lapsed");
     }
     if cx.now >= node.orders.next_renewal {
-        node.orders.next_renewal = cx.now.after(RENEW_INTERVAL);
+        node.orders.next_renewal = cx.now.after(RENEWAL_INTERVAL);
         renew_or_acquire_lease(node, cx);
     }
     if cx.now >= node.orders.next_check {
--- a/crates/notchwalk_decide/src/placement.rs
+++ b/crates/notchwalk_decide/src/placement.rs
@@ -14,11 +14,11 @@
     server::{reported_backlog_before, ServerKey},
 };
 
-/// Prompt tokens that all nodes together may queue on an engine: enough to keep
-/// it busy, and few enough to keep the wait short.
-const PREFILL_WINDOW: Tokens = 8_192;
-/// Penalty for longer work that is running on a server: it yields to shorter
-/// work only after the current step.
+/// Maximum number of prompt tokens that all nodes together queue on an engine,
+/// to keep the wait short.
+const PREFILL_QUEUE_TOKENS: Tokens = 8_192;
+/// Penalty for a server with longer work, which yields to shorter work only
+/// after the current engine step.
 const RUNNING_STEP_PENALTY: Tokens = 256;
 /// Penalty for a server whose home is another node, so that nodes choose
 /// different servers while the load is low.
@@ -28,7 +28,7 @@
 /// Random part of scores, so that nodes don't all choose the same server.
 const SCORE_JITTER: Tokens = 96;
 /// Penalty for the server of the request's last failed attempt.
-const AVOID_PENALTY: Tokens = 1 << 20;
+const LAST_FAILED_PENALTY: Tokens = 1 << 20;
 
 /// The result of a placement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -126,10 +126,10 @@
         };
         let mut score = ahead + backlog + node.rng.random_range(0..SCORE_JITTER);
         if avoid {
-            score += AVOID_PENALTY;
+            score += LAST_FAILED_PENALTY;
         }
         if fair && !fits_reported_memory(node, now, key, reserved) {
-            score += PREFILL_WINDOW;
+            score += PREFILL_QUEUE_TOKENS;
         }
         if best.is_none_or(|(least, _, _)| score < least) {
             best = Some((score, key, backlog));
@@ -152,19 +152,19 @@
     let foreign = credit::home_of(node, now, id) != node.cfg.vm;
     let server = &node.servers.arena[key];
     let running = Tokens::from(server.running) * RUNNING_REQUEST_COST;
-    let own =
+    let own_load =
         server.backlog_before(lane) + running + if foreign { FOREIGN_HOME_PENALTY } else { 0 };
     let Some(report) = server.fresh_report(now) else {
-        return own;
+        return own_load;
     };
     let reported = reported_backlog_before(report, lane);
-    let others = reported.saturating_sub(server.backlog_before(lane));
+    let peer_load = reported.saturating_sub(server.backlog_before(lane));
     let step_penalty = match report.backlog_tokens > reported {
         true => RUNNING_STEP_PENALTY,
         false => 0,
     };
     let running = report.running.saturating_sub(server.running) + report.waiting;
-    own + others + step_penalty + Tokens::from(running) * RUNNING_REQUEST_COST
+    own_load + peer_load + step_penalty + Tokens::from(running) * RUNNING_REQUEST_COST
 }
 
 /// Returns whether the request fits into a server's memory as last reported.
@@ -178,13 +178,13 @@
 /// what was sent since.
 fn total_load(node: &Node, now: Instant, key: ServerKey) -> Tokens {
     let server = &node.servers.arena[key];
-    let own = server.total_backlog() + Tokens::from(server.running) * RUNNING_REQUEST_COST;
+    let own_load = server.total_backlog() + Tokens::from(server.running) * RUNNING_REQUEST_COST;
     let Some(report) = server.fresh_report(now) else {
-        return own;
+        return own_load;
     };
-    let others = report.backlog_tokens.saturating_sub(server.total_backlog());
+    let peer_load = report.backlog_tokens.saturating_sub(server.total_backlog());
     let running = report.running.saturating_sub(server.running) + report.waiting;
-    own + others + Tokens::from(running) * RUNNING_REQUEST_COST
+    own_load + peer_load + Tokens::from(running) * RUNNING_REQUEST_COST
 }
 
 /// Returns whether this node's share of a server has capacity for a request.
@@ -218,7 +218,7 @@
             within_share || alone
         }
     };
-    let window = PREFILL_WINDOW * share / 1_000;
+    let window = PREFILL_QUEUE_TOKENS * share / 1_000;
     let before = server.backlog_before(lane);
     fits && (before == 0 || before + backlog <= window)
 }
--- a/crates/notchwalk_decide/src/prefix.rs
+++ b/crates/notchwalk_decide/src/prefix.rs
@@ -9,10 +9,11 @@
 
 /// Tokens in a block, at four bytes per token.
 pub const BLOCK_TOKENS: Tokens = 256;
+/// Bytes of a prompt in a block.
 const BLOCK_BYTES: usize = 1_024;
-/// Upper bound of the blocks hashed for a prompt.
+/// Maximum number of blocks hashed for a prompt.
 const MAX_HASHED_BLOCKS: usize = 256;
-/// Upper bound of the blocks indexed for an engine.
+/// Maximum number of blocks indexed for an engine.
 const MAX_INDEXED_BLOCKS: usize = 65_536;
 
 /// Returns the hashes of a prompt's first blocks. Each hash covers the blocks
@@ -36,6 +37,7 @@
     blocks: HashSet<u64>,
     order: VecDeque<u64>,
     last_event: u64,
+    /// Whether events are missing; set until the next snapshot.
     stale: bool,
 }
 
--- a/crates/notchwalk_decide/src/queue.rs
+++ b/crates/notchwalk_decide/src/queue.rs
@@ -20,7 +20,7 @@
 
 /// One of this many picks ignores priorities.
 const ANTI_STARVATION_INTERVAL: u32 = 8;
-/// Upper bound of the lead of a workspace that becomes busy, in nanoseconds of
+/// Maximum lead of a workspace that becomes busy, in nanoseconds of
 /// engine time at weight 1.
 const MAX_LEAD_NS: u64 = 60_000_000_000;
 /// Converts costs, in microseconds, to virtual time, in nanoseconds.
@@ -107,12 +107,13 @@
     }
 }
 
-/// The virtual time and queued work of a workspace.
+/// The virtual time and queued cost of a workspace.
 #[derive(Clone, Debug, Default)]
 struct Account {
     time: VirtualTime,
     /// Indices of the lanes in which it has requests.
     lanes: Vec<usize>,
+    /// Whether it is skipped because it has reached its limit of running requests.
     parked: bool,
     queued_cost_us: u64,
 }
@@ -122,6 +123,7 @@
 pub(crate) struct FairQueue {
     lanes: Vec<LaneQueue>,
     accounts: Vec<Account>,
+    /// The current virtual time of the queue.
     now: VirtualTime,
     queued_cost_us: Vec<u64>,
     active_weight: f64,
--- a/crates/notchwalk_decide/src/retry.rs
+++ b/crates/notchwalk_decide/src/retry.rs
@@ -3,7 +3,7 @@
 
 /// Retries available before any request has succeeded.
 const INITIAL_RETRIES: f64 = 20.0;
-/// Upper bound of the budget.
+/// Maximum number of available retries.
 const MAX_RETRIES: f64 = 100.0;
 
 /// Grows by a fraction of a retry with each success and shrinks by one with
--- a/crates/notchwalk_decide/src/schedule.rs
+++ b/crates/notchwalk_decide/src/schedule.rs
@@ -38,15 +38,17 @@
 pub(crate) struct Schedule {
     /// Lanes that found no capacity since it last changed, by index.
     blocked: Vec<bool>,
-    dirty: bool,
+    /// Whether the lanes are to be served at the end of the current step.
+    needs_run: bool,
     next_retry: notchwalk_core::Instant,
+    /// Counts placements of the round-robin baseline.
     round_robin: usize,
 }
 
 impl Schedule {
     /// Unblocks all lanes, because capacity may have been freed anywhere.
     pub fn capacity_changed(&mut self) {
-        self.dirty = true;
+        self.needs_run = true;
         self.blocked.iter_mut().for_each(|blocked| *blocked = false);
     }
 
@@ -114,7 +116,7 @@
     state.queued += 1;
     let weight = state.weight;
     node.queue.push(&position, key, weight);
-    node.schedule.dirty = true;
+    node.schedule.needs_run = true;
 }
 
 /// Removes a request from its lane, if it is queued.
@@ -166,7 +168,7 @@
 
 /// Serves all lanes while there is capacity.
 pub(crate) fn run(node: &mut Node, cx: &mut Cx<'_>) {
-    if !std::mem::take(&mut node.schedule.dirty) {
+    if !std::mem::take(&mut node.schedule.needs_run) {
         return;
     }
     let groups = node.catalog.groups.len() as u32;
@@ -234,10 +236,10 @@
 /// Returns whether a workspace's long work must wait because shorter work is
 /// blocked and the workspace leads the virtual time.
 fn must_defer_long(node: &mut Node, group: GroupKey, slot: WorkspaceSlot) -> bool {
-    let others_wait = [Lane::Short, Lane::Medium].into_iter().any(|lane| {
+    let shorter_work_is_blocked = [Lane::Short, Lane::Medium].into_iter().any(|lane| {
         *node.schedule.lane_blocked(group, lane) && node.queue.lane_len(group, lane) > 0
     });
-    if !others_wait {
+    if !shorter_work_is_blocked {
         return false;
     }
     let weight = node.catalog.workspace(slot).weight;
--- a/crates/notchwalk_decide/src/server.rs
+++ b/crates/notchwalk_decide/src/server.rs
@@ -19,7 +19,8 @@
     pub(crate) struct ServerKey;
 }
 
-/// Concurrent requests from one node to a server of a plain service.
+/// Maximum number of concurrent requests from one node to a server of a plain
+/// service.
 const SERVICE_SLOTS: u32 = 256;
 /// Age at which a load report expires.
 const REPORT_TTL: Duration = Duration::from_millis(1_500);
@@ -27,12 +28,12 @@
 const FAILURES_TO_OPEN: u32 = 5;
 /// How long the circuit stays open the first time.
 const INITIAL_OPEN_PERIOD: Duration = Duration::from_secs(1);
-/// Upper bound of the number of times that period doubles.
+/// Maximum number of times that this period doubles.
 const MAX_OPEN_DOUBLINGS: u32 = 5;
 
 /// How far charged time may run ahead of this node's share.
 const TIME_CHARGE_SLACK: Duration = Duration::from_millis(20);
-/// Upper bound of the time charged ahead.
+/// Maximum time charged ahead.
 const MAX_TIME_DEBT: Duration = Duration::from_secs(10);
 
 /// A circuit breaker. After the open period the server gets one request at a
--- a/crates/notchwalk_decide/src/suspects.rs
+++ b/crates/notchwalk_decide/src/suspects.rs
@@ -1,7 +1,7 @@
-//! Detection of requests that crash the servers they run on
-//! (`notchwalk_quarantine`). The limit on attempts applies to a single
-//! request, and a caller that retries sends a new one; this module tracks the
-//! content over all requests and nodes.
+//! Detects requests that crash the servers that run them, with
+//! `notchwalk_quarantine`. The limit on attempts applies to one request only,
+//! and a caller that retries sends a new one, so crashes are tracked by content
+//! over all requests and nodes.
 
 use notchwalk_core::{Instant, LogEventKind};
 use notchwalk_quarantine::{Fingerprint, QuarantineFinding, QuarantineUpdate, Verdict};
@@ -16,8 +16,8 @@
     server::ServerKey,
 };
 
-/// `Retry-After` of a suspected request, in milliseconds: by then it is known
-/// whether the servers crashed.
+/// `Retry-After` of a suspected request, in milliseconds. Within this time
+/// crashes are usually confirmed or refuted.
 const SUSPECTED_RETRY_MS: u64 = 2_000;
 /// Bits of an incarnation id that count a server's incarnations.
 const INCARNATION_BITS: u32 = 8;
@@ -84,6 +84,7 @@
     }
 }
 
+/// Records that a request was sent to a server.
 pub(crate) fn on_sent(node: &mut Node, cx: &Cx<'_>, key: RequestKey) {
     if let Some(content) = node.requests[key].content {
         node.quarantine.record_send(content, cx.now);
--- a/crates/notchwalk_decide/src/sweep.rs
+++ b/crates/notchwalk_decide/src/sweep.rs
@@ -1,6 +1,6 @@
-//! Reclaims engine memory: cancels are repeated until engines confirm them, and
-//! a sweep compares the memory that engines hold with the owners that are
-//! alive.
+//! Reclaims engine memory: repeats cancels until engines confirm them, and
+//! periodically cancels allocations whose request has ended or whose owner is
+//! dead.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -19,7 +19,7 @@
 
 /// Delay before a cancel is first repeated; doubles each time.
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(300);
-/// Upper bound of that delay.
+/// Maximum delay between repeated cancels.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(10);
 /// Interval between scans for due cancels.
 const SCAN_INTERVAL: Duration = Duration::from_millis(100);
--- a/crates/notchwalk_decide/src/timer.rs
+++ b/crates/notchwalk_decide/src/timer.rs
@@ -23,6 +23,7 @@
     Claim,
 }
 
+/// The timers of all requests, ordered by time.
 #[derive(Debug, Default)]
 pub(crate) struct Timers {
     due: BTreeSet<(Instant, RequestKey, TimerKind)>,
