--- a/crates/notchwalk_decide/src/dump.rs
+++ b/crates/notchwalk_decide/src/dump.rs
@@ -44,7 +44,7 @@
     pub circuit: String,
     /// The models or the service it serves.
     pub serves: Vec<String>,
-    /// This node's share of its time, in thousandths.
+    /// This node's share of the server's time, in thousandths.
     pub share_per_mille: u64,
     /// Requests of this node running there.
     pub running: u32,
--- a/crates/notchwalk_decide/src/long_work.rs
+++ b/crates/notchwalk_decide/src/long_work.rs
@@ -217,9 +217,9 @@
     let Some(plan) = &req.plan else {
         return false;
     };
-    let next = plan.servers.get(plan.granted);
-    let next = next.map(|server| node.servers.arena[*server].id);
-    req.id == reply.request && req.phase == Phase::Asking && next == Some(reply.server)
+    let next_server = plan.servers.get(plan.granted);
+    let next_server = next_server.map(|server| node.servers.arena[*server].id);
+    req.id == reply.request && req.phase == Phase::Asking && next_server == Some(reply.server)
 }
 
 /// Returns whether a reservation belongs to a plan that is still active.
--- a/crates/notchwalk_quarantine/src/quarantine/peers.rs
+++ b/crates/notchwalk_quarantine/src/quarantine/peers.rs
@@ -126,10 +126,10 @@
             if suspect.is_quarantined(now) {
                 continue;
             }
-            let repeated = full && suspect.incidents().count() > 1;
+            let is_repeated = full && suspect.incidents().count() > 1;
             for crash in suspect.crashes() {
-                let recent = crash.observed_locally && now.since(crash.at) < REBROADCAST_PERIOD;
-                if !recent && !repeated {
+                let is_recent = crash.observed_locally && now.since(crash.at) < REBROADCAST_PERIOD;
+                if !is_recent && !is_repeated {
                     continue;
                 }
                 updates.push(QuarantineUpdate::Crashed {
