--- a/crates/notchwalk_quarantine/src/quarantine/peers.rs
+++ b/crates/notchwalk_quarantine/src/quarantine/peers.rs
@@ -93,7 +93,8 @@
         }
     }
 
-    /// Restores a quarantine from the store.
+    /// Restores a quarantine from the store. `times` counts the quarantines so far, including
+    /// this one.
     pub fn restore(&mut self, content: Fingerprint, left: Duration, times: u32, now: Instant) {
         let period = QuarantinePeriod {
             since: now,
@@ -125,10 +126,10 @@
             if suspect.is_quarantined(now) {
                 continue;
             }
-            let repeated = full && suspect.incidents().count() > 1;
+            let is_repeated = full && suspect.incidents().count() > 1;
             for crash in suspect.crashes() {
-                let recent = crash.observed_locally && now.since(crash.at) < REBROADCAST_PERIOD;
-                if !recent && !repeated {
+                let is_recent = crash.observed_locally && now.since(crash.at) < REBROADCAST_PERIOD;
+                if !is_recent && !is_repeated {
                     continue;
                 }
                 updates.push(QuarantineUpdate::Crashed {
