--- a/crates/notchwalk_bundle/tests/bundles.rs
+++ b/crates/notchwalk_bundle/tests/bundles.rs
@@ -76,31 +76,40 @@
         parts: parts.iter().map(|p| (p.name, p.digest())).collect(),
         signatures: Vec::new(),
     };
-    assert!(manifest.verify(&bundle).is_err(), "no signature");
+    assert!(
+        manifest.verify(&bundle).is_err(),
+        "accepted without signatures"
+    );
     manifest.sign("amna", &amna);
-    assert!(manifest.verify(&bundle).is_err(), "only the author signed");
+    assert!(
+        manifest.verify(&bundle).is_err(),
+        "accepted with the signature of the author only"
+    );
     manifest.sign("amna", &amna);
     assert!(
         manifest.verify(&bundle).is_err(),
-        "the same operator signed twice"
+        "accepted with two signatures of one operator"
     );
     let mut reviewer_only = manifest.clone();
     reviewer_only.signatures.clear();
     reviewer_only.sign("said", &said);
     assert!(
         reviewer_only.verify(&bundle).is_err(),
-        "only a reviewer signed"
+        "accepted with the signature of a reviewer only"
     );
     manifest.sign("said", &said);
     manifest.verify(&bundle).expect("valid signatures");
     let mut forged = manifest.clone();
     forged.reason = "another".to_owned();
-    assert!(forged.verify(&bundle).is_err(), "changed after signing");
+    assert!(
+        forged.verify(&bundle).is_err(),
+        "accepted although changed after signing"
+    );
     let mut wrong_key = manifest.clone();
     wrong_key.sign("said", &new_signing_key());
     assert!(
         wrong_key.verify(&bundle).is_err(),
-        "signed with another key"
+        "accepted with a signature by another key"
     );
 }
 
--- a/crates/notchwalk_cli/src/bundles.rs
+++ b/crates/notchwalk_cli/src/bundles.rs
@@ -117,7 +117,7 @@
     Ok(())
 }
 
-/// Fetches the bundle in force; returns `None` if no bundle was accepted yet.
+/// Fetches the active bundle; returns `None` if no bundle was accepted yet.
 async fn fetch_in_force(
     platform: &HttpPlatform,
 ) -> Result<Option<(BundleHead, FetchedBundle)>, CliError> {
--- a/crates/notchwalk_cli/tests/explain.rs
+++ b/crates/notchwalk_cli/tests/explain.rs
@@ -75,6 +75,10 @@
 #[test]
 fn limited_request_is_shown_with_the_limits_of_servers() {
     let request_log = RequestLog::for_request("ee", LIMITED).expect("the request");
-    assert_eq!(request_log.lines.len(), 3, "with the lines of the limits");
+    assert_eq!(
+        request_log.lines.len(),
+        3,
+        "expected the lines of the limits as well"
+    );
     assert!(request_log.cause().contains("report rate limits (NW4106)"));
 }
--- a/crates/notchwalk_daemon/tests/parts.rs
+++ b/crates/notchwalk_daemon/tests/parts.rs
@@ -43,9 +43,12 @@
     let clock = Clock::with_source(Arc::new(machine.clone()));
     let watch = SuspensionWatch::new(&clock);
     machine.run(Duration::from_secs(60));
-    assert!(!watch.check(&clock), "no suspension");
+    assert!(!watch.check(&clock), "reported without a suspension");
     machine.suspend(Duration::from_millis(100));
-    assert!(!watch.check(&clock), "below the detection threshold");
+    assert!(
+        !watch.check(&clock),
+        "reported below the detection threshold"
+    );
     machine.suspend(Duration::from_secs(5));
     assert!(watch.check(&clock));
     assert!(!watch.check(&clock));
--- a/crates/notchwalk_decide/tests/decisions/attempts.rs
+++ b/crates/notchwalk_decide/tests/decisions/attempts.rs
@@ -28,7 +28,10 @@
     let second = single_dispatch(&node.take_effects());
     assert_eq!(second.offset, 5);
     assert!(second.attempt > first.attempt);
-    assert_ne!(second.server, first.server, "the failed engine is avoided");
+    assert_ne!(
+        second.server, first.server,
+        "the failed engine must be avoided"
+    );
     // The engine repeats two tokens, which are skipped.
     node.frame(&second, id, 3, 4);
     node.frame(&second, id, 7, 3);
@@ -88,7 +91,10 @@
     node.advance(5_500, 2);
     let effects = node.take_effects();
     let cancelled = effects.iter().any(|e| matches!(e, Effect::Cancel { .. }));
-    assert!(cancelled, "the stalled attempt is cancelled on its engine");
+    assert!(
+        cancelled,
+        "the stalled attempt must be cancelled on its engine"
+    );
     assert_eq!(single_dispatch(&effects).offset, 1);
 }
 
@@ -162,6 +168,6 @@
     assert_eq!(failure.outcome, ExecutionOutcome::NotRun);
     assert_eq!(
         failure.retry_after_ms, None,
-        "a later attempt would fail as well"
+        "no retry must be suggested, since it would fail as well"
     );
 }
--- a/crates/notchwalk_decide/tests/decisions/claims.rs
+++ b/crates/notchwalk_decide/tests/decisions/claims.rs
@@ -64,7 +64,7 @@
     let all = [effects, node.take_effects()].concat();
     assert!(
         all.iter().any(released),
-        "the write may still have taken effect"
+        "the claim must be released, since its write may have taken effect"
     );
 }
 
--- a/crates/notchwalk_decide/tests/decisions/orders.rs
+++ b/crates/notchwalk_decide/tests/decisions/orders.rs
@@ -59,7 +59,7 @@
     node.advance(5_500, 1);
     assert!(
         writes(&node.take_effects()).is_empty(),
-        "the lease has not expired"
+        "the lease must not be acquired before it expires"
     );
     node.advance(3_000, 1);
     let (expected, row) = writes(&node.take_effects())[0];
@@ -120,7 +120,7 @@
     let now = notchwalk_core::Instant::from_millis(node.now_ms);
     assert!(
         !node.inner.may_order(now, 5),
-        "an order that is about to be sent is stopped as well"
+        "an order that is about to be sent must be stopped as well"
     );
 }
 
--- a/crates/notchwalk_decide/tests/decisions/policy.rs
+++ b/crates/notchwalk_decide/tests/decisions/policy.rs
@@ -66,11 +66,11 @@
     let low_position = order
         .iter()
         .position(|seq| *seq == 9)
-        .expect("the low priority is served");
-    assert!(low_position > 0, "the high priority goes first");
+        .expect("the low priority must be served");
+    assert!(low_position > 0, "the high priority must be served first");
     assert!(
         low_position <= 8,
-        "the low priority is served by the eighth pick, not {low_position}"
+        "the low priority must be served by position 8, got {low_position}"
     );
 }
 
@@ -87,7 +87,7 @@
     let served_of_b = order.iter().filter(|seq| **seq % 2 == 0).count();
     assert!(
         (28..=34).contains(&served_of_b),
-        "b has weight 3 of 4, got {served_of_b} of 40"
+        "b must be served by its weight of 3 in 4, got {served_of_b} of 40"
     );
 }
 
@@ -126,7 +126,7 @@
     assert_eq!(
         dispatches(&node.take_effects()).len(),
         1,
-        "callers may still have the address cached"
+        "requests must be served while callers may have the address cached"
     );
     node.advance(5_100, 1);
     node.generate(100, 1, 60_000);
@@ -138,7 +138,10 @@
     node.complete(&dispatch, 1);
     node.advance(100, 1);
     let stopped = |effects: &[Effect]| effects.contains(&Effect::Stop);
-    assert!(!stopped(&node.take_effects()), "one request is still open");
+    assert!(
+        !stopped(&node.take_effects()),
+        "the node must not stop while a request is open"
+    );
     assert_eq!(node.inner.open_requests(), 1);
 }
 
--- a/crates/notchwalk_decide/tests/decisions/suspects.rs
+++ b/crates/notchwalk_decide/tests/decisions/suspects.rs
@@ -38,6 +38,6 @@
     assert_eq!(
         dispatches(&node.take_effects()).len(),
         1,
-        "requests with other content are served"
+        "requests with other content must be served"
     );
 }
--- a/crates/notchwalk_http/tests/bodies.rs
+++ b/crates/notchwalk_http/tests/bodies.rs
@@ -59,6 +59,6 @@
         headers.insert(header::CONTENT_LENGTH, HeaderValue::from_str(&length).expect("visible"));
         let _ = BodyReader::for_request(&headers);
         headers.insert(header::TRANSFER_ENCODING, HeaderValue::from_str(&coding).expect("visible"));
-        prop_assert!(BodyReader::for_request(&headers).is_err(), "both Content-Length and Transfer-Encoding");
+        prop_assert!(BodyReader::for_request(&headers).is_err(), "accepted both Content-Length and Transfer-Encoding");
     }
 }
--- a/crates/notchwalk_platform/src/bundles.rs
+++ b/crates/notchwalk_platform/src/bundles.rs
@@ -18,7 +18,7 @@
 /// The value of the head row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BundleHead {
-    /// The version in force.
+    /// The active version.
     pub version: u64,
     /// The digest of its manifest.
     pub manifest: String,
@@ -50,12 +50,12 @@
     #[display("version {} is in force, expected {}: {}", current.version, expected, changed_by)]
     #[from(ignore)]
     Conflict {
-        /// The version in force.
+        /// The active version.
         #[error(not(source))]
         current: BundleHead,
         /// The version that the change is based on.
         expected: u64,
-        /// The operators who signed the version in force, and the reason they gave.
+        /// The operators who signed the active version, and the reason they gave.
         changed_by: String,
     },
     /// Stored data is missing, or its content does not match its digest.
@@ -290,7 +290,7 @@
     update_head(platform, head, new_head).await
 }
 
-/// Stores the parts that changed, and their deltas from the version in force.
+/// Stores the parts that changed, and their deltas from the active version.
 async fn store_parts(
     platform: &dyn Platform,
     head: Option<&BundleHead>,
@@ -321,7 +321,7 @@
     Ok(())
 }
 
-/// Checks that a manifest is the successor of the version in force and is signed.
+/// Checks that a manifest is the successor of the active version and is signed.
 async fn check_successor(
     platform: &dyn Platform,
     manifest: &Manifest,
--- a/crates/notchwalk_quarantine/tests/rules.rs
+++ b/crates/notchwalk_quarantine/tests/rules.rs
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn answer_to_an_earlier_request_refutes_crash() {
+fn response_to_an_earlier_request_refutes_crash() {
     let (mut node, good) = (Node::new(), content(1));
     let sent = node.now;
     node.advance(100);
@@ -155,7 +155,7 @@
     node.advance(100);
     node.quarantine.record_server_alive(1, sent, node.now);
     assert!(node.is_allowed(good));
-    // A request sent after the crash may be answered by the server's next incarnation.
+    // A request sent after the crash may reach the server's next incarnation.
     node.crash(good, 1);
     let sent = node.now.after(Duration::from_millis(50));
     node.advance(500);
@@ -192,31 +192,31 @@
     assert!(node.quarantine.take_findings().iter().any(ended));
 }
 
-/// Guards against quarantining a content that ran beside the crashing one in two of its
+/// Guards against quarantining a content that ran alongside the crashing one in two of its
 /// three crashes.
 #[test]
 fn crash_attributed_to_quarantined_content_does_not_count_against_others() {
-    let (mut node, bad, beside) = (Node::new(), content(1), content(2));
+    let (mut node, bad, concurrent) = (Node::new(), content(1), content(2));
     for server in 0..3 {
         node.break_connection(bad, server);
         if server > 0 {
-            node.break_connection(beside, server);
+            node.break_connection(concurrent, server);
         }
         node.end_server(server);
         node.advance(300);
     }
     assert!(node.is_quarantined(bad));
-    assert!(node.is_allowed(beside));
+    assert!(node.is_allowed(concurrent));
     // An update that arrives late does not count either.
     let late = QuarantineUpdate::Crashed {
-        content: beside,
+        content: concurrent,
         server: 1,
         age_ms: 600,
         others: 9,
         silent: false,
     };
     node.quarantine.apply_updates(1, &[late], node.now);
-    assert!(node.is_allowed(beside));
+    assert!(node.is_allowed(concurrent));
 }
 
 #[test]
@@ -401,13 +401,13 @@
 }
 
 /// Guards against treating two concurrent runs of one content as correlated losses, and
-/// against quarantining a content that ran beside one of them.
+/// against quarantining a content that ran alongside one of them.
 #[test]
 fn concurrent_runs_that_crash_both_servers_count_against_their_content() {
-    let (mut node, bad, beside) = (Node::new(), content(1), content(2));
+    let (mut node, bad, concurrent) = (Node::new(), content(1), content(2));
     for round in 0..3 {
         let (one, other) = (round * 10, round * 10 + 1);
-        node.break_connection(beside, one);
+        node.break_connection(concurrent, one);
         node.break_connection(bad, one);
         node.break_connection(bad, other);
         node.end_server(one);
@@ -415,7 +415,7 @@
         node.advance(300);
     }
     assert!(node.is_quarantined(bad));
-    assert!(node.is_allowed(beside));
+    assert!(node.is_allowed(concurrent));
 }
 
 /// Guards against counting each broken connection to one crashed server as a crash.
--- a/crates/notchwalk_route/tests/decisions/common.rs
+++ b/crates/notchwalk_route/tests/decisions/common.rs
@@ -110,7 +110,7 @@
     }
 }
 
-/// A router, its clock and the effects it emitted.
+/// A node under test: its router, its clock and the emitted effects.
 pub struct TestRouter {
     pub router: Router,
     pub now: Instant,
@@ -129,9 +129,9 @@
 
     /// Creates the router of a node that has run long enough to receive its peers' work.
     pub fn with_engines(name: &str, engines: u8) -> Self {
-        let mut rig = Self::just_started(name, engines);
-        rig.advance(Duration::from_secs(5));
-        rig
+        let mut node = Self::just_started(name, engines);
+        node.advance(Duration::from_secs(5));
+        node
     }
 
     /// Creates the router of a node that has just started.
@@ -144,7 +144,7 @@
             retry_window: Duration::from_secs(10),
             seed: 7,
         });
-        let mut rig = Self {
+        let mut node = Self {
             router,
             now: Instant::from_millis(1_000),
             effects: Vec::new(),
@@ -152,14 +152,14 @@
             content: None,
             arrivals: 0,
         };
-        rig.step(Event::NodeCount { count: 1 });
-        rig.step(Event::LimitSharing(LimitSharing::new(name, 1, 1)));
-        rig.step(Event::Configured(site()));
+        node.step(Event::NodeCount { count: 1 });
+        node.step(Event::LimitSharing(LimitSharing::new(name, 1, 1)));
+        node.step(Event::Configured(site()));
         let engines = (0..engines).map(|number| record(ENGINES, number));
-        let desks = (0..3).map(|number| record(PLAIN_SERVICE, number));
-        let servers = engines.chain(desks).collect();
-        rig.step(Event::Servers(ServerChange::All(servers)));
-        rig
+        let plain_servers = (0..3).map(|number| record(PLAIN_SERVICE, number));
+        let servers = engines.chain(plain_servers).collect();
+        node.step(Event::Servers(ServerChange::All(servers)));
+        node
     }
 
     pub fn step(&mut self, event: Event) {
@@ -253,8 +253,8 @@
     }
 }
 
-/// Returns a registration of a desk server with the start time of its incarnation.
-pub fn desk(number: u8, started_ms: u64) -> ServerRecord {
+/// Returns a registration of a plain server with the start time of its incarnation.
+pub fn plain_server(number: u8, started_ms: u64) -> ServerRecord {
     ServerRecord {
         started_ms: Some(started_ms),
         ..record(PLAIN_SERVICE, number)
@@ -262,14 +262,14 @@
 }
 
 /// Registers a server, or updates its registration.
-pub fn register(rig: &mut TestRouter, record: ServerRecord) {
-    rig.step(Event::Servers(ServerChange::Registered(record)));
+pub fn register(node: &mut TestRouter, record: ServerRecord) {
+    node.step(Event::Servers(ServerChange::Registered(record)));
 }
 
 /// Returns the key of a registered server.
-pub fn server_key(rig: &TestRouter, service: &str, number: u8) -> ServerKey {
+pub fn server_key(node: &TestRouter, service: &str, number: u8) -> ServerKey {
     let instance = record(service, number).instance;
-    let fleet = rig.router.fleet();
+    let fleet = node.router.fleet();
     fleet.by_instance(&instance).expect("server is registered")
 }
 
--- a/crates/notchwalk_route/tests/decisions/groups.rs
+++ b/crates/notchwalk_route/tests/decisions/groups.rs
@@ -93,25 +93,25 @@
 /// A node uses the engines of its group, or all engines while those are unreachable.
 #[test]
 fn unreachable_group_falls_back_to_all_servers() {
-    let mut rig = TestRouter::with_engines("entry-1", 32);
-    rig.step(Event::Group(Group::for_node(0, 200, 3_000)));
+    let mut node = TestRouter::with_engines("entry-1", 32);
+    node.step(Event::Group(Group::for_node(0, 200, 3_000)));
     for _ in 0..40 {
-        rig.arrive("/short/", 5_000);
+        node.arrive("/short/", 5_000);
     }
-    let own = count_by_server(&rig.take_sends());
+    let own = count_by_server(&node.take_sends());
     assert!(own.len() <= 8, "{own:?}");
     // From here on the engines of the group are unreachable.
     let mut used = own.len();
     for _ in 0..200 {
-        let request = rig.arrive("/short/", 5_000);
-        for (_, to) in rig.take_sends() {
+        let request = node.arrive("/short/", 5_000);
+        for (_, to) in node.take_sends() {
             if !own.contains_key(&to.instance) {
                 used += 1;
             }
         }
-        rig.end_attempt(request, AttemptEnd::NotConnected);
-        rig.take_sends();
-        rig.step(Event::Abandoned { request });
+        node.end_attempt(request, AttemptEnd::NotConnected);
+        node.take_sends();
+        node.step(Event::Abandoned { request });
     }
     assert!(used > own.len(), "no other engine was used");
 }
--- a/crates/notchwalk_route/tests/decisions/limits.rs
+++ b/crates/notchwalk_route/tests/decisions/limits.rs
@@ -8,63 +8,63 @@
 };
 
 use crate::common::{
-    content, desk, record, register, server_key, TestRouter, ENGINES, PLAIN_SERVICE,
+    content, plain_server, record, register, server_key, TestRouter, ENGINES, PLAIN_SERVICE,
 };
 
 const SECOND: Duration = Duration::from_secs(1);
 
 /// Announces a server's limit in the response to a request that was sent `age` ago.
 fn announce_aged(
-    rig: &mut TestRouter,
+    node: &mut TestRouter,
     service: &str,
     number: u8,
     rate: Option<f64>,
     age: Duration,
 ) {
-    let server = server_key(rig, service, number);
+    let server = server_key(node, service, number);
     let limit = rate.and_then(RateLimit::per_second);
-    let requested_at = rig.now.before(age);
+    let requested_at = node.now.before(age);
     let notice = ServerNotice::Limit {
         limit,
         requested_at,
     };
-    rig.step(Event::NoticeReceived { server, notice });
+    node.step(Event::NoticeReceived { server, notice });
 }
 
-fn announce(rig: &mut TestRouter, service: &str, number: u8, rate: f64) {
-    announce_aged(rig, service, number, Some(rate), Duration::ZERO);
+fn announce(node: &mut TestRouter, service: &str, number: u8, rate: f64) {
+    announce_aged(node, service, number, Some(rate), Duration::ZERO);
 }
 
 /// Announces the same limit for all servers of a service.
-fn announce_all(rig: &mut TestRouter, service: &str, count: u8, rate: f64) {
+fn announce_all(node: &mut TestRouter, service: &str, count: u8, rate: f64) {
     for number in 0..count {
-        announce(rig, service, number, rate);
+        announce(node, service, number, rate);
     }
 }
 
-fn limit(rig: &TestRouter, service: &str, number: u8) -> Option<f64> {
-    let server = rig.router.fleet().get(server_key(rig, service, number));
+fn limit(node: &TestRouter, service: &str, number: u8) -> Option<f64> {
+    let server = node.router.fleet().get(server_key(node, service, number));
     server.and_then(|s| s.limit()).map(RateLimit::rate)
 }
 
-fn available_requests(rig: &TestRouter, service: &str, number: u8) -> f64 {
-    let server = rig.router.fleet().get(server_key(rig, service, number));
+fn available_requests(node: &TestRouter, service: &str, number: u8) -> f64 {
+    let server = node.router.fleet().get(server_key(node, service, number));
     server
-        .and_then(|s| s.available_requests(rig.now))
+        .and_then(|s| s.available_requests(node.now))
         .expect("no limit")
 }
 
 /// Uses up the limits of `servers` servers with one request each.
-fn use_up_limits(rig: &mut TestRouter, path: &str, tokens: u32, servers: usize) {
+fn use_up_limits(node: &mut TestRouter, path: &str, tokens: u32, servers: usize) {
     for _ in 0..servers {
-        let request = rig.arrive(path, tokens);
-        rig.end_attempt(request, AttemptEnd::Delivered { is_success: true });
+        let request = node.arrive(path, tokens);
+        node.end_attempt(request, AttemptEnd::Delivered { is_success: true });
     }
-    assert_eq!(rig.take_sends().len(), servers);
+    assert_eq!(node.take_sends().len(), servers);
 }
 
-fn refused(rig: &TestRouter, request: RequestKey) -> Option<(Refusal, Duration)> {
-    rig.effects.iter().find_map(|effect| match effect {
+fn refused(node: &TestRouter, request: RequestKey) -> Option<(Refusal, Duration)> {
+    node.effects.iter().find_map(|effect| match effect {
         Effect::Refuse {
             request: refused,
             reason,
@@ -76,21 +76,21 @@
 
 #[test]
 fn first_attempts_stay_within_the_limits() {
-    let mut rig = TestRouter::new();
-    announce_all(&mut rig, PLAIN_SERVICE, 3, 1.0);
+    let mut node = TestRouter::new();
+    announce_all(&mut node, PLAIN_SERVICE, 3, 1.0);
     for _ in 0..20 {
-        rig.arrive("/again/", 0);
+        node.arrive("/again/", 0);
     }
     assert_eq!(
-        rig.take_sends().len(),
+        node.take_sends().len(),
         0,
         "a new limit must start with an empty bucket"
     );
     let mut sent = 0;
     for _ in 0..600 {
-        rig.advance(Duration::from_millis(15));
-        rig.arrive("/again/", 0);
-        sent += rig.take_sends().len();
+        node.advance(Duration::from_millis(15));
+        node.arrive("/again/", 0);
+        sent += node.take_sends().len();
     }
     assert!(
         (24..=27).contains(&sent),
@@ -101,26 +101,26 @@
 /// Fails a request on its first server while the limits of the others are exhausted; returns
 /// the time until it is sent again.
 fn time_until_second_attempt(service: &str, path: &str, tokens: u32) -> Duration {
-    let mut rig = TestRouter::with_engines("entry-1", 3);
-    announce_all(&mut rig, service, 3, 1.0);
-    rig.advance(5 * SECOND);
-    use_up_limits(&mut rig, path, tokens, 2);
-    let request = rig.arrive(path, tokens);
-    assert_eq!(rig.take_sends().len(), 1);
+    let mut node = TestRouter::with_engines("entry-1", 3);
+    announce_all(&mut node, service, 3, 1.0);
+    node.advance(5 * SECOND);
+    use_up_limits(&mut node, path, tokens, 2);
+    let request = node.arrive(path, tokens);
+    assert_eq!(node.take_sends().len(), 1);
     if tokens > 0 {
-        rig.step(Event::Started { request });
+        node.step(Event::Started { request });
     }
-    let failed_at = rig.now;
-    rig.end_attempt(request, AttemptEnd::ConnectionLost);
-    while rig.take_sends().is_empty() {
+    let failed_at = node.now;
+    node.end_attempt(request, AttemptEnd::ConnectionLost);
+    while node.take_sends().is_empty() {
         assert!(
-            rig.now.since(failed_at) < 5 * SECOND,
+            node.now.since(failed_at) < 5 * SECOND,
             "{:?}",
-            rig.refusals()
+            node.refusals()
         );
-        rig.advance(Duration::from_millis(15));
+        node.advance(Duration::from_millis(15));
     }
-    rig.now.since(failed_at)
+    node.now.since(failed_at)
 }
 
 /// A refusal would be final, since the request may have run.
@@ -139,11 +139,11 @@
 
 #[test]
 fn engines_with_low_limits_are_no_prefill_workers() {
-    let mut rig = TestRouter::new();
-    announce_all(&mut rig, ENGINES, 12, 1.0);
-    rig.advance(5 * SECOND);
-    rig.arrive("/long/", 154_000);
-    let to = rig.take_only_send();
+    let mut node = TestRouter::new();
+    announce_all(&mut node, ENGINES, 12, 1.0);
+    node.advance(5 * SECOND);
+    node.arrive("/long/", 154_000);
+    let to = node.take_only_send();
     assert!(!to.prefill_workers.is_empty(), "the prompt is not split");
     let limited: Vec<_> = (0..12).map(|n| record(ENGINES, n).addr).collect();
     assert!(to
@@ -154,18 +154,18 @@
 
 #[test]
 fn segments_and_reservation_orders_count_against_the_limit() {
-    let mut rig = TestRouter::new();
-    announce_all(&mut rig, ENGINES, 18, 40.0);
-    rig.advance(5 * SECOND);
+    let mut node = TestRouter::new();
+    announce_all(&mut node, ENGINES, 18, 40.0);
+    node.advance(5 * SECOND);
     let before: Vec<f64> = (0..18)
-        .map(|n| available_requests(&rig, ENGINES, n))
+        .map(|n| available_requests(&node, ENGINES, n))
         .collect();
-    let request = rig.arrive("/long/", 600_000);
+    let request = node.arrive("/long/", 600_000);
     let reserve = |effect: &Effect| match effect {
         Effect::Reserve { orders, .. } => Some(orders.clone()),
         _ => None,
     };
-    let orders = rig
+    let orders = node
         .effects
         .iter()
         .find_map(reserve)
@@ -174,29 +174,29 @@
     let number = number.expect("no engine at that address");
     let at_start = before[usize::from(number)];
     // The reservation order, and the request or its segment.
-    assert!((available_requests(&rig, ENGINES, number) - (at_start - 2.0)).abs() < 0.01);
+    assert!((available_requests(&node, ENGINES, number) - (at_start - 2.0)).abs() < 0.01);
     let addr = orders[0].addr;
     let unreachable = false;
     let failed = vec![notchwalk_route::FailedReservation { addr, unreachable }];
-    rig.step(Event::Reserved { request, failed });
+    node.step(Event::Reserved { request, failed });
     // The request or segment was not sent. The release order counts, even beyond the limit.
-    assert!((available_requests(&rig, ENGINES, number) - (at_start - 2.0)).abs() < 0.01);
+    assert!((available_requests(&node, ENGINES, number) - (at_start - 2.0)).abs() < 0.01);
 }
 
 #[test]
 fn unsent_requests_do_not_count_against_the_limit() {
     for end in [AttemptEnd::NotConnected, AttemptEnd::NotSent] {
-        let mut rig = TestRouter::new();
-        announce_all(&mut rig, PLAIN_SERVICE, 3, 1.0);
-        rig.advance(5 * SECOND);
-        let full = available_requests(&rig, PLAIN_SERVICE, 0);
-        let request = rig.arrive("/again/", 0);
-        let to = rig.take_only_send().instance;
-        rig.end_attempt(request, end);
+        let mut node = TestRouter::new();
+        announce_all(&mut node, PLAIN_SERVICE, 3, 1.0);
+        node.advance(5 * SECOND);
+        let full = available_requests(&node, PLAIN_SERVICE, 0);
+        let request = node.arrive("/again/", 0);
+        let to = node.take_only_send().instance;
+        node.end_attempt(request, end);
         let number = (0..3).find(|&n| record(PLAIN_SERVICE, n).instance == to);
         let number = number.expect("no such server");
-        let left = available_requests(&rig, PLAIN_SERVICE, number);
-        let sent_there_again = rig
+        let left = available_requests(&node, PLAIN_SERVICE, number);
+        let sent_there_again = node
             .take_sends()
             .iter()
             .any(|(_, again)| again.instance == to);
@@ -206,10 +206,10 @@
 }
 
 /// Returns the limit updates that a node publishes.
-fn updates(rig: &TestRouter) -> Vec<LimitUpdate> {
-    rig.router
+fn updates(node: &TestRouter) -> Vec<LimitUpdate> {
+    node.router
         .fleet()
-        .limit_updates(LimitScope::Direct, 48, rig.now)
+        .limit_updates(LimitScope::Direct, 48, node.now)
 }
 
 fn publish(from: &TestRouter, to: &mut TestRouter, name: &str, peer: u32) {
@@ -264,11 +264,11 @@
 
 #[test]
 fn sends_of_peers_count_against_the_limit() {
-    let mut rig = TestRouter::new();
-    announce(&mut rig, PLAIN_SERVICE, 0, 2.0);
-    rig.advance(5 * SECOND);
-    let full = available_requests(&rig, PLAIN_SERVICE, 0);
-    let server = updates(&rig)[0].server;
+    let mut node = TestRouter::new();
+    announce(&mut node, PLAIN_SERVICE, 0, 2.0);
+    node.advance(5 * SECOND);
+    let full = available_requests(&node, PLAIN_SERVICE, 0);
+    let server = updates(&node)[0].server;
     let mut available_after = |sent| {
         let limits = vec![LimitUpdate {
             server,
@@ -278,13 +278,13 @@
         }];
         let name = "entry-2".to_owned();
         let peer = 1;
-        rig.step(Event::LimitUpdates {
+        node.step(Event::LimitUpdates {
             peer,
             name,
             is_in_group: true,
             updates: limits,
         });
-        available_requests(&rig, PLAIN_SERVICE, 0)
+        available_requests(&node, PLAIN_SERVICE, 0)
     };
     // The first counter only sets the baseline.
     assert!((available_after(70) - full).abs() < 0.01);
@@ -300,14 +300,14 @@
 /// An unreachable peer may still be sending.
 #[test]
 fn shares_of_unreachable_nodes_are_not_used() {
-    let mut rig = TestRouter::new();
-    rig.step(Event::LimitSharing(LimitSharing::new("entry-1", 4, 1)));
-    announce_all(&mut rig, PLAIN_SERVICE, 3, 4.0);
+    let mut node = TestRouter::new();
+    node.step(Event::LimitSharing(LimitSharing::new("entry-1", 4, 1)));
+    announce_all(&mut node, PLAIN_SERVICE, 3, 4.0);
     let mut sent = 0;
     for _ in 0..800 {
-        rig.advance(Duration::from_millis(15));
-        rig.arrive("/again/", 0);
-        sent += rig.take_sends().len();
+        node.advance(Duration::from_millis(15));
+        node.arrive("/again/", 0);
+        sent += node.take_sends().len();
     }
     assert!(
         (32..=36).contains(&sent),
@@ -318,39 +318,39 @@
 /// Responses may arrive out of order.
 #[test]
 fn response_to_the_newest_request_sets_the_limit() {
-    let mut rig = TestRouter::new();
+    let mut node = TestRouter::new();
     let age = |ms| Duration::from_millis(ms);
-    announce_aged(&mut rig, PLAIN_SERVICE, 0, Some(2.0), age(100));
-    announce_aged(&mut rig, PLAIN_SERVICE, 0, None, age(300));
+    announce_aged(&mut node, PLAIN_SERVICE, 0, Some(2.0), age(100));
+    announce_aged(&mut node, PLAIN_SERVICE, 0, None, age(300));
     assert_eq!(
-        limit(&rig, PLAIN_SERVICE, 0),
+        limit(&node, PLAIN_SERVICE, 0),
         Some(2.0),
         "an older response without a limit must not apply"
     );
-    announce_aged(&mut rig, PLAIN_SERVICE, 0, Some(5.0), age(300));
+    announce_aged(&mut node, PLAIN_SERVICE, 0, Some(5.0), age(300));
     assert_eq!(
-        limit(&rig, PLAIN_SERVICE, 0),
+        limit(&node, PLAIN_SERVICE, 0),
         Some(2.0),
         "an older response with a higher limit must not apply"
     );
-    announce_aged(&mut rig, PLAIN_SERVICE, 0, Some(1.0), age(300));
+    announce_aged(&mut node, PLAIN_SERVICE, 0, Some(1.0), age(300));
     assert_eq!(
-        limit(&rig, PLAIN_SERVICE, 0),
+        limit(&node, PLAIN_SERVICE, 0),
         Some(1.0),
         "an older response with a lower limit must apply"
     );
-    announce_aged(&mut rig, PLAIN_SERVICE, 0, Some(5.0), age(50));
-    assert_eq!(limit(&rig, PLAIN_SERVICE, 0), Some(5.0));
-    announce_aged(&mut rig, PLAIN_SERVICE, 0, None, age(50));
-    assert_eq!(limit(&rig, PLAIN_SERVICE, 0), None);
-    announce_aged(&mut rig, PLAIN_SERVICE, 0, Some(3.0), age(80));
+    announce_aged(&mut node, PLAIN_SERVICE, 0, Some(5.0), age(50));
+    assert_eq!(limit(&node, PLAIN_SERVICE, 0), Some(5.0));
+    announce_aged(&mut node, PLAIN_SERVICE, 0, None, age(50));
+    assert_eq!(limit(&node, PLAIN_SERVICE, 0), None);
+    announce_aged(&mut node, PLAIN_SERVICE, 0, Some(3.0), age(80));
     assert_eq!(
-        limit(&rig, PLAIN_SERVICE, 0),
+        limit(&node, PLAIN_SERVICE, 0),
         Some(3.0),
-        "a limit applies until a newer response lifts it"
+        "a limit must apply until a newer response lifts it"
     );
-    announce_aged(&mut rig, PLAIN_SERVICE, 0, None, age(60));
-    assert_eq!(limit(&rig, PLAIN_SERVICE, 0), None);
+    announce_aged(&mut node, PLAIN_SERVICE, 0, None, age(60));
+    assert_eq!(limit(&node, PLAIN_SERVICE, 0), None);
 }
 
 /// A peer publishes a limit until it receives the update that ends it.
@@ -369,45 +369,45 @@
 
 #[test]
 fn limit_ends_with_the_incarnation() {
-    let mut rig = TestRouter::new();
-    register(&mut rig, desk(0, 1_000));
-    announce(&mut rig, PLAIN_SERVICE, 0, 2.0);
-    register(&mut rig, desk(0, 1_000));
-    assert_eq!(limit(&rig, PLAIN_SERVICE, 0), Some(2.0));
-    register(&mut rig, desk(0, 2_000));
-    assert_eq!(limit(&rig, PLAIN_SERVICE, 0), None);
+    let mut node = TestRouter::new();
+    register(&mut node, plain_server(0, 1_000));
+    announce(&mut node, PLAIN_SERVICE, 0, 2.0);
+    register(&mut node, plain_server(0, 1_000));
+    assert_eq!(limit(&node, PLAIN_SERVICE, 0), Some(2.0));
+    register(&mut node, plain_server(0, 2_000));
+    assert_eq!(limit(&node, PLAIN_SERVICE, 0), None);
 }
 
 /// A registration expires while the store is unavailable, although its server still runs.
 #[test]
 fn limit_is_restored_after_a_registration_expires() {
-    let mut rig = TestRouter::new();
-    announce(&mut rig, PLAIN_SERVICE, 0, 2.0);
+    let mut node = TestRouter::new();
+    announce(&mut node, PLAIN_SERVICE, 0, 2.0);
     let removed = ServerChange::Removed(record(PLAIN_SERVICE, 0).instance);
-    rig.step(Event::Servers(removed));
-    register(&mut rig, record(PLAIN_SERVICE, 0));
-    assert_eq!(limit(&rig, PLAIN_SERVICE, 0), Some(2.0));
+    node.step(Event::Servers(removed));
+    register(&mut node, record(PLAIN_SERVICE, 0));
+    assert_eq!(limit(&node, PLAIN_SERVICE, 0), Some(2.0));
     let restored = ServerChange::Restored(record(PLAIN_SERVICE, 0));
-    rig.step(Event::Servers(restored));
-    assert_eq!(limit(&rig, PLAIN_SERVICE, 0), Some(2.0));
+    node.step(Event::Servers(restored));
+    assert_eq!(limit(&node, PLAIN_SERVICE, 0), Some(2.0));
 }
 
 /// Only a response can lift a limit of zero.
 #[test]
 fn server_with_a_limit_of_zero_is_probed_periodically() {
-    let mut rig = TestRouter::with_engines("entry-1", 3);
-    announce(&mut rig, PLAIN_SERVICE, 0, 0.0);
+    let mut node = TestRouter::with_engines("entry-1", 3);
+    announce(&mut node, PLAIN_SERVICE, 0, 0.0);
     let mut probes = 0;
     for _ in 0..1_000 {
-        rig.advance(Duration::from_millis(15));
-        let calls: Vec<_> = (0..4).map(|_| rig.arrive("/again/", 0)).collect();
-        let sends = rig.take_sends();
+        node.advance(Duration::from_millis(15));
+        let calls: Vec<_> = (0..4).map(|_| node.arrive("/again/", 0)).collect();
+        let sends = node.take_sends();
         probes += sends
             .iter()
             .filter(|(_, to)| to.instance == "desk-0")
             .count();
         for request in calls {
-            rig.end_attempt(request, AttemptEnd::Delivered { is_success: true });
+            node.end_attempt(request, AttemptEnd::Delivered { is_success: true });
         }
     }
     assert!((2..=3).contains(&probes), "{probes} probes in 15 s");
@@ -419,16 +419,16 @@
     let backoff = ServerNotice::Backoff(3 * SECOND);
     for notice in [ServerNotice::Draining, backoff] {
         for limit_first in [false, true] {
-            let mut rig = TestRouter::new();
-            let server = server_key(&rig, PLAIN_SERVICE, 0);
+            let mut node = TestRouter::new();
+            let server = server_key(&node, PLAIN_SERVICE, 0);
             if limit_first {
-                announce(&mut rig, PLAIN_SERVICE, 0, 50.0);
+                announce(&mut node, PLAIN_SERVICE, 0, 50.0);
             }
-            rig.step(Event::NoticeReceived { server, notice });
-            announce(&mut rig, PLAIN_SERVICE, 0, 50.0);
-            rig.advance(SECOND);
-            let calls = (0..30).map(|_| rig.arrive("/again/", 0)).count();
-            let sends = rig.take_sends();
+            node.step(Event::NoticeReceived { server, notice });
+            announce(&mut node, PLAIN_SERVICE, 0, 50.0);
+            node.advance(SECOND);
+            let calls = (0..30).map(|_| node.arrive("/again/", 0)).count();
+            let sends = node.take_sends();
             assert_eq!(sends.len(), calls);
             assert!(
                 sends.iter().all(|(_, to)| to.instance != "desk-0"),
@@ -441,44 +441,44 @@
 /// A quarantined request is refused because of its quarantine, not because of the limit.
 #[test]
 fn quarantine_takes_precedence_over_a_limit() {
-    let mut rig = TestRouter::new();
-    announce_all(&mut rig, PLAIN_SERVICE, 3, 1.0);
+    let mut node = TestRouter::new();
+    announce_all(&mut node, PLAIN_SERVICE, 3, 1.0);
     let content = content("crashes");
     let (left, times) = (60 * SECOND, 1);
-    rig.step(Event::QuarantineRestored {
+    node.step(Event::QuarantineRestored {
         content,
         left,
         quarantine_count: times,
     });
-    rig.content = Some(content);
-    rig.arrive("/again/", 0);
-    assert_eq!(rig.refusals(), [Refusal::Quarantined]);
+    node.content = Some(content);
+    node.arrive("/again/", 0);
+    assert_eq!(node.refusals(), [Refusal::Quarantined]);
 }
 
 /// Guards against probes of a failed server that exceed its limit.
 #[test]
 fn failed_server_is_probed_within_its_limit() {
-    let mut rig = TestRouter::new();
-    announce(&mut rig, PLAIN_SERVICE, 0, 0.5);
-    rig.advance(10 * SECOND);
-    let server = server_key(&rig, PLAIN_SERVICE, 0);
+    let mut node = TestRouter::new();
+    announce(&mut node, PLAIN_SERVICE, 0, 0.5);
+    node.advance(10 * SECOND);
+    let server = server_key(&node, PLAIN_SERVICE, 0);
     let mut probes = 0;
     for _ in 0..800 {
-        rig.advance(Duration::from_millis(15));
-        let calls: Vec<_> = (0..4).map(|_| rig.arrive("/again/", 0)).collect();
-        for (request, to) in rig.take_sends() {
+        node.advance(Duration::from_millis(15));
+        let calls: Vec<_> = (0..4).map(|_| node.arrive("/again/", 0)).collect();
+        for (request, to) in node.take_sends() {
             let failed = to.server == server;
             probes += usize::from(failed);
             let end = match failed {
                 true => AttemptEnd::ConnectionLost,
                 false => AttemptEnd::Delivered { is_success: true },
             };
-            rig.end_attempt(request, end);
+            node.end_attempt(request, end);
         }
         for request in calls {
-            rig.end_attempt(request, AttemptEnd::Delivered { is_success: true });
+            node.end_attempt(request, AttemptEnd::Delivered { is_success: true });
         }
-        rig.take_sends();
+        node.take_sends();
     }
     assert!(
         probes <= 7,
@@ -488,12 +488,16 @@
 
 #[test]
 fn requests_wait_if_they_meet_their_objective_and_are_refused_otherwise() {
-    let mut rig = TestRouter::new();
-    announce_all(&mut rig, PLAIN_SERVICE, 3, 4.0);
-    rig.advance(5 * SECOND);
-    let requests: Vec<_> = (0..12).map(|_| rig.arrive("/again/", 0)).collect();
-    assert_eq!(rig.take_sends().len(), 3, "one request for each server");
-    let refusals: Vec<_> = requests.iter().map(|&r| refused(&rig, r)).collect();
+    let mut node = TestRouter::new();
+    announce_all(&mut node, PLAIN_SERVICE, 3, 4.0);
+    node.advance(5 * SECOND);
+    let requests: Vec<_> = (0..12).map(|_| node.arrive("/again/", 0)).collect();
+    assert_eq!(
+        node.take_sends().len(),
+        3,
+        "expected one request for each server"
+    );
+    let refusals: Vec<_> = requests.iter().map(|&r| refused(&node, r)).collect();
     let waiting = refusals[3..].iter().take_while(|refusal| refusal.is_none());
     assert!((1..=3).contains(&waiting.count()), "{refusals:?}");
     for refusal in refusals.into_iter().flatten() {
@@ -505,46 +509,46 @@
             "{after:?}"
         );
     }
-    rig.advance(Duration::from_millis(300));
-    assert!(!rig.take_sends().is_empty(), "no waiting request was sent");
+    node.advance(Duration::from_millis(300));
+    assert!(!node.take_sends().is_empty(), "no waiting request was sent");
 }
 
 /// A retry at the advised time must not be refused again.
 #[test]
 fn retried_request_waits_longer() {
-    let mut rig = TestRouter::new();
-    announce_all(&mut rig, PLAIN_SERVICE, 3, 1.0);
-    rig.advance(5 * SECOND);
-    use_up_limits(&mut rig, "/again/", 0, 3);
-    let first = rig.arrive("/again/", 0);
-    let (reason, after) = refused(&rig, first).expect("not refused");
+    let mut node = TestRouter::new();
+    announce_all(&mut node, PLAIN_SERVICE, 3, 1.0);
+    node.advance(5 * SECOND);
+    use_up_limits(&mut node, "/again/", 0, 3);
+    let first = node.arrive("/again/", 0);
+    let (reason, after) = refused(&node, first).expect("not refused");
     assert_eq!(reason, Refusal::Limited);
-    rig.arrive_retry("/again/", 0, after);
+    node.arrive_retry("/again/", 0, after);
     assert_eq!(
-        rig.refusals().len(),
+        node.refusals().len(),
         1,
         "the retried request was not queued"
     );
-    rig.advance(2 * SECOND);
-    assert_eq!(rig.take_sends().len(), 1);
+    node.advance(2 * SECOND);
+    assert_eq!(node.take_sends().len(), 1);
 }
 
 #[test]
 fn limited_server_is_used_like_the_others_within_its_limit() {
-    let mut rig = TestRouter::new();
-    announce(&mut rig, PLAIN_SERVICE, 0, 30.0);
+    let mut node = TestRouter::new();
+    announce(&mut node, PLAIN_SERVICE, 0, 30.0);
     let mut sent = 0;
     for _ in 0..400 {
-        rig.advance(Duration::from_millis(15));
-        let calls: Vec<_> = (0..3).map(|_| rig.arrive("/again/", 0)).collect();
-        let sends = rig.take_sends();
+        node.advance(Duration::from_millis(15));
+        let calls: Vec<_> = (0..3).map(|_| node.arrive("/again/", 0)).collect();
+        let sends = node.take_sends();
         assert_eq!(sends.len(), 3, "a request was queued");
         sent += sends
             .iter()
             .filter(|(_, to)| to.instance == "desk-0")
             .count();
         for request in calls {
-            rig.end_attempt(request, AttemptEnd::Delivered { is_success: true });
+            node.end_attempt(request, AttemptEnd::Delivered { is_success: true });
         }
     }
     // The limit allows 180 requests in 6 s.
@@ -554,15 +558,15 @@
 /// Reports for operators are rate limited.
 #[test]
 fn exhausted_limit_is_reported_periodically() {
-    let mut rig = TestRouter::new();
-    announce(&mut rig, PLAIN_SERVICE, 0, 1.0);
+    let mut node = TestRouter::new();
+    announce(&mut node, PLAIN_SERVICE, 0, 1.0);
     for _ in 0..800 {
-        rig.advance(Duration::from_millis(15));
-        let request = rig.arrive("/again/", 0);
-        rig.end_attempt(request, AttemptEnd::Delivered { is_success: true });
+        node.advance(Duration::from_millis(15));
+        let request = node.arrive("/again/", 0);
+        node.end_attempt(request, AttemptEnd::Delivered { is_success: true });
     }
-    let server = server_key(&rig, PLAIN_SERVICE, 0);
-    let reports = rig.effects.iter();
+    let server = server_key(&node, PLAIN_SERVICE, 0);
+    let reports = node.effects.iter();
     let reports = reports.filter(|effect| **effect == Effect::LimitExhausted { server });
     assert!(
         (1..=3).contains(&reports.count()),
@@ -574,11 +578,11 @@
 /// would leave most of the limit unused.
 #[test]
 fn sends_of_other_groups_do_not_count_against_this_groups_share() {
-    let mut rig = TestRouter::new();
-    announce(&mut rig, PLAIN_SERVICE, 0, 8.0);
-    rig.advance(5 * SECOND);
-    let full = available_requests(&rig, PLAIN_SERVICE, 0);
-    let server = updates(&rig)[0].server;
+    let mut node = TestRouter::new();
+    announce(&mut node, PLAIN_SERVICE, 0, 8.0);
+    node.advance(5 * SECOND);
+    let full = available_requests(&node, PLAIN_SERVICE, 0);
+    let server = updates(&node)[0].server;
     for sent in [70, 90] {
         let limits = vec![LimitUpdate {
             server,
@@ -586,14 +590,14 @@
             sent,
             has_demand: true,
         }];
-        rig.step(Event::LimitUpdates {
+        node.step(Event::LimitUpdates {
             peer: 1,
             name: "entry-70".to_owned(),
             is_in_group: false,
             updates: limits,
         });
     }
-    assert!((available_requests(&rig, PLAIN_SERVICE, 0) - full).abs() < 0.01);
-    let server = rig.router.fleet().get(server_key(&rig, PLAIN_SERVICE, 0));
-    assert_eq!(server.map(|server| server.limit_users(rig.now)), Some(1));
+    assert!((available_requests(&node, PLAIN_SERVICE, 0) - full).abs() < 0.01);
+    let server = node.router.fleet().get(server_key(&node, PLAIN_SERVICE, 0));
+    assert_eq!(server.map(|server| server.limit_users(node.now)), Some(1));
 }
--- a/crates/notchwalk_route/tests/decisions/placement.rs
+++ b/crates/notchwalk_route/tests/decisions/placement.rs
@@ -10,31 +10,31 @@
 
 #[test]
 fn short_requests_do_not_exceed_engine_slots() {
-    let mut rig = TestRouter::new();
+    let mut node = TestRouter::new();
     for _ in 0..200 {
-        rig.arrive("/short/", 5_000);
-        rig.now = rig.now.after(Duration::from_millis(12));
+        node.arrive("/short/", 5_000);
+        node.now = node.now.after(Duration::from_millis(12));
     }
-    let counts = count_by_server(&rig.take_sends());
+    let counts = count_by_server(&node.take_sends());
     assert!(counts.values().all(|&count| count <= 16), "{counts:?}");
 }
 
 #[test]
 fn few_short_requests_use_few_engines() {
-    let mut rig = TestRouter::new();
+    let mut node = TestRouter::new();
     for _ in 0..20 {
-        rig.arrive("/short/", 5_000);
-        rig.now = rig.now.after(Duration::from_millis(60));
+        node.arrive("/short/", 5_000);
+        node.now = node.now.after(Duration::from_millis(60));
     }
-    let counts = count_by_server(&rig.take_sends());
+    let counts = count_by_server(&node.take_sends());
     assert!(counts.len() <= 6, "{counts:?}");
 }
 
 #[test]
 fn long_prompt_is_split_over_idle_engines() {
-    let mut rig = TestRouter::new();
-    rig.arrive("/long/", 150_000);
-    let to = rig.take_only_send();
+    let mut node = TestRouter::new();
+    node.arrive("/long/", 150_000);
+    let to = node.take_only_send();
     assert!(
         to.prefill_workers.len() >= 4,
         "{}",
@@ -49,41 +49,41 @@
 
 #[test]
 fn short_prompt_is_not_split() {
-    let mut rig = TestRouter::new();
-    rig.arrive("/short/", 5_000);
-    assert!(rig.take_only_send().prefill_workers.is_empty());
+    let mut node = TestRouter::new();
+    node.arrive("/short/", 5_000);
+    assert!(node.take_only_send().prefill_workers.is_empty());
 }
 
 #[test]
 fn short_requests_avoid_engines_prefilling_long_prompts() {
-    let mut rig = TestRouter::with_engines("entry-1", 6);
-    let long = rig.arrive("/long/", 250_000);
-    let to = rig.take_only_send();
+    let mut node = TestRouter::with_engines("entry-1", 6);
+    let long = node.arrive("/long/", 250_000);
+    let to = node.take_only_send();
     for _ in 0..4 {
-        rig.arrive("/short/", 3_000);
+        node.arrive("/short/", 3_000);
     }
     let is_busy = |instance: &str| instance == to.instance;
-    assert!(rig
+    assert!(node
         .take_sends()
         .iter()
         .all(|(_, to)| !is_busy(&to.instance)));
-    rig.end_attempt(long, DELIVERED);
+    node.end_attempt(long, DELIVERED);
 }
 
 #[test]
 fn queued_long_prompts_are_dispatched_cheapest_first() {
-    let mut rig = TestRouter::with_engines("entry-1", 2);
+    let mut node = TestRouter::with_engines("entry-1", 2);
     for _ in 0..3 {
-        rig.arrive("/long/", 250_000);
+        node.arrive("/long/", 250_000);
     }
-    rig.take_sends();
-    let (queued, _) = rig.router.queued_work();
+    node.take_sends();
+    let (queued, _) = node.router.queued_work();
     assert!(queued >= 1, "{queued}");
-    let cheap = rig.arrive("/long/", 60_000);
-    let mut sent = rig.take_sends();
+    let cheap = node.arrive("/long/", 60_000);
+    let mut sent = node.take_sends();
     while sent.is_empty() {
-        rig.advance(Duration::from_millis(15));
-        sent = rig.take_sends();
+        node.advance(Duration::from_millis(15));
+        sent = node.take_sends();
     }
     assert_eq!(sent[0].0, cheap);
 }
@@ -121,9 +121,9 @@
         first.arrive("/short/", 5_000);
     }
     first.broadcast_work_to(&mut second, 1);
-    let occupied = |rig: &TestRouter| -> usize {
-        let servers = rig.router.fleet().iter();
-        let loads = servers.map(|(key, _)| rig.router.load_view().load(key, rig.now).occupied());
+    let occupied = |node: &TestRouter| -> usize {
+        let servers = node.router.fleet().iter();
+        let loads = servers.map(|(key, _)| node.router.load_view().load(key, node.now).occupied());
         loads.sum()
     };
     let sent = first.take_sends().len();
@@ -141,12 +141,12 @@
 fn newly_started_nodes_spread_requests_over_engines() {
     let mut busiest = 0;
     let mut totals = std::collections::HashMap::new();
-    for node in 0..6 {
-        let mut rig = TestRouter::just_started(&format!("entry-{node}"), 18);
+    for number in 0..6 {
+        let mut node = TestRouter::just_started(&format!("entry-{number}"), 18);
         for _ in 0..18 {
-            rig.arrive("/short/", 4_000);
+            node.arrive("/short/", 4_000);
         }
-        for (server, count) in count_by_server(&rig.take_sends()) {
+        for (server, count) in count_by_server(&node.take_sends()) {
             let sum = totals.entry(server).or_insert(0);
             *sum += count;
             busiest = busiest.max(*sum);
@@ -160,14 +160,14 @@
 
 #[test]
 fn ended_requests_leave_no_work_in_the_load_view() {
-    let mut rig = TestRouter::new();
-    let short = rig.arrive("/short/", 5_000);
-    let long = rig.arrive("/long/", 150_000);
-    rig.step(Event::Started { request: long });
-    rig.end_attempt(short, DELIVERED);
-    rig.step(Event::Abandoned { request: long });
-    for (key, server) in rig.router.fleet().iter() {
-        let load = rig.router.load_view().load(key, rig.now);
+    let mut node = TestRouter::new();
+    let short = node.arrive("/short/", 5_000);
+    let long = node.arrive("/long/", 150_000);
+    node.step(Event::Started { request: long });
+    node.end_attempt(short, DELIVERED);
+    node.step(Event::Abandoned { request: long });
+    for (key, server) in node.router.fleet().iter() {
+        let load = node.router.load_view().load(key, node.now);
         assert_eq!(
             load.occupied() + load.prefill_segments,
             0,
@@ -176,18 +176,18 @@
         );
         assert_eq!(load.context_tokens, 0.0);
     }
-    assert_eq!(rig.router.open_requests(), 0);
+    assert_eq!(node.router.open_requests(), 0);
 }
 
 /// Starts `count` short requests and lets them decode.
-fn start_short_streams(rig: &mut TestRouter, count: usize) -> Vec<(RequestKey, Assignment)> {
+fn start_short_streams(node: &mut TestRouter, count: usize) -> Vec<(RequestKey, Assignment)> {
     for _ in 0..count {
-        rig.arrive("/short/", 5_000);
-        rig.advance(Duration::from_millis(12));
+        node.arrive("/short/", 5_000);
+        node.advance(Duration::from_millis(12));
     }
-    let sends = rig.take_sends();
+    let sends = node.take_sends();
     for (request, _) in &sends {
-        rig.step(Event::Started { request: *request });
+        node.step(Event::Started { request: *request });
     }
     sends
 }
@@ -195,32 +195,32 @@
 /// Guards against a split prompt stalling the short streams on all of its engines.
 #[test]
 fn long_prompt_does_not_stall_more_valuable_short_streams() {
-    let mut rig = TestRouter::with_engines("entry-1", 1);
-    start_short_streams(&mut rig, 5);
-    rig.arrive("/long/", 120_000);
-    assert!(rig.take_sends().is_empty());
+    let mut node = TestRouter::with_engines("entry-1", 1);
+    start_short_streams(&mut node, 5);
+    node.arrive("/long/", 120_000);
+    assert!(node.take_sends().is_empty());
 }
 
 /// Guards against splitting a late prompt over all engines because the first candidates lack
 /// memory for a share.
 #[test]
 fn late_prompt_uses_few_engines_with_enough_memory() {
-    let mut rig = TestRouter::with_engines("entry-1", 12);
+    let mut node = TestRouter::with_engines("entry-1", 12);
     let mut long = Vec::new();
     for _ in 0..4 {
-        long.push(rig.arrive("/long/", 210_000));
-        rig.advance(Duration::from_millis(1_500));
-        rig.step(Event::Started {
+        long.push(node.arrive("/long/", 210_000));
+        node.advance(Duration::from_millis(1_500));
+        node.step(Event::Started {
             request: long[long.len() - 1],
         });
     }
-    rig.take_sends();
-    start_short_streams(&mut rig, 140);
-    rig.arrive("/long/", 260_000);
-    let mut sends = rig.take_sends();
+    node.take_sends();
+    start_short_streams(&mut node, 140);
+    node.arrive("/long/", 260_000);
+    let mut sends = node.take_sends();
     for _ in 0..200 {
-        rig.advance(Duration::from_millis(15));
-        sends.extend(rig.take_sends());
+        node.advance(Duration::from_millis(15));
+        sends.extend(node.take_sends());
     }
     assert_eq!(sends.len(), 1);
     let to = &sends[0].1;
@@ -236,18 +236,18 @@
 /// prompt past its predicted time.
 #[test]
 fn engine_with_unfinished_prefill_gets_no_segment() {
-    let mut rig = TestRouter::with_engines("entry-1", 18);
-    rig.arrive("/long/", 250_000);
-    let first = rig.take_only_send();
+    let mut node = TestRouter::with_engines("entry-1", 18);
+    node.arrive("/long/", 250_000);
+    let first = node.take_only_send();
     let prefilling: Vec<_> = first
         .prefill_workers
         .iter()
         .map(|worker| worker.addr)
         .collect();
     for tokens in [120_000, 150_000, 90_000, 200_000] {
-        rig.arrive("/long/", tokens);
+        node.arrive("/long/", tokens);
     }
-    for (_, to) in rig.take_sends() {
+    for (_, to) in node.take_sends() {
         let mut workers = to.prefill_workers.iter();
         assert!(!workers.any(|worker| prefilling.contains(&worker.addr)));
         assert!(to
--- a/crates/notchwalk_route/tests/decisions/random_runs.rs
+++ b/crates/notchwalk_route/tests/decisions/random_runs.rs
@@ -60,7 +60,7 @@
 }
 
 struct Harness {
-    rig: TestRouter,
+    node: TestRouter,
     states: HashMap<RequestKey, (RequestState, Repeatability, u32)>,
     order: Vec<RequestKey>,
     /// Times of the first sends of requests.
@@ -74,7 +74,7 @@
 impl Harness {
     fn new() -> Self {
         Self {
-            rig: TestRouter::with_engines("entry-1", 7),
+            node: TestRouter::with_engines("entry-1", 7),
             states: HashMap::new(),
             order: Vec::new(),
             first_sends: Vec::new(),
@@ -96,7 +96,7 @@
 
     /// Checks the emitted effects.
     fn check_effects(&mut self) {
-        for effect in std::mem::take(&mut self.rig.effects) {
+        for effect in std::mem::take(&mut self.node.effects) {
             match effect {
                 Effect::Send { request, to } => self.check_send(request, to),
                 Effect::Refuse {
@@ -123,7 +123,7 @@
 
     fn check_send(&mut self, request: RequestKey, to: Assignment) {
         let record = self
-            .rig
+            .node
             .router
             .fleet()
             .get(to.server)
@@ -138,7 +138,7 @@
             .unwrap_or(Some(Instant::ZERO))
             .expect("sent to a server that announced draining");
         assert!(
-            self.rig.now >= until,
+            self.node.now >= until,
             "sent to a server during the backoff that it requested"
         );
         assert!(to.prefill_workers.len() <= 17);
@@ -159,7 +159,7 @@
         );
         state.open_send = Some(to);
         state.reserving = false;
-        let now = self.rig.now;
+        let now = self.node.now;
         if !std::mem::replace(&mut state.sent_before, true) {
             self.first_sends.push(now);
         } else if state.reached {
@@ -171,7 +171,7 @@
     /// Checks that the retries within the window stay within the configured budget.
     fn check_budget(&self) {
         const WINDOW: Duration = Duration::from_secs(10);
-        let since = self.rig.now.before(WINDOW);
+        let since = self.node.now.before(WINDOW);
         let recent = |times: &[Instant]| times.iter().filter(|&&at| at >= since).count() as f64;
         let allowed = 0.2 * recent(&self.first_sends) + 100.0;
         assert!(recent(&self.retries) <= allowed, "retry budget exceeded");
@@ -195,16 +195,16 @@
         match action {
             Action::Arrive(path, tokens) => {
                 let path = ["/short/", "/long/", "/once/", "/again/"][path as usize];
-                let route = self.rig.route(path);
+                let route = self.node.route(path);
                 let tokens = if route.streaming { tokens } else { 0 };
                 let state = (
                     RequestState::default(),
                     route.repeatability,
                     route.max_attempts,
                 );
-                let before = self.rig.effects.len();
+                let before = self.node.effects.len();
                 assert_eq!(before, 0);
-                let key = self.rig.arrive(path, tokens);
+                let key = self.node.arrive(path, tokens);
                 self.states.insert(key, state);
                 self.order.push(key);
             }
@@ -212,7 +212,7 @@
             Action::Start(which) => {
                 if let Some(request) = self.pick(which) {
                     if self.states[&request].0.open_send.is_some() {
-                        self.rig.step(Event::Started { request });
+                        self.node.step(Event::Started { request });
                     }
                 }
             }
@@ -223,7 +223,7 @@
                         .expect("request arrived")
                         .0
                         .ended = true;
-                    self.rig.step(Event::Abandoned { request });
+                    self.node.step(Event::Abandoned { request });
                 }
             }
             Action::FinishReservation(which, granted) => {
@@ -242,29 +242,29 @@
                             unreachable: which % 2 == 0,
                         };
                         let failed = if granted { Vec::new() } else { vec![refused] };
-                        self.rig.step(Event::Reserved { request, failed });
+                        self.node.step(Event::Reserved { request, failed });
                     }
                 }
             }
             Action::Drain(server, removed) => self.drain(server, removed),
             Action::Register(server) => {
                 let record = record(if server < 7 { ENGINES } else { PLAIN_SERVICE }, server % 7);
-                self.rig
+                self.node
                     .step(Event::Servers(ServerChange::Registered(record)));
             }
             Action::Notify(server, backoff) => self.notify(server, backoff),
             Action::Configure(version) => {
-                let before = self.rig.router.version();
+                let before = self.node.router.version();
                 let version = u64::from(version);
-                self.rig
+                self.node
                     .step(Event::Configured(SiteConfig { version, ..site() }));
                 assert!(
-                    self.rig.router.version() >= before,
+                    self.node.router.version() >= before,
                     "configuration version decreased"
                 );
             }
             Action::PeerWork(server, count) => self.broadcast_peer_work(server, count),
-            Action::Advance(ms) => self.rig.advance(Duration::from_millis(ms.into())),
+            Action::Advance(ms) => self.node.advance(Duration::from_millis(ms.into())),
         }
     }
 
@@ -275,27 +275,27 @@
             true => ServerChange::Removed(record.instance),
             false => ServerChange::Registered(record),
         };
-        self.rig.step(Event::Servers(change));
+        self.node.step(Event::Servers(change));
     }
 
     /// Reports a server's draining notice (`None`) or backoff in milliseconds.
     fn notify(&mut self, server: u8, backoff: Option<u16>) {
         let instance =
             record(if server < 7 { ENGINES } else { PLAIN_SERVICE }, server % 7).instance;
-        let Some(server) = self.rig.router.fleet().by_instance(&instance) else {
+        let Some(server) = self.node.router.fleet().by_instance(&instance) else {
             return;
         };
         let notice = match backoff {
             Some(ms) => ServerNotice::Backoff(Duration::from_millis(ms.into())),
             None => ServerNotice::Draining,
         };
-        let until = backoff.map(|ms| self.rig.now.after(Duration::from_millis(ms.into())));
+        let until = backoff.map(|ms| self.node.now.after(Duration::from_millis(ms.into())));
         let known = self
             .available_from
             .entry(server)
             .or_insert(Some(Instant::ZERO));
         *known = known.zip(until).map(|(before, until)| before.max(until));
-        self.rig.step(Event::NoticeReceived { server, notice });
+        self.node.step(Event::NoticeReceived { server, notice });
     }
 
     fn end(&mut self, which: usize, end: u8) {
@@ -325,13 +325,13 @@
         }
         state.reached = end != AttemptEnd::NotConnected;
         state.ended = matches!(end, AttemptEnd::Delivered { .. });
-        self.rig.end_attempt(request, end);
+        self.node.end_attempt(request, end);
     }
 
     /// Reports a peer's short requests on an engine.
     fn broadcast_peer_work(&mut self, server: u8, count: u8) {
         let instance = record(ENGINES, server).instance;
-        let mut servers = self.rig.router.fleet().iter();
+        let mut servers = self.node.router.fleet().iter();
         let Some((_, known)) = servers.find(|(_, known)| known.record.instance == instance) else {
             return;
         };
@@ -348,7 +348,7 @@
             predicted_prefill_ms: 60,
             workspace: 0,
         };
-        self.rig.step(Event::PeerWork {
+        self.node.step(Event::PeerWork {
             peer: 1,
             servers: vec![work.server],
             work: vec![work; count.into()],
@@ -357,17 +357,17 @@
 
     /// Ends all requests and checks that no state remains.
     fn finish(mut self) {
-        self.rig.step(Event::PeerExpired { peer: 1 });
+        self.node.step(Event::PeerExpired { peer: 1 });
         for request in std::mem::take(&mut self.order) {
             if !self.states[&request].0.ended {
-                self.rig.step(Event::Abandoned { request });
+                self.node.step(Event::Abandoned { request });
             }
         }
-        assert_eq!(self.rig.router.open_requests(), 0);
-        assert_eq!(self.rig.router.reservations(), 0);
-        assert_eq!(self.rig.router.queued_work().0, 0);
-        for (key, server) in self.rig.router.fleet().iter() {
-            let load = self.rig.router.load_view().load(key, self.rig.now);
+        assert_eq!(self.node.router.open_requests(), 0);
+        assert_eq!(self.node.router.reservations(), 0);
+        assert_eq!(self.node.router.queued_work().0, 0);
+        for (key, server) in self.node.router.fleet().iter() {
+            let load = self.node.router.load_view().load(key, self.node.now);
             let left = load.occupied() + load.prefill_segments;
             assert_eq!(left, 0, "{} still has work", server.record.instance);
             assert_eq!(load.context_tokens, 0.0);
--- a/crates/notchwalk_route/tests/decisions/reservations.rs
+++ b/crates/notchwalk_route/tests/decisions/reservations.rs
@@ -11,9 +11,9 @@
 
 const OVERSIZED_TOKENS: u32 = 400_000;
 
-fn take_reservations(rig: &mut TestRouter) -> Vec<ReservationOrder> {
+fn take_reservations(node: &mut TestRouter) -> Vec<ReservationOrder> {
     let mut taken = Vec::new();
-    rig.effects.retain(|effect| match effect {
+    node.effects.retain(|effect| match effect {
         Effect::Reserve { orders, .. } => {
             taken.extend(orders.iter().cloned());
             false
@@ -23,9 +23,9 @@
     taken
 }
 
-fn take_orders(rig: &mut TestRouter) -> Vec<ReservationOrder> {
+fn take_orders(node: &mut TestRouter) -> Vec<ReservationOrder> {
     let mut taken = Vec::new();
-    rig.effects.retain(|effect| match effect {
+    node.effects.retain(|effect| match effect {
         Effect::SendReservationOrder(order) => {
             taken.push(order.clone());
             false
@@ -35,31 +35,31 @@
     taken
 }
 
-fn take_released(rig: &mut TestRouter) -> HashSet<std::net::SocketAddr> {
-    let orders = take_orders(rig);
+fn take_released(node: &mut TestRouter) -> HashSet<std::net::SocketAddr> {
+    let orders = take_orders(node);
     let releases = orders.iter().filter(|order| order.tokens.is_none());
     releases.map(|order| order.addr).collect()
 }
 
-fn finish_reservation(rig: &mut TestRouter, request: RequestKey, granted: bool) {
+fn finish_reservation(node: &mut TestRouter, request: RequestKey, granted: bool) {
     let refused = FailedReservation {
         addr: "10.9.9.9:80".parse().unwrap(),
         unreachable: false,
     };
     let failed = if granted { Vec::new() } else { vec![refused] };
-    rig.step(Event::Reserved { request, failed });
+    node.step(Event::Reserved { request, failed });
 }
 
 #[test]
 fn oversized_prompt_is_sent_after_all_memory_is_reserved() {
-    let mut rig = TestRouter::new();
-    let request = rig.arrive("/long/", OVERSIZED_TOKENS);
-    assert!(rig.take_sends().is_empty());
-    let reserved = take_reservations(&mut rig);
+    let mut node = TestRouter::new();
+    let request = node.arrive("/long/", OVERSIZED_TOKENS);
+    assert!(node.take_sends().is_empty());
+    let reserved = take_reservations(&mut node);
     let sum: u32 = reserved.iter().filter_map(|order| order.tokens).sum();
     assert!(sum > OVERSIZED_TOKENS, "{sum}");
-    finish_reservation(&mut rig, request, true);
-    let to = rig.take_only_send();
+    finish_reservation(&mut node, request, true);
+    let to = node.take_only_send();
     let reserved_engines = to
         .prefill_workers
         .iter()
@@ -76,58 +76,58 @@
 #[test]
 fn request_names_at_most_sixteen_engines() {
     for tokens in [320_000, OVERSIZED_TOKENS, 700_000] {
-        let mut rig = TestRouter::with_engines("entry-1", 60);
-        let request = rig.arrive("/long/", tokens);
-        if take_reservations(&mut rig).is_empty() {
+        let mut node = TestRouter::with_engines("entry-1", 60);
+        let request = node.arrive("/long/", tokens);
+        if take_reservations(&mut node).is_empty() {
             continue;
         }
-        finish_reservation(&mut rig, request, true);
-        assert!(rig.take_only_send().prefill_workers.len() <= 16);
+        finish_reservation(&mut node, request, true);
+        assert!(node.take_only_send().prefill_workers.len() <= 16);
     }
 }
 
 #[test]
 fn memory_is_released_on_every_request_end() {
     let ends: [fn(&mut TestRouter, RequestKey); 3] = [
-        |rig, request| rig.end_attempt(request, AttemptEnd::Delivered { is_success: true }),
-        |rig, request| rig.step(Event::Abandoned { request }),
-        |rig, request| rig.end_attempt(request, AttemptEnd::ConnectionLost),
+        |node, request| node.end_attempt(request, AttemptEnd::Delivered { is_success: true }),
+        |node, request| node.step(Event::Abandoned { request }),
+        |node, request| node.end_attempt(request, AttemptEnd::ConnectionLost),
     ];
     for end in ends {
-        let mut rig = TestRouter::new();
-        let request = rig.arrive("/long/", OVERSIZED_TOKENS);
-        let reserved = take_reservations(&mut rig);
-        finish_reservation(&mut rig, request, true);
-        take_orders(&mut rig);
-        end(&mut rig, request);
+        let mut node = TestRouter::new();
+        let request = node.arrive("/long/", OVERSIZED_TOKENS);
+        let reserved = take_reservations(&mut node);
+        finish_reservation(&mut node, request, true);
+        take_orders(&mut node);
+        end(&mut node, request);
         let reserved: HashSet<_> = reserved.iter().map(|order| order.addr).collect();
-        assert_eq!(take_released(&mut rig), reserved);
+        assert_eq!(take_released(&mut node), reserved);
     }
 }
 
 #[test]
 fn failed_reservation_is_released_and_request_is_queued() {
-    let mut rig = TestRouter::new();
-    let request = rig.arrive("/long/", OVERSIZED_TOKENS);
-    let reserved = take_reservations(&mut rig).len();
-    finish_reservation(&mut rig, request, false);
-    assert_eq!(take_released(&mut rig).len(), reserved);
-    assert!(rig.take_sends().is_empty());
+    let mut node = TestRouter::new();
+    let request = node.arrive("/long/", OVERSIZED_TOKENS);
+    let reserved = take_reservations(&mut node).len();
+    finish_reservation(&mut node, request, false);
+    assert_eq!(take_released(&mut node).len(), reserved);
+    assert!(node.take_sends().is_empty());
 }
 
 #[test]
 fn active_reservation_is_renewed_before_it_expires() {
-    let mut rig = TestRouter::new();
-    let request = rig.arrive("/long/", OVERSIZED_TOKENS);
-    let reserved = take_reservations(&mut rig);
-    finish_reservation(&mut rig, request, true);
+    let mut node = TestRouter::new();
+    let request = node.arrive("/long/", OVERSIZED_TOKENS);
+    let reserved = take_reservations(&mut node);
+    finish_reservation(&mut node, request, true);
     let ttl = reserved[0].ttl;
     let mut renewed = 0;
     let mut elapsed = Duration::ZERO;
     while elapsed < ttl {
-        rig.advance(Duration::from_millis(100));
+        node.advance(Duration::from_millis(100));
         elapsed += Duration::from_millis(100);
-        renewed += take_orders(&mut rig)
+        renewed += take_orders(&mut node)
             .iter()
             .filter(|o| o.tokens.is_some())
             .count();
@@ -138,9 +138,9 @@
 /// Memory must be free within 4 s of the end of a request, also if the node crashed.
 #[test]
 fn reservation_expires_within_release_limit() {
-    let mut rig = TestRouter::new();
-    rig.arrive("/long/", OVERSIZED_TOKENS);
-    for order in take_reservations(&mut rig) {
+    let mut node = TestRouter::new();
+    node.arrive("/long/", OVERSIZED_TOKENS);
+    for order in take_reservations(&mut node) {
         assert!(order.ttl < Duration::from_millis(4_000));
     }
 }
@@ -150,32 +150,32 @@
 #[test]
 fn release_is_repeated_after_lost_response() {
     for lost_is_release in [false, true] {
-        let mut rig = TestRouter::new();
-        let request = rig.arrive("/long/", OVERSIZED_TOKENS);
-        let reserved = take_reservations(&mut rig);
-        finish_reservation(&mut rig, request, true);
+        let mut node = TestRouter::new();
+        let request = node.arrive("/long/", OVERSIZED_TOKENS);
+        let reserved = take_reservations(&mut node);
+        finish_reservation(&mut node, request, true);
         let tokens = reserved[0].tokens.filter(|_| !lost_is_release);
         let lost = ReservationOrder {
             tokens,
             ..reserved[0].clone()
         };
-        rig.step(Event::ReservationUnanswered(lost));
-        rig.step(Event::Abandoned { request });
-        take_orders(&mut rig);
+        node.step(Event::ReservationUnanswered(lost));
+        node.step(Event::Abandoned { request });
+        take_orders(&mut node);
         for _ in 0..11 {
-            rig.advance(Duration::from_millis(1_000));
+            node.advance(Duration::from_millis(1_000));
         }
-        let repeated = take_orders(&mut rig);
+        let repeated = take_orders(&mut node);
         let releases = repeated.iter().filter(|order| order.tokens.is_none());
         assert!(releases.clone().count() >= 5);
         assert!(releases.clone().all(|order| order.addr == reserved[0].addr));
         for _ in 0..4 {
-            rig.advance(Duration::from_millis(1_000));
+            node.advance(Duration::from_millis(1_000));
         }
-        take_orders(&mut rig);
-        rig.advance(Duration::from_millis(2_000));
+        take_orders(&mut node);
+        node.advance(Duration::from_millis(2_000));
         assert!(
-            take_orders(&mut rig).is_empty(),
+            take_orders(&mut node).is_empty(),
             "the release is repeated too long"
         );
     }
@@ -183,14 +183,14 @@
 
 #[test]
 fn acknowledged_release_is_not_repeated() {
-    let mut rig = TestRouter::new();
-    let request = rig.arrive("/long/", OVERSIZED_TOKENS);
-    take_reservations(&mut rig);
-    finish_reservation(&mut rig, request, true);
-    rig.end_attempt(request, AttemptEnd::Delivered { is_success: true });
-    take_orders(&mut rig);
-    rig.advance(Duration::from_millis(2_000));
-    assert!(take_orders(&mut rig).is_empty());
+    let mut node = TestRouter::new();
+    let request = node.arrive("/long/", OVERSIZED_TOKENS);
+    take_reservations(&mut node);
+    finish_reservation(&mut node, request, true);
+    node.end_attempt(request, AttemptEnd::Delivered { is_success: true });
+    take_orders(&mut node);
+    node.advance(Duration::from_millis(2_000));
+    assert!(take_orders(&mut node).is_empty());
 }
 
 /// Guards against id collisions between nodes that start in the same microsecond.
@@ -198,51 +198,51 @@
 fn reservation_ids_differ_between_nodes_and_requests() {
     let mut ids = HashSet::new();
     for name in ["entry-1", "entry-2"] {
-        let mut rig = TestRouter::with_engines(name, 18);
+        let mut node = TestRouter::with_engines(name, 18);
         for _ in 0..2 {
-            let request = rig.arrive("/long/", OVERSIZED_TOKENS);
-            let orders = take_reservations(&mut rig);
+            let request = node.arrive("/long/", OVERSIZED_TOKENS);
+            let orders = take_reservations(&mut node);
             assert!(ids.insert(orders[0].id.clone()));
-            finish_reservation(&mut rig, request, true);
-            rig.end_attempt(request, AttemptEnd::Delivered { is_success: true });
+            finish_reservation(&mut node, request, true);
+            node.end_attempt(request, AttemptEnd::Delivered { is_success: true });
         }
     }
 }
 
 #[test]
 fn oversized_prompt_is_refused_early_on_busy_fleet() {
-    let mut rig = TestRouter::with_engines("entry-1", 3);
+    let mut node = TestRouter::with_engines("entry-1", 3);
     for _ in 0..40 {
-        rig.arrive("/short/", 5_000);
+        node.arrive("/short/", 5_000);
     }
-    rig.take_sends();
-    let arrived_at = rig.now;
-    rig.arrive("/long/", OVERSIZED_TOKENS);
-    while rig.refusals().is_empty() {
-        rig.advance(Duration::from_millis(15));
+    node.take_sends();
+    let arrived_at = node.now;
+    node.arrive("/long/", OVERSIZED_TOKENS);
+    while node.refusals().is_empty() {
+        node.advance(Duration::from_millis(15));
     }
-    assert!(rig.now.since(arrived_at) < Duration::from_millis(750));
-    assert!(rig.refusals()[0].has_not_run());
+    assert!(node.now.since(arrived_at) < Duration::from_millis(750));
+    assert!(node.refusals()[0].has_not_run());
 }
 
 /// Guards against repeating reservations with an unreachable engine on every tick.
 #[test]
 fn unreachable_engine_gets_no_further_reservation_order() {
-    let mut rig = TestRouter::new();
-    let request = rig.arrive("/long/", OVERSIZED_TOKENS);
-    let unreachable_addr = take_reservations(&mut rig)[0].addr;
+    let mut node = TestRouter::new();
+    let request = node.arrive("/long/", OVERSIZED_TOKENS);
+    let unreachable_addr = take_reservations(&mut node)[0].addr;
     let failed = FailedReservation {
         addr: unreachable_addr,
         unreachable: true,
     };
-    rig.step(Event::Reserved {
+    node.step(Event::Reserved {
         request,
         failed: vec![failed],
     });
     let mut rounds = 0;
     for _ in 0..20 {
-        rig.advance(Duration::from_millis(15));
-        let reserved = take_reservations(&mut rig);
+        node.advance(Duration::from_millis(15));
+        let reserved = take_reservations(&mut node);
         assert!(
             reserved.iter().all(|order| order.addr != unreachable_addr),
             "round {rounds}"
@@ -255,19 +255,19 @@
 /// A request avoids an engine that had too little memory for its reservation.
 #[test]
 fn engine_without_memory_is_excluded_from_next_reservation() {
-    let mut rig = TestRouter::new();
-    let request = rig.arrive("/long/", OVERSIZED_TOKENS);
-    let full = take_reservations(&mut rig)[0].addr;
+    let mut node = TestRouter::new();
+    let request = node.arrive("/long/", OVERSIZED_TOKENS);
+    let full = take_reservations(&mut node)[0].addr;
     let failed = FailedReservation {
         addr: full,
         unreachable: false,
     };
-    rig.step(Event::Reserved {
+    node.step(Event::Reserved {
         request,
         failed: vec![failed],
     });
-    rig.advance(Duration::from_millis(15));
-    let reserved = take_reservations(&mut rig);
+    node.advance(Duration::from_millis(15));
+    let reserved = take_reservations(&mut node);
     assert!(!reserved.is_empty());
     assert!(reserved.iter().all(|order| order.addr != full));
 }
@@ -276,26 +276,26 @@
 /// uses.
 #[test]
 fn reservation_is_not_renewed_on_restarted_engine() {
-    let mut rig = TestRouter::new();
-    let request = rig.arrive("/long/", OVERSIZED_TOKENS);
-    let reserved = take_reservations(&mut rig);
-    finish_reservation(&mut rig, request, true);
-    rig.take_sends();
+    let mut node = TestRouter::new();
+    let request = node.arrive("/long/", OVERSIZED_TOKENS);
+    let reserved = take_reservations(&mut node);
+    finish_reservation(&mut node, request, true);
+    node.take_sends();
     let engine = &reserved[0];
-    let key = rig
+    let key = node
         .router
         .fleet()
         .by_addr(engine.addr)
         .expect("server is registered");
-    let server = rig.router.fleet().get(key).expect("server is registered");
+    let server = node.router.fleet().get(key).expect("server is registered");
     let restarted = ServerRecord {
         started_ms: Some(2),
         ..server.record.clone()
     };
-    rig.step(Event::Servers(ServerChange::Registered(restarted)));
-    take_orders(&mut rig);
-    rig.advance(Duration::from_millis(1_600));
-    let renewed: HashSet<_> = take_orders(&mut rig)
+    node.step(Event::Servers(ServerChange::Registered(restarted)));
+    take_orders(&mut node);
+    node.advance(Duration::from_millis(1_600));
+    let renewed: HashSet<_> = take_orders(&mut node)
         .iter()
         .map(|order| order.addr)
         .collect();
@@ -307,42 +307,42 @@
 /// the memory again.
 #[test]
 fn reservation_expired_during_suspension_is_not_renewed() {
-    let mut rig = TestRouter::new();
-    let request = rig.arrive("/long/", OVERSIZED_TOKENS);
-    let reserved = take_reservations(&mut rig).len();
-    finish_reservation(&mut rig, request, true);
-    rig.take_sends();
-    rig.advance(Duration::from_millis(1_600));
+    let mut node = TestRouter::new();
+    let request = node.arrive("/long/", OVERSIZED_TOKENS);
+    let reserved = take_reservations(&mut node).len();
+    finish_reservation(&mut node, request, true);
+    node.take_sends();
+    node.advance(Duration::from_millis(1_600));
     assert_eq!(
-        take_orders(&mut rig).len(),
+        take_orders(&mut node).len(),
         reserved,
         "active reservations must be renewed"
     );
-    rig.advance(Duration::from_millis(4_000));
-    let renewed = take_orders(&mut rig);
+    node.advance(Duration::from_millis(4_000));
+    let renewed = take_orders(&mut node);
     assert!(
         renewed.iter().all(|order| order.tokens.is_none()),
         "{renewed:?}"
     );
-    rig.end_attempt(request, AttemptEnd::ConnectionLost);
-    assert_eq!(take_released(&mut rig).len(), reserved);
+    node.end_attempt(request, AttemptEnd::ConnectionLost);
+    assert_eq!(take_released(&mut node).len(), reserved);
 }
 
 /// An unresponsive decoding engine keeps its connections open. Guards against renewing the
 /// other engines' reservations until the caller's deadline.
 #[test]
 fn memory_is_released_when_decoding_engine_is_deregistered() {
-    let mut rig = TestRouter::new();
-    let request = rig.arrive("/long/", OVERSIZED_TOKENS);
-    let reserved = take_reservations(&mut rig).len();
-    finish_reservation(&mut rig, request, true);
-    let to = rig.take_only_send();
-    rig.advance(Duration::from_millis(800));
-    take_orders(&mut rig);
-    rig.step(Event::Servers(ServerChange::Removed(to.instance.clone())));
-    assert_eq!(take_released(&mut rig).len(), reserved);
-    rig.advance(Duration::from_millis(1_600));
-    assert!(take_orders(&mut rig)
+    let mut node = TestRouter::new();
+    let request = node.arrive("/long/", OVERSIZED_TOKENS);
+    let reserved = take_reservations(&mut node).len();
+    finish_reservation(&mut node, request, true);
+    let to = node.take_only_send();
+    node.advance(Duration::from_millis(800));
+    take_orders(&mut node);
+    node.step(Event::Servers(ServerChange::Removed(to.instance.clone())));
+    assert_eq!(take_released(&mut node).len(), reserved);
+    node.advance(Duration::from_millis(1_600));
+    assert!(take_orders(&mut node)
         .iter()
         .all(|order| order.tokens.is_none()));
 }
@@ -351,16 +351,16 @@
 /// its memory.
 #[test]
 fn started_stream_retains_memory_when_engine_is_deregistered() {
-    let mut rig = TestRouter::new();
-    let request = rig.arrive("/long/", OVERSIZED_TOKENS);
-    let reserved = take_reservations(&mut rig).len();
-    finish_reservation(&mut rig, request, true);
-    let to = rig.take_only_send();
-    rig.advance(Duration::from_millis(800));
-    rig.step(Event::Started { request });
-    take_orders(&mut rig);
-    rig.step(Event::Servers(ServerChange::Removed(to.instance.clone())));
-    assert!(take_released(&mut rig).is_empty());
-    rig.advance(Duration::from_millis(1_600));
-    assert_eq!(take_orders(&mut rig).len(), reserved);
+    let mut node = TestRouter::new();
+    let request = node.arrive("/long/", OVERSIZED_TOKENS);
+    let reserved = take_reservations(&mut node).len();
+    finish_reservation(&mut node, request, true);
+    let to = node.take_only_send();
+    node.advance(Duration::from_millis(800));
+    node.step(Event::Started { request });
+    take_orders(&mut node);
+    node.step(Event::Servers(ServerChange::Removed(to.instance.clone())));
+    assert!(take_released(&mut node).is_empty());
+    node.advance(Duration::from_millis(1_600));
+    assert_eq!(take_orders(&mut node).len(), reserved);
 }
--- a/crates/notchwalk_route/tests/decisions/routes.rs
+++ b/crates/notchwalk_route/tests/decisions/routes.rs
@@ -4,8 +4,8 @@
 
 use crate::common::{site, TestRouter};
 
-fn found(rig: &TestRouter, host: &str, path: &str, key: Option<&str>) -> Option<String> {
-    match rig.router.routes().lookup(host, path, key) {
+fn found(node: &TestRouter, host: &str, path: &str, key: Option<&str>) -> Option<String> {
+    match node.router.routes().lookup(host, path, key) {
         RouteLookup::Found { route, .. } => Some(route.name.clone()),
         _ => None,
     }
@@ -13,8 +13,8 @@
 
 #[test]
 fn longest_matching_prefix_is_chosen() {
-    let rig = TestRouter::new();
-    let found = |path| found(&rig, "a.example", path, Some("key"));
+    let node = TestRouter::new();
+    let found = |path| found(&node, "a.example", path, Some("key"));
     assert_eq!(found("/short/x").as_deref(), Some("short"));
     assert_eq!(found("/short/special/x").as_deref(), Some("short/special"));
     assert_eq!(found("/short"), None);
@@ -23,18 +23,18 @@
 
 #[test]
 fn hosts_match_without_port_and_case() {
-    let rig = TestRouter::new();
-    assert!(found(&rig, "A.Example:8080", "/short/", Some("key")).is_some());
-    assert!(found(&rig, "b.example", "/short/", Some("key")).is_none());
+    let node = TestRouter::new();
+    assert!(found(&node, "A.Example:8080", "/short/", Some("key")).is_some());
+    assert!(found(&node, "b.example", "/short/", Some("key")).is_none());
 }
 
 #[test]
 fn key_is_required_unless_the_route_is_public() {
-    let mut rig = TestRouter::new();
-    let lookup = |rig: &TestRouter, key| rig.router.routes().lookup("a.example", "/once/", key);
-    assert!(matches!(lookup(&rig, None), RouteLookup::InvalidKey));
+    let mut node = TestRouter::new();
+    let lookup = |node: &TestRouter, key| node.router.routes().lookup("a.example", "/once/", key);
+    assert!(matches!(lookup(&node, None), RouteLookup::InvalidKey));
     assert!(matches!(
-        lookup(&rig, Some("other")),
+        lookup(&node, Some("other")),
         RouteLookup::InvalidKey
     ));
     let mut site = site();
@@ -42,9 +42,9 @@
     site.routes
         .iter_mut()
         .for_each(|route| route.is_public = true);
-    rig.step(notchwalk_route::Event::Configured(site));
+    node.step(notchwalk_route::Event::Configured(site));
     assert!(matches!(
-        lookup(&rig, None),
+        lookup(&node, None),
         RouteLookup::Found {
             workspace: None,
             ..
@@ -54,12 +54,12 @@
 
 #[test]
 fn older_configuration_is_ignored() {
-    let mut rig = TestRouter::new();
+    let mut node = TestRouter::new();
     let mut newer = site();
     newer.version = 5;
     newer.routes.clear();
-    rig.step(notchwalk_route::Event::Configured(newer));
-    rig.step(notchwalk_route::Event::Configured(site()));
-    assert_eq!(rig.router.version(), 5);
-    assert!(found(&rig, "a.example", "/short/", Some("key")).is_none());
+    node.step(notchwalk_route::Event::Configured(newer));
+    node.step(notchwalk_route::Event::Configured(site()));
+    assert_eq!(node.router.version(), 5);
+    assert!(found(&node, "a.example", "/short/", Some("key")).is_none());
 }
--- a/crates/notchwalk_route/tests/decisions/server_notices.rs
+++ b/crates/notchwalk_route/tests/decisions/server_notices.rs
@@ -4,63 +4,65 @@
 
 use notchwalk_route::{AttemptEnd, Effect, Event, Refusal, ServerChange, ServerKey, ServerNotice};
 
-use crate::common::{desk, record, register, server_key, TestRouter, ENGINES, PLAIN_SERVICE};
+use crate::common::{
+    plain_server, record, register, server_key, TestRouter, ENGINES, PLAIN_SERVICE,
+};
 
-fn announce(rig: &mut TestRouter, service: &str, number: u8, notice: ServerNotice) {
-    let server = server_key(rig, service, number);
-    rig.step(Event::NoticeReceived { server, notice });
+fn announce(node: &mut TestRouter, service: &str, number: u8, notice: ServerNotice) {
+    let server = server_key(node, service, number);
+    node.step(Event::NoticeReceived { server, notice });
 }
 
-fn announce_draining(rig: &mut TestRouter, service: &str, numbers: impl IntoIterator<Item = u8>) {
+fn announce_draining(node: &mut TestRouter, service: &str, numbers: impl IntoIterator<Item = u8>) {
     for number in numbers {
-        announce(rig, service, number, ServerNotice::Draining);
+        announce(node, service, number, ServerNotice::Draining);
     }
 }
 
 /// Returns whether any of 30 concurrent calls is sent to a server.
-fn is_used(rig: &mut TestRouter, instance: &str) -> bool {
-    let calls: Vec<_> = (0..30).map(|_| rig.arrive("/again/", 0)).collect();
-    let used = rig
+fn is_used(node: &mut TestRouter, instance: &str) -> bool {
+    let calls: Vec<_> = (0..30).map(|_| node.arrive("/again/", 0)).collect();
+    let used = node
         .take_sends()
         .iter()
         .any(|(_, to)| to.instance == instance);
     for request in calls {
-        rig.end_attempt(request, AttemptEnd::Delivered { is_success: true });
+        node.end_attempt(request, AttemptEnd::Delivered { is_success: true });
     }
     used
 }
 
-fn announce_backoff(rig: &mut TestRouter, number: u8, seconds: u64) {
+fn announce_backoff(node: &mut TestRouter, number: u8, seconds: u64) {
     let notice = ServerNotice::Backoff(Duration::from_secs(seconds));
-    announce(rig, PLAIN_SERVICE, number, notice);
+    announce(node, PLAIN_SERVICE, number, notice);
 }
 
 #[test]
 fn draining_server_receives_no_first_attempt() {
-    let mut rig = TestRouter::new();
-    announce_draining(&mut rig, PLAIN_SERVICE, [0]);
-    assert!(!is_used(&mut rig, "desk-0"));
+    let mut node = TestRouter::new();
+    announce_draining(&mut node, PLAIN_SERVICE, [0]);
+    assert!(!is_used(&mut node, "desk-0"));
 }
 
 /// Fails the first attempt of a request while one of the two other servers, the lower or
 /// the higher one, is draining. Returns the server of the second attempt and the expected
 /// one.
 fn second_attempt(service: &str, path: &str, tokens: u32, lower: bool) -> (String, String) {
-    let mut rig = TestRouter::with_engines("entry-1", 3);
-    let request = rig.arrive(path, tokens);
-    let first = rig.take_only_send().instance;
+    let mut node = TestRouter::with_engines("entry-1", 3);
+    let request = node.arrive(path, tokens);
+    let first = node.take_only_send().instance;
     if tokens > 0 {
-        rig.step(Event::Started { request });
+        node.step(Event::Started { request });
     }
     let is_other = |number: &u8| record(service, *number).instance != first;
     let mut others: Vec<u8> = (0..3).filter(is_other).collect();
     if !lower {
         others.reverse();
     }
-    announce_draining(&mut rig, service, [others[0]]);
-    rig.end_attempt(request, AttemptEnd::ConnectionLost);
+    announce_draining(&mut node, service, [others[0]]);
+    node.end_attempt(request, AttemptEnd::ConnectionLost);
     (
-        rig.take_only_send().instance,
+        node.take_only_send().instance,
         record(service, others[1]).instance,
     )
 }
@@ -83,10 +85,10 @@
 
 #[test]
 fn draining_engine_is_no_prefill_worker_for_a_long_prompt() {
-    let mut rig = TestRouter::new();
-    announce_draining(&mut rig, ENGINES, 0..12);
-    rig.arrive("/long/", 154_000);
-    let to = rig.take_only_send();
+    let mut node = TestRouter::new();
+    announce_draining(&mut node, ENGINES, 0..12);
+    node.arrive("/long/", 154_000);
+    let to = node.take_only_send();
     assert!(!to.prefill_workers.is_empty(), "the prompt is not split");
     let addrs = to.prefill_workers.iter().map(|worker| worker.addr);
     let draining: Vec<_> = (0..12).map(|n| record(ENGINES, n).addr).collect();
@@ -97,37 +99,37 @@
 /// there, and the memory is released.
 #[test]
 fn request_moves_if_an_engine_drains_during_its_reservation() {
-    let mut rig = TestRouter::new();
-    let request = rig.arrive("/long/", 600_000);
+    let mut node = TestRouter::new();
+    let request = node.arrive("/long/", 600_000);
     let reserve = |effect: &Effect| match effect {
         Effect::Reserve { orders, .. } => Some(orders.clone()),
         _ => None,
     };
-    let orders = rig
+    let orders = node
         .effects
         .iter()
         .find_map(reserve)
         .expect("no reservation orders");
-    rig.effects.clear();
+    node.effects.clear();
     let addr = orders[0].addr;
     let number = (0..18).find(|&n| record(ENGINES, n).addr == addr);
     announce_draining(
-        &mut rig,
+        &mut node,
         ENGINES,
         [number.expect("no engine at that address")],
     );
-    rig.step(Event::Reserved {
+    node.step(Event::Reserved {
         request,
         failed: Vec::new(),
     });
-    assert!(rig.take_sends().is_empty(), "sent to a draining engine");
-    let released = rig.effects.iter().filter(
+    assert!(node.take_sends().is_empty(), "sent to a draining engine");
+    let released = node.effects.iter().filter(
         |effect| matches!(effect, Effect::SendReservationOrder(order) if order.tokens.is_none() && order.addr == addr),
     );
     assert_eq!(released.count(), 1);
-    rig.effects.clear();
-    rig.advance(Duration::from_millis(50));
-    let orders = rig
+    node.effects.clear();
+    node.advance(Duration::from_millis(50));
+    let orders = node
         .effects
         .iter()
         .find_map(reserve)
@@ -138,88 +140,88 @@
 /// The registration in the store may be older than the server's notice.
 #[test]
 fn registration_as_ready_does_not_end_draining() {
-    let mut rig = TestRouter::new();
-    announce_draining(&mut rig, PLAIN_SERVICE, [0]);
-    register(&mut rig, record(PLAIN_SERVICE, 0));
-    assert!(!is_used(&mut rig, "desk-0"));
+    let mut node = TestRouter::new();
+    announce_draining(&mut node, PLAIN_SERVICE, [0]);
+    register(&mut node, record(PLAIN_SERVICE, 0));
+    assert!(!is_used(&mut node, "desk-0"));
     let servers = (0..3).map(|number| record(PLAIN_SERVICE, number)).collect();
-    rig.step(Event::Servers(ServerChange::All(servers)));
-    assert!(!is_used(&mut rig, "desk-0"));
-    rig.advance(Duration::from_secs(60));
-    assert!(!is_used(&mut rig, "desk-0"));
+    node.step(Event::Servers(ServerChange::All(servers)));
+    assert!(!is_used(&mut node, "desk-0"));
+    node.advance(Duration::from_secs(60));
+    assert!(!is_used(&mut node, "desk-0"));
 }
 
 #[test]
 fn next_incarnation_of_a_draining_server_is_used() {
-    let mut rig = TestRouter::new();
-    register(&mut rig, desk(0, 1_000));
-    announce_draining(&mut rig, PLAIN_SERVICE, [0]);
-    register(&mut rig, desk(0, 1_000));
-    assert!(!is_used(&mut rig, "desk-0"));
-    register(&mut rig, desk(0, 2_000));
-    assert!(is_used(&mut rig, "desk-0"));
+    let mut node = TestRouter::new();
+    register(&mut node, plain_server(0, 1_000));
+    announce_draining(&mut node, PLAIN_SERVICE, [0]);
+    register(&mut node, plain_server(0, 1_000));
+    assert!(!is_used(&mut node, "desk-0"));
+    register(&mut node, plain_server(0, 2_000));
+    assert!(is_used(&mut node, "desk-0"));
 }
 
 /// A registration may expire while the store is unavailable. Its server then registers again
 /// with the same incarnation.
 #[test]
 fn draining_incarnation_is_not_used_after_it_registers_again() {
-    let mut rig = TestRouter::new();
-    register(&mut rig, desk(0, 1_000));
-    announce_draining(&mut rig, PLAIN_SERVICE, [0]);
-    rig.step(Event::Servers(ServerChange::Removed("desk-0".to_owned())));
-    register(&mut rig, desk(0, 1_000));
-    assert!(!is_used(&mut rig, "desk-0"));
-    rig.step(Event::Servers(ServerChange::Removed("desk-0".to_owned())));
-    register(&mut rig, desk(0, 2_000));
-    assert!(is_used(&mut rig, "desk-0"));
+    let mut node = TestRouter::new();
+    register(&mut node, plain_server(0, 1_000));
+    announce_draining(&mut node, PLAIN_SERVICE, [0]);
+    node.step(Event::Servers(ServerChange::Removed("desk-0".to_owned())));
+    register(&mut node, plain_server(0, 1_000));
+    assert!(!is_used(&mut node, "desk-0"));
+    node.step(Event::Servers(ServerChange::Removed("desk-0".to_owned())));
+    register(&mut node, plain_server(0, 2_000));
+    assert!(is_used(&mut node, "desk-0"));
 }
 
 /// A server without a start time counts as a new incarnation when it registers again.
 #[test]
 fn draining_server_without_start_time_is_used_after_it_registers_again() {
-    let mut rig = TestRouter::new();
-    announce_draining(&mut rig, PLAIN_SERVICE, [0]);
-    rig.step(Event::Servers(ServerChange::Removed("desk-0".to_owned())));
-    register(&mut rig, record(PLAIN_SERVICE, 0));
-    assert!(is_used(&mut rig, "desk-0"));
+    let mut node = TestRouter::new();
+    announce_draining(&mut node, PLAIN_SERVICE, [0]);
+    node.step(Event::Servers(ServerChange::Removed("desk-0".to_owned())));
+    register(&mut node, record(PLAIN_SERVICE, 0));
+    assert!(is_used(&mut node, "desk-0"));
 }
 
 #[test]
 fn server_receives_no_requests_during_the_backoff_that_it_requested() {
-    let mut rig = TestRouter::new();
-    announce_backoff(&mut rig, 0, 3);
-    assert!(!is_used(&mut rig, "desk-0"));
-    rig.advance(Duration::from_millis(2_900));
-    assert!(!is_used(&mut rig, "desk-0"));
-    rig.advance(Duration::from_millis(200));
-    assert!(is_used(&mut rig, "desk-0"));
+    let mut node = TestRouter::new();
+    announce_backoff(&mut node, 0, 3);
+    assert!(!is_used(&mut node, "desk-0"));
+    node.advance(Duration::from_millis(2_900));
+    assert!(!is_used(&mut node, "desk-0"));
+    node.advance(Duration::from_millis(200));
+    assert!(is_used(&mut node, "desk-0"));
 }
 
 #[test]
 fn shorter_backoff_does_not_replace_a_longer_one() {
-    let mut rig = TestRouter::new();
-    announce_backoff(&mut rig, 0, 3);
-    announce_backoff(&mut rig, 0, 1);
-    rig.advance(Duration::from_secs(2));
-    assert!(!is_used(&mut rig, "desk-0"));
+    let mut node = TestRouter::new();
+    announce_backoff(&mut node, 0, 3);
+    announce_backoff(&mut node, 0, 1);
+    node.advance(Duration::from_secs(2));
+    assert!(!is_used(&mut node, "desk-0"));
 }
 
 #[test]
 fn next_incarnation_ends_the_backoff() {
-    let mut rig = TestRouter::new();
-    register(&mut rig, desk(0, 1_000));
-    announce_backoff(&mut rig, 0, 600);
-    assert!(!is_used(&mut rig, "desk-0"));
-    register(&mut rig, desk(0, 2_000));
-    assert!(is_used(&mut rig, "desk-0"));
+    let mut node = TestRouter::new();
+    register(&mut node, plain_server(0, 1_000));
+    announce_backoff(&mut node, 0, 600);
+    assert!(!is_used(&mut node, "desk-0"));
+    register(&mut node, plain_server(0, 2_000));
+    assert!(is_used(&mut node, "desk-0"));
 }
 
-fn refused(rig: &mut TestRouter, path: &str, tokens: u32) -> (Refusal, Option<Duration>) {
-    rig.effects.clear();
-    rig.arrive(path, tokens);
-    assert!(rig.take_sends().is_empty());
-    let refused = rig.effects.iter().find_map(|effect| match effect {
+fn refused(node: &mut TestRouter, path: &str, tokens: u32) -> (Refusal, Option<Duration>) {
+    node.effects.clear();
+    node.arrive(path, tokens);
+    assert!(node.take_sends().is_empty());
+    let refused = node.effects.iter().find_map(|effect| match effect {
         Effect::Refuse {
             reason,
             retry_after,
@@ -233,26 +235,26 @@
 /// Guards against queueing requests until their deadlines although they can't be sent.
 #[test]
 fn requests_are_refused_with_the_shortest_retry_after_if_all_servers_back_off() {
-    let mut rig = TestRouter::with_engines("entry-1", 3);
+    let mut node = TestRouter::with_engines("entry-1", 3);
     for number in 0..3 {
-        announce_backoff(&mut rig, number, 5 + u64::from(number));
+        announce_backoff(&mut node, number, 5 + u64::from(number));
         let notice = ServerNotice::Backoff(Duration::from_secs(7 + u64::from(number)));
-        announce(&mut rig, ENGINES, number, notice);
+        announce(&mut node, ENGINES, number, notice);
     }
-    let at_desk = refused(&mut rig, "/once/", 0);
+    let at_desk = refused(&mut node, "/once/", 0);
     assert_eq!(at_desk, (Refusal::NoServer, Some(Duration::from_secs(5))));
-    let short = refused(&mut rig, "/short/", 3_000);
+    let short = refused(&mut node, "/short/", 3_000);
     assert_eq!(short, (Refusal::NoServer, Some(Duration::from_secs(7))));
-    let long = refused(&mut rig, "/long/", 154_000);
+    let long = refused(&mut node, "/long/", 154_000);
     assert_eq!(long, (Refusal::NoServer, Some(Duration::from_secs(7))));
 }
 
 #[test]
 fn requests_are_refused_immediately_if_all_servers_are_draining() {
-    let mut rig = TestRouter::with_engines("entry-1", 3);
-    announce_draining(&mut rig, ENGINES, 0..3);
+    let mut node = TestRouter::with_engines("entry-1", 3);
+    announce_draining(&mut node, ENGINES, 0..3);
     for (path, tokens) in [("/short/", 3_000), ("/long/", 154_000), ("/long/", 600_000)] {
-        let (reason, retry_after) = refused(&mut rig, path, tokens);
+        let (reason, retry_after) = refused(&mut node, path, tokens);
         assert_eq!(reason, Refusal::NoServer);
         assert!(retry_after.is_some());
     }
@@ -262,85 +264,85 @@
 /// unused.
 #[test]
 fn failed_server_is_used_again_after_some_time() {
-    let mut rig = TestRouter::new();
-    let failing = server_key(&rig, PLAIN_SERVICE, 0);
+    let mut node = TestRouter::new();
+    let failing = server_key(&node, PLAIN_SERVICE, 0);
     for _ in 0..4 {
-        let calls: Vec<_> = (0..30).map(|_| rig.arrive("/again/", 0)).collect();
-        for (request, to) in rig.take_sends() {
+        let calls: Vec<_> = (0..30).map(|_| node.arrive("/again/", 0)).collect();
+        for (request, to) in node.take_sends() {
             let end = match to.server == failing {
                 true => AttemptEnd::ConnectionLost,
                 false => AttemptEnd::Delivered { is_success: true },
             };
-            rig.end_attempt(request, end);
+            node.end_attempt(request, end);
         }
         for request in calls {
-            rig.step(Event::Abandoned { request });
+            node.step(Event::Abandoned { request });
         }
-        rig.effects.clear();
+        node.effects.clear();
         assert!(
-            !is_used(&mut rig, "desk-0"),
+            !is_used(&mut node, "desk-0"),
             "the failing server is still used"
         );
-        rig.advance(Duration::from_secs(4));
+        node.advance(Duration::from_secs(4));
     }
     // Its ejection has ended by then.
-    rig.advance(Duration::from_secs(10));
-    assert!(is_used(&mut rig, "desk-0"));
+    node.advance(Duration::from_secs(10));
+    assert!(is_used(&mut node, "desk-0"));
 }
 
 /// Failures that are a minute old do not count as consecutive with a new one.
 #[test]
 fn single_failure_long_after_others_does_not_eject_a_server() {
-    let mut rig = TestRouter::new();
-    let failing = server_key(&rig, PLAIN_SERVICE, 0);
-    let fails_and_is_ejected = |rig: &mut TestRouter| {
-        let calls: Vec<_> = (0..30).map(|_| rig.arrive("/again/", 0)).collect();
-        let sends = rig.take_sends();
+    let mut node = TestRouter::new();
+    let failing = server_key(&node, PLAIN_SERVICE, 0);
+    let fails_and_is_ejected = |node: &mut TestRouter| {
+        let calls: Vec<_> = (0..30).map(|_| node.arrive("/again/", 0)).collect();
+        let sends = node.take_sends();
         let broken = sends.iter().find(|(_, to)| to.server == failing);
         let (broken, _) = broken.expect("the server is not used");
-        rig.end_attempt(*broken, AttemptEnd::ConnectionLost);
+        node.end_attempt(*broken, AttemptEnd::ConnectionLost);
         for request in calls {
-            rig.step(Event::Abandoned { request });
+            node.step(Event::Abandoned { request });
         }
-        let effects = std::mem::take(&mut rig.effects);
+        let effects = std::mem::take(&mut node.effects);
         let is_ejection = |effect: &Effect| matches!(effect, Effect::Ejected { .. });
         effects.iter().any(is_ejection)
     };
-    assert!(!fails_and_is_ejected(&mut rig));
+    assert!(!fails_and_is_ejected(&mut node));
     assert!(
-        fails_and_is_ejected(&mut rig),
+        fails_and_is_ejected(&mut node),
         "not ejected after two consecutive failures"
     );
-    rig.advance(Duration::from_secs(60));
-    assert!(!fails_and_is_ejected(&mut rig));
+    node.advance(Duration::from_secs(60));
+    assert!(!fails_and_is_ejected(&mut node));
 }
 
 /// Fails a server's calls until it is ejected.
-fn fail_until_ejected(rig: &mut TestRouter, failing: ServerKey) {
+fn fail_until_ejected(node: &mut TestRouter, failing: ServerKey) {
     for _ in 0..2 {
-        let calls: Vec<_> = (0..30).map(|_| rig.arrive("/again/", 0)).collect();
-        for (request, to) in rig.take_sends() {
+        let calls: Vec<_> = (0..30).map(|_| node.arrive("/again/", 0)).collect();
+        for (request, to) in node.take_sends() {
             if to.server == failing {
-                rig.end_attempt(request, AttemptEnd::ConnectionLost);
+                node.end_attempt(request, AttemptEnd::ConnectionLost);
             }
         }
         for request in calls {
-            rig.step(Event::Abandoned { request });
+            node.step(Event::Abandoned { request });
         }
     }
-    rig.effects.clear();
+    node.effects.clear();
 }
 
 /// At light load a small failure rate outweighs any difference in load, so it must not
 /// outlast the ejection.
 #[test]
 fn failed_server_is_used_at_light_load_after_its_ejection() {
-    let mut rig = TestRouter::new();
-    let failing = server_key(&rig, PLAIN_SERVICE, 0);
-    fail_until_ejected(&mut rig, failing);
-    rig.advance(Duration::from_millis(4_100));
-    let calls: Vec<_> = (0..4).map(|_| rig.arrive("/again/", 0)).collect();
-    let used = rig.take_sends().iter().any(|(_, to)| to.server == failing);
+    let mut node = TestRouter::new();
+    let failing = server_key(&node, PLAIN_SERVICE, 0);
+    fail_until_ejected(&mut node, failing);
+    node.advance(Duration::from_millis(4_100));
+    let calls: Vec<_> = (0..4).map(|_| node.arrive("/again/", 0)).collect();
+    let used = node.take_sends().iter().any(|(_, to)| to.server == failing);
     assert!(used);
     assert_eq!(calls.len(), 4);
 }
@@ -348,20 +350,20 @@
 /// A server that still hangs must not receive as many requests as it has free capacity.
 #[test]
 fn server_after_its_ejection_receives_one_request_until_it_responds() {
-    let mut rig = TestRouter::new();
-    let failing = server_key(&rig, PLAIN_SERVICE, 0);
-    fail_until_ejected(&mut rig, failing);
-    rig.advance(Duration::from_millis(4_100));
-    let _calls: Vec<_> = (0..30).map(|_| rig.arrive("/again/", 0)).collect();
-    let sends = rig.take_sends();
+    let mut node = TestRouter::new();
+    let failing = server_key(&node, PLAIN_SERVICE, 0);
+    fail_until_ejected(&mut node, failing);
+    node.advance(Duration::from_millis(4_100));
+    let _calls: Vec<_> = (0..30).map(|_| node.arrive("/again/", 0)).collect();
+    let sends = node.take_sends();
     let to_failing: Vec<_> = sends
         .iter()
         .filter(|(_, to)| to.server == failing)
         .collect();
     assert_eq!(to_failing.len(), 1);
-    rig.end_attempt(to_failing[0].0, AttemptEnd::Delivered { is_success: true });
-    let _calls: Vec<_> = (0..30).map(|_| rig.arrive("/again/", 0)).collect();
-    let sends = rig.take_sends();
+    node.end_attempt(to_failing[0].0, AttemptEnd::Delivered { is_success: true });
+    let _calls: Vec<_> = (0..30).map(|_| node.arrive("/again/", 0)).collect();
+    let sends = node.take_sends();
     let to_failing = sends.iter().filter(|(_, to)| to.server == failing);
     assert!(to_failing.count() > 5, "not used after a success");
 }
--- a/crates/notchwalk_route/tests/decisions/shares.rs
+++ b/crates/notchwalk_route/tests/decisions/shares.rs
@@ -39,36 +39,36 @@
 
 /// Simulates 8 s of these demands.
 fn simulate(demands: &[Demand]) -> HashMap<&'static str, Counts> {
-    let mut rig = TestRouter::with_engines("entry-1", 4);
+    let mut node = TestRouter::with_engines("entry-1", 4);
     let mut workspace_of: HashMap<RequestKey, &str> = HashMap::new();
     let mut counts: HashMap<&str, Counts> = HashMap::new();
     let mut running: Vec<(Instant, RequestKey)> = Vec::new();
     let mut sends = 0;
     for tick in 0..TICKS {
         for demand in demands.iter().filter(|demand| tick % demand.interval == 0) {
-            rig.workspace = WorkspaceShortId::of(demand.workspace);
+            node.workspace = WorkspaceShortId::of(demand.workspace);
             for _ in 0..demand.requests {
-                workspace_of.insert(rig.arrive("/short/", 5_000), demand.workspace);
+                workspace_of.insert(node.arrive("/short/", 5_000), demand.workspace);
                 counts.entry(demand.workspace).or_default().arrived += 1;
             }
         }
-        rig.advance(TICK);
-        for (key, to) in rig.take_sends() {
+        node.advance(TICK);
+        for (key, to) in node.take_sends() {
             let counts = counts.entry(workspace_of[&key]).or_default();
             counts.sent += 1;
             counts.in_time += usize::from(to.predicted_first_event <= OBJECTIVE);
-            rig.step(Event::Started { request: key });
+            node.step(Event::Started { request: key });
             sends += 1;
-            running.push((rig.now.after(response_time(sends)), key));
+            running.push((node.now.after(response_time(sends)), key));
         }
-        let now = rig.now;
+        let now = node.now;
         let ended = running.iter().filter(|(at, _)| *at <= now);
         let ended: Vec<RequestKey> = ended.map(|(_, key)| *key).collect();
         running.retain(|(at, _)| *at > now);
         for key in ended {
-            rig.end_attempt(key, AttemptEnd::Delivered { is_success: true });
+            node.end_attempt(key, AttemptEnd::Delivered { is_success: true });
         }
-        rig.effects
+        node.effects
             .retain(|e| !matches!(e, Effect::SendReservationOrder(_)));
     }
     counts
@@ -111,11 +111,11 @@
 /// Shares must not limit a workspace while there is free capacity.
 #[test]
 fn single_workspace_may_use_all_engines() {
-    let mut rig = TestRouter::with_engines("entry-1", 4);
-    rig.workspace = WorkspaceShortId::of("flood");
+    let mut node = TestRouter::with_engines("entry-1", 4);
+    node.workspace = WorkspaceShortId::of("flood");
     for _ in 0..50 {
-        rig.arrive("/short/", 5_000);
-        rig.advance(TICK);
+        node.arrive("/short/", 5_000);
+        node.advance(TICK);
     }
-    assert_eq!(rig.take_sends().len(), 50);
+    assert_eq!(node.take_sends().len(), 50);
 }
--- a/crates/notchwalk_route/tests/decisions/suspects.rs
+++ b/crates/notchwalk_route/tests/decisions/suspects.rs
@@ -20,73 +20,73 @@
 }
 
 /// Sends a request with this content.
-fn arrive(rig: &mut TestRouter, path: &str, tokens: u32, content: Fingerprint) -> RequestKey {
-    rig.content = Some(content);
-    let request = rig.arrive(path, tokens);
-    rig.content = None;
+fn arrive(node: &mut TestRouter, path: &str, tokens: u32, content: Fingerprint) -> RequestKey {
+    node.content = Some(content);
+    let request = node.arrive(path, tokens);
+    node.content = None;
     request
 }
 
-fn is_quarantined(rig: &TestRouter, content: Fingerprint) -> bool {
-    let verdict = rig.router.quarantine().verdict(content, rig.now);
+fn is_quarantined(node: &TestRouter, content: Fingerprint) -> bool {
+    let verdict = node.router.quarantine().verdict(content, node.now);
     matches!(verdict, Verdict::Quarantined { .. })
 }
 
 /// Deregisters a server that has crashed.
-fn remove_server(rig: &mut TestRouter, instance: &str) {
+fn remove_server(node: &mut TestRouter, instance: &str) {
     let change = ServerChange::Removed(instance.to_owned());
-    rig.step(Event::Servers(change));
+    node.step(Event::Servers(change));
 }
 
 /// Sends requests with the crashing content until none is dispatched; returns the number of
 /// crashed servers.
-fn crash_servers(rig: &mut TestRouter, path: &str, tokens: u32) -> usize {
+fn crash_servers(node: &mut TestRouter, path: &str, tokens: u32) -> usize {
     let mut crashes = 0;
     for _ in 0..10 {
-        let request = arrive(rig, path, tokens, crashing_content());
+        let request = arrive(node, path, tokens, crashing_content());
         loop {
-            let mut sends = rig.take_sends();
+            let mut sends = node.take_sends();
             let Some((_, to)) = sends.pop() else { break };
             crashes += 1;
-            rig.advance(Duration::from_millis(120));
-            rig.end_attempt(request, AttemptEnd::ConnectionLost);
-            remove_server(rig, &to.instance);
-            rig.advance(Duration::from_millis(30));
+            node.advance(Duration::from_millis(120));
+            node.end_attempt(request, AttemptEnd::ConnectionLost);
+            remove_server(node, &to.instance);
+            node.advance(Duration::from_millis(30));
         }
     }
     // Long enough to rule out that other servers ended at the same moment.
-    rig.advance(Duration::from_millis(200));
+    node.advance(Duration::from_millis(200));
     crashes
 }
 
 #[test]
 fn content_that_crashed_three_servers_is_quarantined() {
     for (path, tokens) in [("/again/", 0), ("/short/", 3_000), ("/long/", 150_000)] {
-        let mut rig = TestRouter::new();
+        let mut node = TestRouter::new();
         // The plain service has three servers.
-        assert_eq!(crash_servers(&mut rig, path, tokens), 3, "{path}");
-        rig.effects.clear();
-        arrive(&mut rig, path, tokens, crashing_content());
-        assert!(rig.take_sends().is_empty(), "{path}");
-        assert_eq!(rig.refusals(), [Refusal::Quarantined], "{path}");
+        assert_eq!(crash_servers(&mut node, path, tokens), 3, "{path}");
+        node.effects.clear();
+        arrive(&mut node, path, tokens, crashing_content());
+        assert!(node.take_sends().is_empty(), "{path}");
+        assert_eq!(node.refusals(), [Refusal::Quarantined], "{path}");
     }
 }
 
 /// Each attempt of the caller sends a non-repeatable request only once.
 #[test]
 fn crashes_of_non_repeatable_requests_are_counted() {
-    let mut rig = TestRouter::new();
-    assert_eq!(crash_servers(&mut rig, "/once/", 0), 3);
-    assert!(is_quarantined(&rig, crashing_content()));
+    let mut node = TestRouter::new();
+    assert_eq!(crash_servers(&mut node, "/once/", 0), 3);
+    assert!(is_quarantined(&node, crashing_content()));
 }
 
 #[test]
 fn quarantined_request_is_refused_with_retry_after() {
-    let mut rig = TestRouter::new();
-    crash_servers(&mut rig, "/short/", 3_000);
-    rig.effects.clear();
-    let request = arrive(&mut rig, "/short/", 3_000, crashing_content());
-    let retry_after = rig.effects.iter().find_map(|effect| match effect {
+    let mut node = TestRouter::new();
+    crash_servers(&mut node, "/short/", 3_000);
+    node.effects.clear();
+    let request = arrive(&mut node, "/short/", 3_000, crashing_content());
+    let retry_after = node.effects.iter().find_map(|effect| match effect {
         Effect::Refuse {
             request: refused,
             reason: Refusal::Quarantined,
@@ -97,54 +97,54 @@
     let left = retry_after.expect("request is refused immediately");
     assert!(left > Duration::from_secs(590) && left <= Duration::from_secs(600));
     // Other requests of the same workspace and route are served.
-    rig.arrive("/short/", 3_000);
-    rig.take_only_send();
+    node.arrive("/short/", 3_000);
+    node.take_only_send();
 }
 
 /// The quarantine applies to requests with an attempt in progress.
 #[test]
 fn quarantine_from_peer_prevents_retry() {
-    let mut rig = TestRouter::new();
-    let request = arrive(&mut rig, "/short/", 3_000, crashing_content());
-    rig.take_only_send();
+    let mut node = TestRouter::new();
+    let request = arrive(&mut node, "/short/", 3_000, crashing_content());
+    node.take_only_send();
     let updates = vec![QuarantineUpdate::Quarantined {
         content: crashing_content(),
         age_ms: 5,
         left_ms: 600_000,
         times: 1,
     }];
-    rig.step(Event::QuarantineUpdates { peer: 1, updates });
-    rig.advance(Duration::from_millis(50));
-    rig.end_attempt(request, AttemptEnd::ConnectionLost);
-    assert!(rig.take_sends().is_empty());
-    assert_eq!(rig.refusals(), [Refusal::Quarantined]);
+    node.step(Event::QuarantineUpdates { peer: 1, updates });
+    node.advance(Duration::from_millis(50));
+    node.end_attempt(request, AttemptEnd::ConnectionLost);
+    assert!(node.take_sends().is_empty());
+    assert_eq!(node.refusals(), [Refusal::Quarantined]);
 }
 
 /// The second and third attempts go to servers with the fewest other requests.
 #[test]
 fn suspect_is_sent_to_least_loaded_server() {
-    let mut rig = TestRouter::new();
+    let mut node = TestRouter::new();
     for _ in 0..30 {
-        rig.arrive("/short/", 5_000);
+        node.arrive("/short/", 5_000);
     }
-    let others = count_by_server(&rig.take_sends());
-    let first = arrive(&mut rig, "/short/", 3_000, crashing_content());
-    let at_first = rig.take_only_send().instance;
-    rig.advance(Duration::from_millis(100));
-    rig.end_attempt(first, AttemptEnd::ConnectionLost);
-    let at_second = rig.take_only_send().instance;
+    let others = count_by_server(&node.take_sends());
+    let first = arrive(&mut node, "/short/", 3_000, crashing_content());
+    let at_first = node.take_only_send().instance;
+    node.advance(Duration::from_millis(100));
+    node.end_attempt(first, AttemptEnd::ConnectionLost);
+    let at_second = node.take_only_send().instance;
     let running_on = |instance: &String| others.get(instance).copied().unwrap_or(0);
     let (more, fewer) = (running_on(&at_first), running_on(&at_second));
     assert!(
         fewer * 2 <= more,
         "{more} requests with the first attempt, {fewer} with the second"
     );
-    remove_server(&mut rig, &at_first);
-    rig.advance(Duration::from_millis(100));
-    rig.end_attempt(first, AttemptEnd::ConnectionLost);
-    remove_server(&mut rig, &at_second);
-    arrive(&mut rig, "/short/", 3_000, crashing_content());
-    let at_third = rig.take_only_send().instance;
+    remove_server(&mut node, &at_first);
+    node.advance(Duration::from_millis(100));
+    node.end_attempt(first, AttemptEnd::ConnectionLost);
+    remove_server(&mut node, &at_second);
+    arrive(&mut node, "/short/", 3_000, crashing_content());
+    let at_third = node.take_only_send().instance;
     let fewest = others.values().copied().min();
     assert_eq!(
         others.get(&at_third).copied(),
@@ -155,58 +155,58 @@
 
 #[test]
 fn suspect_prompt_is_not_split() {
-    let mut rig = TestRouter::new();
-    let request = arrive(&mut rig, "/long/", 150_000, crashing_content());
-    let first = rig.take_only_send();
+    let mut node = TestRouter::new();
+    let request = arrive(&mut node, "/long/", 150_000, crashing_content());
+    let first = node.take_only_send();
     assert!(!first.prefill_workers.is_empty());
-    rig.advance(Duration::from_millis(500));
-    rig.end_attempt(request, AttemptEnd::ConnectionLost);
-    remove_server(&mut rig, &first.instance);
-    rig.advance(Duration::from_millis(200));
-    let second = rig.take_only_send();
+    node.advance(Duration::from_millis(500));
+    node.end_attempt(request, AttemptEnd::ConnectionLost);
+    remove_server(&mut node, &first.instance);
+    node.advance(Duration::from_millis(200));
+    let second = node.take_only_send();
     assert!(second.prefill_workers.is_empty(), "{second:?}");
 }
 
 /// The crashed engine is identified by its deregistration.
 #[test]
 fn crash_of_prefill_worker_is_counted() {
-    let mut rig = TestRouter::new();
+    let mut node = TestRouter::new();
     let mut lost = 0;
     for _ in 0..6 {
-        let request = arrive(&mut rig, "/long/", 150_000, crashing_content());
-        let mut sends = rig.take_sends();
+        let request = arrive(&mut node, "/long/", 150_000, crashing_content());
+        let mut sends = node.take_sends();
         let Some((_, to)) = sends.pop() else { break };
         lost += 1;
         let crashed = match to.prefill_workers.first() {
             Some(worker) => {
-                let key = rig
+                let key = node
                     .router
                     .fleet()
                     .by_addr(worker.addr)
                     .expect("server is registered");
-                let server = rig.router.fleet().get(key).expect("server is registered");
+                let server = node.router.fleet().get(key).expect("server is registered");
                 server.record.instance.clone()
             }
             None => to.instance.clone(),
         };
-        rig.advance(Duration::from_millis(700));
-        rig.end_attempt(request, AttemptEnd::ConnectionLost);
-        rig.take_sends();
-        remove_server(&mut rig, &crashed);
-        rig.step(Event::Abandoned { request });
-        rig.advance(Duration::from_millis(300));
+        node.advance(Duration::from_millis(700));
+        node.end_attempt(request, AttemptEnd::ConnectionLost);
+        node.take_sends();
+        remove_server(&mut node, &crashed);
+        node.step(Event::Abandoned { request });
+        node.advance(Duration::from_millis(300));
     }
     assert_eq!(lost, 3);
-    assert!(is_quarantined(&rig, crashing_content()));
+    assert!(is_quarantined(&node, crashing_content()));
 }
 
 /// A draining server cancels unfinished requests and deregisters.
 #[test]
 fn end_of_draining_server_is_not_a_crash() {
-    let mut rig = TestRouter::new();
+    let mut node = TestRouter::new();
     for round in 0..6 {
-        let request = arrive(&mut rig, "/short/", 3_000, crashing_content());
-        let instance = rig.take_only_send().instance;
+        let request = arrive(&mut node, "/short/", 3_000, crashing_content());
+        let instance = node.take_only_send().instance;
         let number: u8 = instance
             .trim_start_matches("engines-")
             .parse()
@@ -216,39 +216,45 @@
                 stage: ServerStage::Leaving,
                 ..record(ENGINES, number)
             };
-            rig.step(Event::Servers(ServerChange::Registered(draining)));
+            node.step(Event::Servers(ServerChange::Registered(draining)));
         } else {
-            remove_server(&mut rig, &instance);
+            remove_server(&mut node, &instance);
         }
-        rig.advance(Duration::from_millis(300));
-        rig.end_attempt(request, AttemptEnd::ConnectionLost);
-        remove_server(&mut rig, &instance);
-        rig.step(Event::Abandoned { request });
-        rig.effects.clear();
-        rig.advance(Duration::from_millis(300));
+        node.advance(Duration::from_millis(300));
+        node.end_attempt(request, AttemptEnd::ConnectionLost);
+        remove_server(&mut node, &instance);
+        node.step(Event::Abandoned { request });
+        node.effects.clear();
+        node.advance(Duration::from_millis(300));
     }
-    let verdict = rig.router.quarantine().verdict(crashing_content(), rig.now);
+    let verdict = node
+        .router
+        .quarantine()
+        .verdict(crashing_content(), node.now);
     assert_eq!(verdict, Verdict::Allowed);
 }
 
 /// Invalid responses show that the server is running.
 #[test]
 fn invalid_response_is_not_a_crash() {
-    let mut rig = TestRouter::new();
+    let mut node = TestRouter::new();
     for _ in 0..4 {
-        let request = arrive(&mut rig, "/again/", 0, crashing_content());
-        while !rig.take_sends().is_empty() {
-            rig.advance(Duration::from_millis(100));
-            rig.end_attempt(request, AttemptEnd::InvalidResponse);
+        let request = arrive(&mut node, "/again/", 0, crashing_content());
+        while !node.take_sends().is_empty() {
+            node.advance(Duration::from_millis(100));
+            node.end_attempt(request, AttemptEnd::InvalidResponse);
         }
-        rig.advance(Duration::from_secs(2));
+        node.advance(Duration::from_secs(2));
     }
-    let verdict = rig.router.quarantine().verdict(crashing_content(), rig.now);
+    let verdict = node
+        .router
+        .quarantine()
+        .verdict(crashing_content(), node.now);
     assert_eq!(verdict, Verdict::Allowed);
 }
 
-/// Returns a registration of a desk server with the start time of its incarnation.
-fn desk(number: u8, started_ms: u64) -> ServerRecord {
+/// Returns a registration of a plain server with the start time of its incarnation.
+fn plain_server(number: u8, started_ms: u64) -> ServerRecord {
     ServerRecord {
         started_ms: Some(started_ms),
         ..record(PLAIN_SERVICE, number)
@@ -258,140 +264,151 @@
 /// A server may restart under its id before the broken connection is detected.
 #[test]
 fn new_incarnation_confirms_a_crash() {
-    let mut rig = TestRouter::new();
+    let mut node = TestRouter::new();
     for number in 0..3 {
-        rig.step(Event::Servers(ServerChange::Registered(desk(number, 1))));
+        node.step(Event::Servers(ServerChange::Registered(plain_server(
+            number, 1,
+        ))));
     }
     // Other recently ended incarnations would raise the threshold.
-    rig.advance(Duration::from_secs(5));
+    node.advance(Duration::from_secs(5));
     for round in 0..3 {
-        let request = arrive(&mut rig, "/again/", 0, crashing_content());
-        let instance = rig.take_only_send().instance;
+        let request = arrive(&mut node, "/again/", 0, crashing_content());
+        let instance = node.take_only_send().instance;
         let number: u8 = instance.trim_start_matches("desk-").parse().unwrap();
-        rig.advance(Duration::from_millis(100));
-        let restarted = desk(number, 10 + round);
-        rig.step(Event::Servers(ServerChange::Registered(restarted)));
-        rig.advance(Duration::from_millis(20));
-        rig.end_attempt(request, AttemptEnd::ConnectionLost);
-        rig.take_sends();
-        rig.step(Event::Abandoned { request });
-        rig.advance(Duration::from_millis(200));
+        node.advance(Duration::from_millis(100));
+        let restarted = plain_server(number, 10 + round);
+        node.step(Event::Servers(ServerChange::Registered(restarted)));
+        node.advance(Duration::from_millis(20));
+        node.end_attempt(request, AttemptEnd::ConnectionLost);
+        node.take_sends();
+        node.step(Event::Abandoned { request });
+        node.advance(Duration::from_millis(200));
     }
-    assert!(is_quarantined(&rig, crashing_content()));
+    assert!(is_quarantined(&node, crashing_content()));
 }
 
 /// Failures belong to one incarnation of a server.
 #[test]
 fn new_incarnation_has_no_failure_history() {
-    let mut rig = TestRouter::new();
+    let mut node = TestRouter::new();
     for number in 0..3 {
-        rig.step(Event::Servers(ServerChange::Registered(desk(number, 1))));
+        node.step(Event::Servers(ServerChange::Registered(plain_server(
+            number, 1,
+        ))));
     }
-    let request = rig.arrive("/once/", 0);
-    let instance = rig.take_only_send().instance;
+    let request = node.arrive("/once/", 0);
+    let instance = node.take_only_send().instance;
     let number: u8 = instance.trim_start_matches("desk-").parse().unwrap();
     // The server is unreachable, so it receives no requests.
-    rig.end_attempt(request, AttemptEnd::NotConnected);
-    let fleet = rig.router.fleet();
+    node.end_attempt(request, AttemptEnd::NotConnected);
+    let fleet = node.router.fleet();
     let is_unavailable = |now: Instant| {
         let mut servers = fleet.iter();
         servers.any(|(_, server)| server.record.instance == instance && !server.is_available(now))
     };
-    assert!(is_unavailable(rig.now));
-    rig.take_sends();
-    rig.step(Event::Abandoned { request });
+    assert!(is_unavailable(node.now));
+    node.take_sends();
+    node.step(Event::Abandoned { request });
     let draining = ServerRecord {
         stage: ServerStage::Leaving,
-        ..desk(number, 1)
+        ..plain_server(number, 1)
     };
-    rig.step(Event::Servers(ServerChange::Registered(draining)));
-    rig.step(Event::Servers(ServerChange::Registered(desk(number, 2))));
-    let fleet = rig.router.fleet();
+    node.step(Event::Servers(ServerChange::Registered(draining)));
+    node.step(Event::Servers(ServerChange::Registered(plain_server(
+        number, 2,
+    ))));
+    let fleet = node.router.fleet();
     let mut servers = fleet.iter();
     let (key, server) = servers
         .find(|(_, server)| server.record.instance == instance)
         .expect("server is registered");
-    assert!(server.is_available(rig.now));
-    assert_eq!(server.failure_rate(rig.now), 0.0);
-    let load = rig.router.load_view().load(key, rig.now);
+    assert!(server.is_available(node.now));
+    assert_eq!(server.failure_rate(node.now), 0.0);
+    let load = node.router.load_view().load(key, node.now);
     assert_eq!(load.occupied(), 0);
     drop(servers);
-    // Registering the same incarnation again keeps its key.
-    let key_again = |rig: &TestRouter| {
-        let mut servers = rig.router.fleet().iter();
+    // Registering the same incarnation again retains its key.
+    let key_again = |node: &TestRouter| {
+        let mut servers = node.router.fleet().iter();
         let found = servers.find(|(_, server)| server.record.instance == instance);
         found.map(|(key, _)| key)
     };
-    rig.step(Event::Servers(ServerChange::Registered(desk(number, 2))));
-    assert_eq!(key_again(&rig), Some(key));
+    node.step(Event::Servers(ServerChange::Registered(plain_server(
+        number, 2,
+    ))));
+    assert_eq!(key_again(&node), Some(key));
 }
 
 /// A node that can't connect may itself be partitioned.
 #[test]
-fn server_that_answers_others_has_not_crashed() {
-    let mut rig = TestRouter::new();
+fn server_that_responds_to_others_has_not_crashed() {
+    let mut node = TestRouter::new();
     let mut others = Vec::new();
     for _ in 0..3 {
-        others.push(rig.arrive("/again/", 0));
+        others.push(node.arrive("/again/", 0));
     }
-    let instances: Vec<String> = rig
+    let instances: Vec<String> = node
         .take_sends()
         .into_iter()
         .map(|(_, to)| to.instance)
         .collect();
     assert_eq!(instances.len(), 3);
-    rig.advance(Duration::from_millis(100));
+    node.advance(Duration::from_millis(100));
     let mut seen = Vec::new();
     for _ in 0..3 {
-        let request = arrive(&mut rig, "/once/", 0, crashing_content());
-        seen.extend(rig.take_sends().into_iter().map(|(_, to)| to.instance));
-        rig.advance(Duration::from_millis(60));
-        rig.end_attempt(request, AttemptEnd::ConnectionLost);
-        rig.effects.clear();
-        rig.advance(Duration::from_millis(60));
+        let request = arrive(&mut node, "/once/", 0, crashing_content());
+        seen.extend(node.take_sends().into_iter().map(|(_, to)| to.instance));
+        node.advance(Duration::from_millis(60));
+        node.end_attempt(request, AttemptEnd::ConnectionLost);
+        node.effects.clear();
+        node.advance(Duration::from_millis(60));
     }
-    rig.advance(Duration::from_millis(100));
+    node.advance(Duration::from_millis(100));
     for other in others {
-        rig.end_attempt(other, AttemptEnd::Delivered { is_success: true });
+        node.end_attempt(other, AttemptEnd::Delivered { is_success: true });
     }
-    let verdict = rig.router.quarantine().verdict(crashing_content(), rig.now);
+    let verdict = node
+        .router
+        .quarantine()
+        .verdict(crashing_content(), node.now);
     assert_eq!(verdict, Verdict::Allowed, "{seen:?}");
 }
 
 #[test]
 fn server_replaced_at_its_address_has_ended() {
-    let mut rig = TestRouter::new();
+    let mut node = TestRouter::new();
     for _ in 0..3 {
-        let request = arrive(&mut rig, "/once/", 0, crashing_content());
-        let instance = rig.take_only_send().instance;
-        rig.advance(Duration::from_millis(100));
-        rig.end_attempt(request, AttemptEnd::ConnectionLost);
-        rig.effects.clear();
-        rig.advance(Duration::from_millis(200));
+        let request = arrive(&mut node, "/once/", 0, crashing_content());
+        let instance = node.take_only_send().instance;
+        node.advance(Duration::from_millis(100));
+        node.end_attempt(request, AttemptEnd::ConnectionLost);
+        node.effects.clear();
+        node.advance(Duration::from_millis(200));
         // Another request finds a different instance at the address.
         loop {
-            let probe = rig.arrive("/once/", 0);
-            let found = rig.take_only_send().instance;
+            let probe = node.arrive("/once/", 0);
+            let found = node.take_only_send().instance;
             match found == instance {
                 true => {
-                    rig.end_attempt(probe, ADDRESS_REUSED);
-                    rig.effects.clear();
-                    rig.step(Event::Abandoned { request: probe });
+                    node.end_attempt(probe, ADDRESS_REUSED);
+                    node.effects.clear();
+                    node.step(Event::Abandoned { request: probe });
                     break;
                 }
-                false => rig.advance(Duration::from_millis(1)),
+                false => node.advance(Duration::from_millis(1)),
             }
         }
     }
-    rig.advance(Duration::from_millis(200));
-    assert!(is_quarantined(&rig, crashing_content()));
+    node.advance(Duration::from_millis(200));
+    assert!(is_quarantined(&node, crashing_content()));
 }
 
 #[test]
 fn findings_are_emitted_as_effects() {
-    let mut rig = TestRouter::new();
-    crash_servers(&mut rig, "/short/", 3_000);
-    let found = rig.effects.iter().filter_map(|effect| match effect {
+    let mut node = TestRouter::new();
+    crash_servers(&mut node, "/short/", 3_000);
+    let found = node.effects.iter().filter_map(|effect| match effect {
         Effect::Finding(finding) => Some(finding),
         _ => None,
     });
@@ -406,21 +423,21 @@
 fn requests_from_one_crash_are_retried_on_different_servers() {
     /// Nodes, each with one request on the crashing server.
     const NODES: usize = 6;
-    let mut rigs: Vec<TestRouter> = (0..NODES)
+    let mut nodes: Vec<TestRouter> = (0..NODES)
         .map(|number| TestRouter::with_engines(&format!("entry-{number}"), 18))
         .collect();
     let mut requests = Vec::new();
-    for (number, rig) in rigs.iter_mut().enumerate() {
-        rig.content = Some(content(&format!("question {number}")));
-        requests.push(rig.arrive("/short/", 3_000));
+    for (number, node) in nodes.iter_mut().enumerate() {
+        node.content = Some(content(&format!("question {number}")));
+        requests.push(node.arrive("/short/", 3_000));
     }
     let mut servers: Vec<Vec<String>> = vec![Vec::new(); NODES];
     for _ in 0..2 {
-        for ((rig, servers), &request) in rigs.iter_mut().zip(&mut servers).zip(&requests) {
-            let to = rig.take_only_send();
+        for ((node, servers), &request) in nodes.iter_mut().zip(&mut servers).zip(&requests) {
+            let to = node.take_only_send();
             servers.push(to.instance);
-            rig.advance(Duration::from_millis(100));
-            rig.end_attempt(request, AttemptEnd::ConnectionLost);
+            node.advance(Duration::from_millis(100));
+            node.end_attempt(request, AttemptEnd::ConnectionLost);
         }
     }
     let next: Vec<&String> = servers.iter().map(|servers| &servers[1]).collect();
--- a/crates/notchwalk_standin/src/bench/bundle.rs
+++ b/crates/notchwalk_standin/src/bench/bundle.rs
@@ -1,4 +1,4 @@
-//! Measures how long a bundle change takes to be in force on all nodes, how often a node
+//! Measures how long a bundle change takes to become active on all nodes, how often a node
 //! reverts to an older version, and how many bytes a change transfers.
 
 use std::{
@@ -18,7 +18,7 @@
 
 /// Number of submitted changes.
 const CHANGES: usize = 200;
-/// One of this many changes is measured until it is in force on all nodes.
+/// One of this many changes is measured until it is active on all nodes.
 const MEASURE_EVERY: usize = 10;
 /// A node is killed and restarted before these changes.
 const RESTART_AT: [usize; 2] = [55, 135];
@@ -55,7 +55,7 @@
     fleet.operators.parts(&spec)
 }
 
-/// Returns the bundle version in force on a node and how long it has been in force.
+/// Returns the active bundle version of a node and how long it has been active.
 fn version_in_force(fleet: &Fleet, operator: SocketAddr) -> (u64, Duration) {
     let dump: serde_json::Value = fleet.get_json(operator, "/dump");
     let version = dump["bundle_version"].as_u64().unwrap_or(0);
@@ -72,7 +72,7 @@
         .collect()
 }
 
-/// Waits until a version is in force on all nodes. Returns the time from its acceptance until
+/// Waits until a version is active on all nodes. Returns the time from its acceptance until
 /// the last node applied it, in seconds.
 fn slowest_apply_s(fleet: &Fleet, version: u64, accepted_at: Instant) -> f64 {
     const APPLY_TIMEOUT: Duration = Duration::from_secs(20);
@@ -151,7 +151,7 @@
     (slowest_s, reversions.into_inner())
 }
 
-/// Submits one change. Returns how many seconds it took to be in force on all nodes, or 0 if
+/// Submits one change. Returns how many seconds it took to become active on all nodes, or 0 if
 /// it isn't a measured change.
 fn submit_change(fleet: &Fleet, i: usize) -> f64 {
     if i == OUTAGE_AT {
--- a/crates/notchwalk_wire/src/peer.rs
+++ b/crates/notchwalk_wire/src/peer.rs
@@ -65,7 +65,7 @@
     pub seq: u64,
     /// Whether the sender is draining.
     pub draining: bool,
-    /// The version of the bundle in force at the sender.
+    /// The version of the active bundle of the sender.
     pub bundle_version: u64,
     /// The peers from which the sender has received messages.
     pub peer_contacts: Vec<PeerContact>,
--- a/crates/notchwalkd/tests/parsers.rs
+++ b/crates/notchwalkd/tests/parsers.rs
@@ -36,11 +36,19 @@
     let session = session(PeerKey::random());
     let sealed = seal(&session, 7, b"heartbeat");
     assert_eq!(open(&session, 7, &sealed), Some(&b"heartbeat"[..]));
-    assert_eq!(open(&session, 8, &sealed), None, "replayed");
+    assert_eq!(
+        open(&session, 8, &sealed),
+        None,
+        "accepted a replayed frame"
+    );
     let mut forged = sealed;
     let last = forged.len() - 1;
     forged[last] ^= 1;
-    assert_eq!(open(&session, 7, &forged), None, "modified");
+    assert_eq!(
+        open(&session, 7, &forged),
+        None,
+        "accepted a modified frame"
+    );
 }
 
 proptest! {
