--- a/crates/notchwalk_relay/src/attempt.rs
+++ b/crates/notchwalk_relay/src/attempt.rs
@@ -335,7 +335,7 @@
     let headers = end_to_end_headers(&mut response.headers);
     let read = response.collect(MAX_BUFFERED_RESPONSE_BYTES);
     let body = match await_server(shell, exchange, req, None, read).await {
-        Awaited::Done(Ok(whole)) => whole.body,
+        Awaited::Done(Ok(response)) => response.body,
         Awaited::Done(Err(_)) | Awaited::ServerIdle => {
             return AttemptOutcome::Ended(AttemptEnd::ConnectionLost)
         }
--- a/crates/notchwalk_relay/src/daemon.rs
+++ b/crates/notchwalk_relay/src/daemon.rs
@@ -25,8 +25,7 @@
 
 /// Interval at which the router's timers run, signals are polled and logs are flushed.
 const TICK_INTERVAL: Duration = Duration::from_millis(15);
-/// Connect timeout of backend servers; connections within a region take a few
-/// milliseconds.
+/// Connect timeout of backend servers, which are in the same region.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// How long a stopping node still accepts requests: callers cache the directory's
 /// response, some beyond its TTL.
@@ -173,7 +172,7 @@
         monoio::spawn(follow(shell.clone(), config));
         monoio::spawn(follow(shell.clone(), ServerReader::new(shell.clone())));
         monoio::spawn(presence::announce(shell.clone()));
-        monoio::spawn(store_repair::rewrite_after_restores(shell.clone()));
+        monoio::spawn(store_repair::rewrite_lost_rows(shell.clone()));
         monoio::spawn(peer_link::receive_messages(
             shell.clone(),
             self.socket.clone(),
--- a/crates/notchwalk_relay/src/engine_orders.rs
+++ b/crates/notchwalk_relay/src/engine_orders.rs
@@ -12,7 +12,7 @@
     shell::Shell,
 };
 
-/// Timeout of a reservation order; engines respond within a few milliseconds.
+/// Timeout of a reservation order.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(400);
 /// The largest response, in bytes.
 const MAX_RESPONSE_BYTES: usize = 64 * 1024;
--- a/crates/notchwalk_relay/src/front/accept.rs
+++ b/crates/notchwalk_relay/src/front/accept.rs
@@ -14,8 +14,7 @@
 
 /// Caller timeout of requests that give none.
 const DEFAULT_CALLER_TIMEOUT: Duration = Duration::from_secs(10);
-/// `Retry-After` while no configuration is in force yet; reading it takes a few
-/// milliseconds once the store responds.
+/// `Retry-After` while no configuration is in force yet.
 const NO_CONFIG_RETRY_AFTER: Duration = Duration::from_millis(300);
 /// How long before the route's timeout a request fails, so that the final response
 /// arrives in time.
@@ -83,7 +82,7 @@
             let status = StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE;
             return Err(rejected(status, "the head is too large"));
         }
-        let (route, workspace) = match self.look_up(exchange, &caller) {
+        let (route, workspace) = match self.look_up_route(exchange, &caller) {
             RouteLookup::NoRoute => return Err(rejected(StatusCode::NOT_FOUND, "no such route")),
             RouteLookup::InvalidKey => {
                 return Err(rejected(StatusCode::UNAUTHORIZED, "the key is not known"));
@@ -136,7 +135,7 @@
         Ok(Accepted { req, facts })
     }
 
-    fn look_up(&self, exchange: &Exchange, caller: &CallerFacts) -> RouteLookup {
+    fn look_up_route(&self, exchange: &Exchange, caller: &CallerFacts) -> RouteLookup {
         let router = self.shell.router.borrow();
         router
             .routes()
--- a/crates/notchwalk_relay/src/front/mod.rs
+++ b/crates/notchwalk_relay/src/front/mod.rs
@@ -235,7 +235,7 @@
         Outcome::Refused(reason)
     }
 
-    /// Delivers the retained server error; without one the outcome is unknown.
+    /// Delivers the retained server error; without one, responds that the outcome is unknown.
     async fn deliver_server_error(
         &self,
         exchange: &mut Exchange,
--- a/crates/notchwalk_relay/src/metrics.rs
+++ b/crates/notchwalk_relay/src/metrics.rs
@@ -30,7 +30,7 @@
     pub peers_alive: IntGauge,
     /// Registered backend servers.
     pub servers: IntGauge,
-    /// Servers that seem to have crashed while executing a request of this node.
+    /// Suspected crashes of servers while they executed a request of this node.
     pub suspected_crashes: IntCounter,
     /// Quarantines declared by this node.
     pub quarantines: IntCounter,
--- a/crates/notchwalk_relay/src/peer_link.rs
+++ b/crates/notchwalk_relay/src/peer_link.rs
@@ -124,7 +124,7 @@
         for &target in targets {
             let (sent, returned) = socket.send_to(buf, target).await;
             buf = returned;
-            // Nothing may listen there; the next heartbeat repeats the message.
+            // The peer may be down; the next heartbeat repeats the message.
             drop(sent);
         }
     }
@@ -159,7 +159,7 @@
         }
         sync_new_peers(&shell, &socket).await;
         if !suspects.is_empty() {
-            // Any node may receive such a request.
+            // Callers may retry such a request on any node.
             let all = shell.peers.borrow().all_peers();
             send(&socket, &all, add_suspects(&shell, Vec::new(), &suspects)).await;
         }
@@ -235,7 +235,7 @@
             .updates_to_rebroadcast(is_full, now);
         let to = shell.peers.borrow_mut().next_heartbeat_targets();
         send(&socket, &to, add_suspects(&shell, outgoing, &suspects)).await;
-        shell.peers.borrow_mut().repeat_sync();
+        shell.peers.borrow_mut().schedule_repeated_sync();
         sync_new_peers(&shell, &socket).await;
         beat = beat.wrapping_add(1);
         expire_peers(&shell);
@@ -328,7 +328,7 @@
     };
     let number = update.number;
     if update.is_new {
-        shell.peers.borrow_mut().add_new_peer(from);
+        shell.peers.borrow_mut().schedule_sync(from);
         shell.publish_wake.notify();
     }
     if let Some(name) = update.new_in_group {
--- a/crates/notchwalk_relay/src/peers.rs
+++ b/crates/notchwalk_relay/src/peers.rs
@@ -28,18 +28,15 @@
 const MISSED_HEARTBEATS_UNTIL_EXPIRY: u32 = 6;
 /// Minimum time until a peer expires; exceeds that of a process restart.
 const MIN_TIME_TO_EXPIRY: Duration = Duration::from_secs(3);
-/// How long an unreachable node still counts towards shared limits: longer than network
-/// partitions and restarts last, short enough that records of removed VMs don't
-/// accumulate.
+/// How long an unreachable node still counts towards shared limits. Exceeds the length
+/// of network partitions and restarts.
 const SHARE_RETENTION: Duration = Duration::from_secs(600);
-/// Minimum number of nodes per group that follow the store's changes; the others read
-/// when one of these has seen a newer version. Enough that some remain connected if
-/// several VMs fail.
+/// Minimum number of nodes per group that follow the store's changes; the others query
+/// the store when one of these has seen a newer version.
 const MIN_FOLLOWERS: usize = 6;
 /// Nodes of a group per follower.
 const NODES_PER_FOLLOWER: usize = 6;
-/// Peers of other groups that receive each heartbeat, in rotation: updates reach all
-/// groups within seconds at a bounded number of datagrams.
+/// Number of peers of other groups that receive each heartbeat, in rotation.
 const OTHER_PEERS_PER_HEARTBEAT: usize = 8;
 
 /// Number of heartbeats with which the state sync of a new peer is repeated.
@@ -152,11 +149,11 @@
     /// Recomputes the group of this node and its members from the peers seen or
     /// registered recently.
     pub fn update_group(&mut self, now: Instant) -> Group {
-        let since = now.before(SHARE_RETENTION);
+        let retained_since = now.before(SHARE_RETENTION);
         let recent = self
             .by_addr
             .iter()
-            .filter(|(_, peer)| peer.last_known >= since);
+            .filter(|(_, peer)| peer.last_known >= retained_since);
         let mut order: Vec<((u32, &str), Option<SocketAddr>)> = recent
             .map(|(&addr, peer)| (node_order(&peer.record.name), Some(addr)))
             .collect();
@@ -223,9 +220,9 @@
     /// the presence records were read. Unreachable nodes count until the retention
     /// period ends: after a start or a partition they may still send.
     pub fn sharing_nodes(&self, now: Instant) -> Option<u32> {
-        let since = now.before(SHARE_RETENTION);
+        let retained_since = now.before(SHARE_RETENTION);
         let peers = self.by_addr.values();
-        let sharing = peers.filter(|peer| peer.last_known >= since);
+        let sharing = peers.filter(|peer| peer.last_known >= retained_since);
         self.records_read.then(|| sharing.count() as u32 + 1)
     }
 
@@ -289,7 +286,7 @@
     }
 
     /// Applies a message to the peer table. Returns `None` for messages of a former
-    /// boot, and of unknown senders, which the next heartbeat introduces.
+    /// boot, and for those of unknown senders without a presence record.
     pub fn receive(
         &mut self,
         from: SocketAddr,
@@ -326,13 +323,13 @@
     }
 
     /// Schedules the state sync of a new peer.
-    pub fn add_new_peer(&mut self, addr: SocketAddr) {
+    pub fn schedule_sync(&mut self, addr: SocketAddr) {
         self.pending_sync.push(addr);
         self.new_peers.push((addr, SYNC_REPEATS));
     }
 
     /// Schedules the repeated state sync of new peers, since datagrams may be lost.
-    pub fn repeat_sync(&mut self) {
+    pub fn schedule_repeated_sync(&mut self) {
         self.pending_sync
             .extend(self.new_peers.iter().map(|(addr, _)| *addr));
         self.new_peers.retain_mut(|(_, left)| {
@@ -342,7 +339,7 @@
     }
 
     /// Schedules a state sync of all peers in this node's group.
-    pub fn sync_group(&mut self) {
+    pub fn schedule_group_sync(&mut self) {
         self.pending_sync.extend(&self.group_peers);
     }
 
--- a/crates/notchwalk_relay/src/presence.rs
+++ b/crates/notchwalk_relay/src/presence.rs
@@ -84,7 +84,7 @@
                 if is_first {
                     // The peers respond with the known server notices, before callers
                     // send requests to this node.
-                    shell.peers.borrow_mut().sync_group();
+                    shell.peers.borrow_mut().schedule_group_sync();
                     shell.publish_wake.notify();
                 }
                 monoio::time::sleep(REREAD_INTERVAL).await;
--- a/crates/notchwalk_relay/src/quarantine.rs
+++ b/crates/notchwalk_relay/src/quarantine.rs
@@ -35,7 +35,7 @@
     times: u32,
 }
 
-fn key_of(content: Fingerprint) -> String {
+fn row_key(content: Fingerprint) -> String {
     format!("{KEY_PREFIX}{content}")
 }
 
@@ -138,8 +138,8 @@
         let Verdict::Quarantined { until } = verdict else {
             return;
         };
-        if let Some(store_ms) = shell.store_ms() {
-            let until_ms = store_ms + until.since(now).as_millis() as u64;
+        if let Some(store_now_ms) = shell.store_now_ms() {
+            let until_ms = store_now_ms + until.since(now).as_millis() as u64;
             let row = QuarantineRow { until_ms, times };
             if write(&shell, content, Some(&row)).await {
                 return;
@@ -157,7 +157,7 @@
         let router = shell.router.borrow();
         let suspects = router.quarantine().suspect_views(now).into_iter();
         let quarantined = suspects.filter(|s| matches!(s.verdict, Verdict::Quarantined { .. }));
-        let missing = quarantined.filter(|s| !stored.contains(&key_of(s.content)));
+        let missing = quarantined.filter(|s| !stored.contains(&row_key(s.content)));
         missing.map(|s| (s.content, s.quarantine_count)).collect()
     };
     for &(content, times) in &missing {
@@ -188,7 +188,7 @@
     }
     let write = RowWrite {
         table: PRESENCE_TABLE.to_owned(),
-        key: key_of(content),
+        key: row_key(content),
         value,
         expected: None,
     };
@@ -210,10 +210,10 @@
         log::warn!("can't decode the quarantine in row {:?}", row.key);
         return;
     };
-    let Some(store_ms) = shell.store_ms() else {
+    let Some(store_now_ms) = shell.store_now_ms() else {
         return;
     };
-    let left = Duration::from_millis(stored.until_ms.saturating_sub(store_ms));
+    let left = Duration::from_millis(stored.until_ms.saturating_sub(store_now_ms));
     if !left.is_zero() {
         let times = stored.times;
         return shell.step(Event::QuarantineRestored {
@@ -222,7 +222,7 @@
             quarantine_count: times,
         });
     }
-    let ended_for = Duration::from_millis(store_ms.saturating_sub(stored.until_ms));
+    let ended_for = Duration::from_millis(store_now_ms.saturating_sub(stored.until_ms));
     if ended_for >= RETENTION_AFTER_END {
         monoio::spawn(remove(shell.clone(), content));
     }
--- a/crates/notchwalk_relay/src/server_watch.rs
+++ b/crates/notchwalk_relay/src/server_watch.rs
@@ -15,21 +15,22 @@
 /// store before they are removed.
 const RENEWAL_GRACE: Duration = Duration::from_millis(1_800);
 
-/// Shortest outage of the store in which registrations can lapse: servers renew about
-/// once a second, and three renewals must fail.
+/// Shortest outage of the store in which registrations can lapse.
 const MIN_LAPSE_OUTAGE: Duration = Duration::from_millis(1_000);
 
+/// Maintains the router's servers from their registrations.
 pub(crate) struct ServerReader {
     shell: Rc<Shell>,
     /// Servers whose registrations lapsed during an outage, and when they are removed.
-    missing: HashMap<String, Instant>,
+    lapsed: HashMap<String, Instant>,
     /// End of the period in which a missing registration may have lapsed due to an
     /// outage or a restore of the store.
     grace_until: Instant,
     /// Whether the table is read for the first time since the store was restored from a
     /// snapshot: its rows may be of former incarnations.
     reading_snapshot: bool,
-    known: HashMap<String, RegisteredServer>,
+    /// The registered servers, by instance id.
+    servers: HashMap<String, RegisteredServer>,
 }
 
 /// A registered server.
@@ -43,10 +44,10 @@
     pub fn new(shell: Rc<Shell>) -> Self {
         Self {
             shell,
-            missing: HashMap::new(),
+            lapsed: HashMap::new(),
             grace_until: Instant::ZERO,
             reading_snapshot: false,
-            known: HashMap::new(),
+            servers: HashMap::new(),
         }
     }
 
@@ -54,7 +55,7 @@
     /// one of the server had one: the row then has a different writer.
     fn decode_record(&self, row: &Row) -> Option<ServerRecord> {
         let record = self.shell.dialect.server(row);
-        let known = self.known.get(&row.key);
+        let known = self.servers.get(&row.key);
         let had_start_time = known.is_some_and(|known| known.record.started_ms.is_some());
         let record =
             record.and_then(
@@ -74,8 +75,8 @@
     }
 
     fn upsert(&mut self, record: ServerRecord, version: StoreVersion) {
-        self.missing.remove(&record.instance);
-        let known = self.known.get_mut(&record.instance);
+        self.lapsed.remove(&record.instance);
+        let known = self.servers.get_mut(&record.instance);
         if let Some(known) = known.filter(|known| known.record == record) {
             known.version = version;
             return;
@@ -94,7 +95,7 @@
             record: record.clone(),
             version,
         };
-        self.known.insert(record.instance.clone(), known);
+        self.servers.insert(record.instance.clone(), known);
         let change = match self.reading_snapshot {
             true => ServerChange::Restored(record),
             false => ServerChange::Registered(record),
@@ -104,7 +105,7 @@
 
     /// Returns whether a row of a snapshot is of an incarnation before the known one.
     fn is_former_incarnation(&self, record: &ServerRecord) -> bool {
-        let known = self.known.get(&record.instance);
+        let known = self.servers.get(&record.instance);
         let started_ms = known.and_then(|known| known.record.started_ms);
         self.reading_snapshot && started_ms > record.started_ms
     }
@@ -112,7 +113,7 @@
     /// Closes idle connections to the former incarnation of a server, which may have
     /// ended without closing them.
     fn close_idle_connections(&self, record: &ServerRecord) {
-        let Some(known) = self.known.get(&record.instance) else {
+        let Some(known) = self.servers.get(&record.instance) else {
             return;
         };
         if known.record.started_ms != record.started_ms {
@@ -122,17 +123,17 @@
 
     /// Returns whether a newer row of the same server was seen.
     fn is_outdated(&self, row: &Row) -> bool {
-        let known = self.known.get(&row.key);
+        let known = self.servers.get(&row.key);
         known.is_some_and(|known| row.version < known.version)
     }
 
     fn handle_lapsed(&mut self, instance: &str) {
-        if !self.known.contains_key(instance) {
+        if !self.servers.contains_key(instance) {
             return;
         }
         let now = self.shell.now();
         if now < self.grace_until {
-            self.missing
+            self.lapsed
                 .entry(instance.to_owned())
                 .or_insert(self.grace_until);
             return;
@@ -141,17 +142,17 @@
     }
 
     fn remove_server(&mut self, instance: &str) {
-        self.missing.remove(instance);
-        self.known.remove(instance);
+        self.lapsed.remove(instance);
+        self.servers.remove(instance);
         let facts = format!("server={instance}");
         LogEvent::new(LogEventKind::ServerDeregistered, facts).emit();
         let change = ServerChange::Removed(instance.to_owned());
         self.shell.step(Event::Servers(change));
     }
 
-    fn remove_overdue(&mut self) {
+    fn remove_unrenewed(&mut self) {
         let now = self.shell.now();
-        let due = self.missing.iter().filter(|(_, &at)| now >= at);
+        let due = self.lapsed.iter().filter(|(_, &at)| now >= at);
         let due: Vec<String> = due.map(|(instance, _)| instance.clone()).collect();
         for instance in due {
             self.remove_server(&instance);
@@ -165,7 +166,7 @@
     }
 
     fn poll_wait(&self) -> Duration {
-        if self.missing.is_empty() {
+        if self.lapsed.is_empty() {
             return POLL_WAIT;
         }
         RENEWAL_GRACE / 4
@@ -177,12 +178,12 @@
         newest > known || self.shell.newest_epoch() > known.epoch
     }
 
-    fn has_pending(&self) -> bool {
-        !self.missing.is_empty()
+    fn has_lapsed_rows(&self) -> bool {
+        !self.lapsed.is_empty()
     }
 
     fn replace_all(&mut self, rows: Vec<Row>) {
-        let known: Vec<String> = self.known.keys().cloned().collect();
+        let known: Vec<String> = self.servers.keys().cloned().collect();
         for instance in known {
             if !rows.iter().any(|row| row.key == instance) {
                 self.handle_lapsed(&instance);
@@ -219,9 +220,9 @@
         // Publishes the new epoch even if no row changed.
         self.shell
             .observe_server_change(StoreVersion::new(version.epoch, 0));
-        self.remove_overdue();
+        self.remove_unrenewed();
         self.shell.servers_refreshed_at.set(self.shell.now());
-        self.shell.metrics.servers.set(self.known.len() as i64);
+        self.shell.metrics.servers.set(self.servers.len() as i64);
     }
 
     fn store_recovered(&mut self, outage: Duration) {
--- a/crates/notchwalk_relay/src/shell.rs
+++ b/crates/notchwalk_relay/src/shell.rs
@@ -56,9 +56,8 @@
     pub store_up: std::cell::Cell<bool>,
     /// The newest change of the server table that was seen; published to peers.
     pub newest_server_change: std::cell::Cell<StoreVersion>,
-    /// The store version up to which the server table is known. This one is compared
-    /// with the newest change that peers saw, since a row removed before this node read
-    /// the whole table never appears here as a change.
+    /// The store version up to which the server table is known. It may exceed
+    /// `newest_server_change`, since a read of the whole table omits removed rows.
     pub server_table_version: std::cell::Cell<StoreVersion>,
     /// When the server table was last known to be current.
     pub servers_refreshed_at: std::cell::Cell<Instant>,
@@ -206,7 +205,7 @@
     }
 
     /// Returns the time by the store's clock, in milliseconds, if it was ever received.
-    pub fn store_ms(&self) -> Option<u64> {
+    pub fn store_now_ms(&self) -> Option<u64> {
         let (at, ms) = self.store_clock.get()?;
         Some(ms + self.now().since(at).as_millis() as u64)
     }
--- a/crates/notchwalk_relay/src/store_repair.rs
+++ b/crates/notchwalk_relay/src/store_repair.rs
@@ -15,15 +15,14 @@
 /// Spread of the presence record writes per live node, which bounds the total write
 /// rate.
 const RECORD_SPREAD_PER_NODE: Duration = Duration::from_millis(3);
-/// Delay between successive nodes, by rank, that write quarantines: all hold the same
-/// ones, so later nodes find them already written. Longer than a write takes while the
-/// store is busy.
+/// Delay between the quarantine writes of nodes of successive ranks. All nodes hold the
+/// same quarantines, so later ones find them already written.
 const QUARANTINE_DELAY_PER_RANK: Duration = Duration::from_millis(400);
 /// Maximum delay of the quarantine writes of a node.
 const MAX_QUARANTINE_DELAY: Duration = Duration::from_secs(8);
 
 /// Rewrites lost rows after each restore, forever.
-pub(crate) async fn rewrite_after_restores(shell: Rc<Shell>) {
+pub(crate) async fn rewrite_lost_rows(shell: Rc<Shell>) {
     let mut restores = shell.store_restores();
     loop {
         monoio::time::sleep(RESTORE_CHECK_INTERVAL).await;
@@ -31,11 +30,11 @@
             continue;
         }
         restores = shell.store_restores();
-        rewrite_all(&shell).await;
+        rewrite_rows(&shell).await;
     }
 }
 
-async fn rewrite_all(shell: &Rc<Shell>) {
+async fn rewrite_rows(shell: &Rc<Shell>) {
     let alive = shell.peers.borrow().alive_count(shell.now());
     let spread = RECORD_SPREAD_PER_NODE * (alive + 1);
     monoio::time::sleep(spread.mul_f64(rand::rng().random_range(0.0..1.0))).await;
--- a/crates/notchwalk_relay/src/table_watch.rs
+++ b/crates/notchwalk_relay/src/table_watch.rs
@@ -11,9 +11,8 @@
 
 use crate::shell::Shell;
 
-/// How long the store holds a poll until it responds without changes. Bounds how long
-/// a silently broken connection goes unnoticed if no peer has newer data: changes must
-/// be known within three seconds of the break.
+/// How long the store holds a poll until it responds without changes. Bounds the time
+/// to detect a silently broken connection if no peer has newer data.
 pub(crate) const POLL_WAIT: Duration = Duration::from_millis(1_700);
 /// How long the pages of an interrupted read are retained: longer than the backoff
 /// between attempts, short enough that the changes since then are still available.
@@ -46,15 +45,15 @@
         false
     }
 
-    /// Returns whether the table has a single row, which each change replaces: then
-    /// reading the whole table is no larger than reading a change.
+    /// Returns whether the table has a single row. Reading it returns no more than
+    /// polling for changes does.
     fn has_one_row(&self) -> bool {
         false
     }
 
-    /// Returns whether the reader waits for lapsed rows to reappear; this node then polls
-    /// even if it is not a follower.
-    fn has_pending(&self) -> bool {
+    /// Returns whether the reader retains lapsed rows that may be renewed; this node then
+    /// polls even if it is not a follower.
+    fn has_lapsed_rows(&self) -> bool {
         false
     }
 
@@ -109,7 +108,7 @@
 }
 
 /// A table being followed.
-struct Watch<R> {
+struct TableWatch<R> {
     shell: Rc<Shell>,
     reader: R,
     /// The version up to which the table is known.
@@ -125,11 +124,10 @@
     resume_count: u64,
 }
 
-impl<R: TableReader> Watch<R> {
+impl<R: TableReader> TableWatch<R> {
     /// Reads the whole table; returns whether it is complete.
     ///
-    /// A failed read resumes at the page that failed, so that tables of many pages are
-    /// read even while the store rejects some of the requests.
+    /// After a failure, the next call resumes at the page that failed.
     async fn read_whole(&mut self) -> Result<bool, FeedError> {
         let retained_since = self.shell.now().before(PARTIAL_READ_RETENTION);
         self.partial = self.partial.take().filter(|read| read.at >= retained_since);
@@ -189,8 +187,8 @@
         Ok(false)
     }
 
-    /// Reads a page; `None` if a peer sees a newer version while the read is pending. If
-    /// a peer had seen one before, the read is not abandoned.
+    /// Reads a page; `None` if the read was abandoned because a peer has seen a newer
+    /// version meanwhile. A read that starts while a peer is ahead is not abandoned.
     async fn read_page(&self, from: &str) -> Result<Option<RowPage>, FeedError> {
         let poll = PendingPoll::now(&self.shell, None);
         let was_behind = self.reader.is_behind();
@@ -207,10 +205,8 @@
 
     /// Polls for changes; returns whether the store responded.
     ///
-    /// An abandoned poll is followed by a read of the whole table. The pending changes
-    /// are unbounded, and may become larger than what a slow link transfers before the
-    /// poll is abandoned; the table is bounded, and its response does not wait for a
-    /// change.
+    /// An abandoned poll is followed by a read of the whole table, whose size is bounded.
+    /// The changes may exceed what a slow link transfers before a poll is abandoned.
     async fn read_changes(&mut self, after: StoreVersion) -> Result<bool, FeedError> {
         let poll = PendingPoll::now(&self.shell, Some(after));
         let (table, poll_wait) = (self.reader.table(), self.reader.poll_wait());
@@ -231,27 +227,27 @@
         Ok(true)
     }
 
-    /// Waits while other nodes follow the store and have seen nothing newer. Returns at
-    /// once after an outage: only a poll of this node shows whether it can reach the
-    /// store again.
-    async fn wait_for_followers(&self) {
+    /// Waits until this node has to query the store. Followers query it at once, and so
+    /// does each node after an outage. Other nodes wait until a peer has seen a newer
+    /// version or the machine was suspended.
+    async fn wait_until_query_due(&self) {
         /// Delay after a peer has seen a change, so that one poll covers changes in quick
         /// succession.
         const COALESCE_DELAY: Duration = Duration::from_millis(300);
         /// Maximum wait, which bounds how long a missed change goes unnoticed.
         const MAX_WAIT: Duration = Duration::from_secs(30);
-        let since = self.shell.now();
+        let started_at = self.shell.now();
         let peers = &self.shell.peers;
         while self.cursor.position().is_some() && !self.reader.is_behind() && !self.was_suspended()
         {
             let now = self.shell.now();
             let follows = peers.borrow().is_follower(now);
-            if follows || self.reader.has_pending() || now.since(since) > MAX_WAIT {
+            if follows || self.reader.has_lapsed_rows() || now.since(started_at) > MAX_WAIT {
                 return;
             }
             monoio::time::sleep(PEER_CHECK_INTERVAL).await;
         }
-        // A restore is not followed by further changes.
+        // After a restore there are no further changes to wait for.
         let epoch_changed = self.shell.newest_epoch() > self.epoch.unwrap_or(0);
         if self.cursor.position().is_some() && !epoch_changed {
             monoio::time::sleep(COALESCE_DELAY).await;
@@ -263,8 +259,9 @@
         self.shell.resume_count() != self.resume_count
     }
 
-    async fn poll_once(&mut self) -> Result<(), FeedError> {
-        self.wait_for_followers().await;
+    /// Waits until a query is due, then reads the whole table or polls for changes.
+    async fn query_once(&mut self) -> Result<(), FeedError> {
+        self.wait_until_query_due().await;
         // The known version may be stale, and peers may not have sent newer ones yet.
         if self.was_suspended() {
             self.cursor.reset();
@@ -393,7 +390,7 @@
 /// Follows a table forever.
 pub(crate) async fn follow<R: TableReader>(shell: Rc<Shell>, reader: R) {
     let mut backoff = Backoff::new(Duration::from_millis(50));
-    let mut watch = Watch {
+    let mut watch = TableWatch {
         shell,
         reader,
         cursor: TableCursor::default(),
@@ -405,7 +402,7 @@
     };
     watch.set_store_up(1);
     loop {
-        match watch.poll_once().await {
+        match watch.query_once().await {
             Ok(()) => backoff.reset(),
             Err(FeedError::HistoryExpired) => {
                 let table = watch.reader.table();
--- a/crates/notchwalkd/src/channel.rs
+++ b/crates/notchwalkd/src/channel.rs
@@ -1,4 +1,4 @@
-//! Channel from the shell to a caller's task that counts unread bytes.
+//! Channel from the shell to the task that serves a caller; counts the bytes of unread tokens.
 
 use std::{cell::Cell, rc::Rc};
 
@@ -36,7 +36,7 @@
     unread_bytes: Rc<Cell<usize>>,
 }
 
-/// The receiving half, held by the caller's task.
+/// The receiving half, held by the task that serves the caller.
 pub struct CallerRx {
     rx: unbounded::Rx<CallerEvent>,
     unread_bytes: Rc<Cell<usize>>,
--- a/crates/notchwalkd/src/claim_writer.rs
+++ b/crates/notchwalkd/src/claim_writer.rs
@@ -15,8 +15,8 @@
 const BATCH_DELAY: Duration = Duration::from_millis(4);
 /// Maximum number of writes in one transaction.
 const MAX_BATCH_WRITES: usize = 64;
-/// Maximum number of attempts to store an outcome.
-const MAX_STORE_ATTEMPTS: u32 = 12;
+/// Maximum number of attempts to write an outcome.
+const MAX_OUTCOME_WRITE_ATTEMPTS: u32 = 12;
 
 fn outcome_ttl_s(shell: &Shell) -> Option<u64> {
     Some(shell.bundle().map_or(86_400, |b| b.policy.outcome_ttl_s))
@@ -80,7 +80,7 @@
         ttl_s: outcome_ttl_s(shell),
     };
     let after = AfterWrite::RetryOutcome {
-        attempts_left: MAX_STORE_ATTEMPTS,
+        attempts_left: MAX_OUTCOME_WRITE_ATTEMPTS,
     };
     push(shell, PendingWrite { op, after });
 }
@@ -122,6 +122,7 @@
     });
 }
 
+/// Writes all queued operations in batches.
 async fn flush(shell: Rc<Shell>) {
     monoio::time::sleep(BATCH_DELAY).await;
     loop {
@@ -160,7 +161,7 @@
                 let after = AfterWrite::RetryOutcome {
                     attempts_left: attempts_left - 1,
                 };
-                notchwalk_http::spawn(retry_store(
+                notchwalk_http::spawn(retry_outcome_write(
                     shell.clone(),
                     PendingWrite {
                         op: write.op,
@@ -174,12 +175,13 @@
 }
 
 /// Queues the write of an outcome again after an exponential backoff.
-async fn retry_store(shell: Rc<Shell>, write: PendingWrite) {
+async fn retry_outcome_write(shell: Rc<Shell>, write: PendingWrite) {
     const BASE_DELAY: Duration = Duration::from_millis(100);
     let AfterWrite::RetryOutcome { attempts_left } = write.after else {
         return;
     };
-    monoio::time::sleep(BASE_DELAY * 2u32.pow((MAX_STORE_ATTEMPTS - attempts_left).min(8))).await;
+    monoio::time::sleep(BASE_DELAY * 2u32.pow((MAX_OUTCOME_WRITE_ATTEMPTS - attempts_left).min(8)))
+        .await;
     push(&shell, write);
 }
 
--- a/crates/notchwalkd/src/service_proxy.rs
+++ b/crates/notchwalkd/src/service_proxy.rs
@@ -242,10 +242,10 @@
     forwarded
 }
 
-/// The result of an attempt for the call's task.
+/// The result of an attempt.
 enum AttemptResult {
-    /// The attempt failed. The reducer was notified and decides on a retry.
-    Reported,
+    /// The attempt failed; the reducer decides on a retry.
+    Failed,
     /// The complete response was forwarded.
     Forwarded,
     /// The response was truncated, or the caller disconnected.
@@ -272,7 +272,7 @@
             match event {
                 Some(CallerEvent::Send(dispatch)) => {
                     match self.run_attempt(exchange, dispatch).await? {
-                        AttemptResult::Reported => {}
+                        AttemptResult::Failed => {}
                         AttemptResult::Forwarded => return Ok(()),
                         AttemptResult::Truncated => {
                             exchange.abort();
@@ -347,11 +347,11 @@
             Ok(Ok(response)) => response,
             Ok(Err(e)) if e.is_unsent() => {
                 self.report(&dispatch, AttemptEnd::NotSent);
-                return Ok(AttemptResult::Reported);
+                return Ok(AttemptResult::Failed);
             }
             Ok(Err(_)) | Err(_) => {
                 self.report(&dispatch, AttemptEnd::Broken);
-                return Ok(AttemptResult::Reported);
+                return Ok(AttemptResult::Failed);
             }
         };
         let remaining = timeout.saturating_sub(started_at.elapsed());
