--- a/crates/notchwalk_relay/src/server_notices.rs
+++ b/crates/notchwalk_relay/src/server_notices.rs
@@ -15,7 +15,7 @@
 /// one.
 const INVALID_NOTICE_LOG_INTERVAL: Duration = Duration::from_secs(60);
 
-/// The origin of a response, from the view of the sender of the request.
+/// Where and when the request that a response answers was sent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ResponseOrigin {
     /// The server that the request was for, if registered.
@@ -128,7 +128,7 @@
     }
 }
 
-/// Logs an invalid notice, and the value `applied` instead.
+/// Logs an invalid notice and the value that is applied instead.
 fn log_invalid(shell: &Shell, server: ServerKey, reason: &str, applied: &str) {
     let now = shell.now();
     let mut logged = shell.invalid_notice_logged_at.borrow_mut();
--- a/crates/notchwalkd/src/completions.rs
+++ b/crates/notchwalkd/src/completions.rs
@@ -77,7 +77,7 @@
     })
 }
 
-/// Handles one request.
+/// Handles one completion request.
 ///
 /// # Errors
 ///
--- a/crates/notchwalkd/src/shell.rs
+++ b/crates/notchwalkd/src/shell.rs
@@ -86,10 +86,12 @@
     /// Bytes fetched for bundles since the daemon started.
     pub bundle_bytes: Cell<u64>,
     node: RefCell<Node>,
-    open: RefCell<HashMap<RequestKey, OpenRequest>>,
+    open_requests: RefCell<HashMap<RequestKey, OpenRequest>>,
     /// The request being submitted, until it is admitted or refused.
     submitted: RefCell<Option<OpenRequest>>,
+    /// Set if the reducer refuses the submitted request.
     refusal: RefCell<Option<Failure>>,
+    /// Set if the reducer admits the submitted request.
     admitted: Cell<Option<(RequestKey, RequestId)>>,
     /// Tokens of the frame being fed to the reducer.
     frame_tokens: RefCell<Vec<String>>,
@@ -132,7 +134,7 @@
             claims: ClaimQueue::default(),
             bundle_source: RefCell::default(),
             bundle_bytes: Cell::new(0),
-            open: RefCell::default(),
+            open_requests: RefCell::default(),
             submitted: RefCell::default(),
             refusal: RefCell::default(),
             admitted: Cell::default(),
@@ -250,7 +252,7 @@
     }
 
     fn unread_bytes(&self, request: RequestKey) -> usize {
-        self.open
+        self.open_requests
             .borrow()
             .get(&request)
             .map_or(0, |open| open.tx.unread_bytes())
@@ -268,14 +270,14 @@
 
     /// Adds the ticket of a prefilled segment to a request.
     pub fn add_ticket(&self, request: RequestKey, ticket: String) {
-        if let Some(open) = self.open.borrow_mut().get_mut(&request) {
+        if let Some(open) = self.open_requests.borrow_mut().get_mut(&request) {
             open.tickets.push(ticket);
         }
     }
 
     /// Returns the tickets of a request's prefilled segments.
     pub fn tickets(&self, request: RequestKey) -> Vec<String> {
-        let open = self.open.borrow();
+        let open = self.open_requests.borrow();
         open.get(&request)
             .map_or_else(Vec::new, |o| o.tickets.clone())
     }
@@ -284,7 +286,7 @@
         match effect {
             Effect::Admitted { request, id, .. } => {
                 if let Some(open) = self.submitted.borrow_mut().take() {
-                    self.open.borrow_mut().insert(request, open);
+                    self.open_requests.borrow_mut().insert(request, open);
                 }
                 self.admitted.set(Some((request, id)));
             }
@@ -310,30 +312,34 @@
 
     /// Sets the engine's finish reason for a request.
     pub fn set_finish_reason(&self, request: RequestKey, reason: String) {
-        if let Some(open) = self.open.borrow_mut().get_mut(&request) {
+        if let Some(open) = self.open_requests.borrow_mut().get_mut(&request) {
             open.finish_reason = Some(reason);
         }
     }
 
     fn finish_reason(&self, request: RequestKey) -> Option<String> {
-        self.open.borrow().get(&request)?.finish_reason.clone()
+        self.open_requests
+            .borrow()
+            .get(&request)?
+            .finish_reason
+            .clone()
     }
 
     /// Returns the engine payload of a generation; `None` for a service call.
     pub fn payload(&self, request: RequestKey) -> Option<Rc<GeneratePayload>> {
-        self.open.borrow().get(&request)?.payload.clone()
+        self.open_requests.borrow().get(&request)?.payload.clone()
     }
 
     /// Removes the tickets of a request whose prefill starts over.
     pub fn clear_tickets(&self, request: RequestKey) {
-        if let Some(open) = self.open.borrow_mut().get_mut(&request) {
+        if let Some(open) = self.open_requests.borrow_mut().get_mut(&request) {
             open.tickets.clear();
         }
     }
 
     /// Sends an event to the caller's task of an open request.
     pub fn send_to_caller(&self, request: RequestKey, event: CallerEvent) {
-        if let Some(open) = self.open.borrow().get(&request) {
+        if let Some(open) = self.open_requests.borrow().get(&request) {
             open.tx.send(event);
         }
     }
@@ -341,7 +347,7 @@
     /// Removes a request and sends its last event. Aborting the running attempt's
     /// task closes its connection to the server.
     fn close_request(&self, request: RequestKey, last: CallerEvent) {
-        let Some(open) = self.open.borrow_mut().remove(&request) else {
+        let Some(open) = self.open_requests.borrow_mut().remove(&request) else {
             return;
         };
         if let Some(attempt) = open.attempt {
@@ -356,7 +362,7 @@
         request: RequestKey,
         task: impl std::future::Future<Output = ()> + 'static,
     ) {
-        let mut open = self.open.borrow_mut();
+        let mut open = self.open_requests.borrow_mut();
         let Some(open) = open.get_mut(&request) else {
             return;
         };
