--- a/crates/notchwalk_quarantine/src/lib.rs
+++ b/crates/notchwalk_quarantine/src/lib.rs
@@ -48,4 +48,4 @@
 pub use quarantine::Quarantine;
 pub use suspect::Crash;
 pub use update::QuarantineUpdate;
-pub use verdict::{EndReason, QuarantineFinding, Quarantined, SuspectView, Verdict};
+pub use verdict::{EndReason, QuarantineDeclared, QuarantineFinding, SuspectView, Verdict};
--- a/crates/notchwalk_quarantine/src/quarantine/policy.rs
+++ b/crates/notchwalk_quarantine/src/quarantine/policy.rs
@@ -11,7 +11,7 @@
 use crate::{
     suspect::{Incidents, QuarantinePeriod, Suspect},
     update::{age_ms, saturating_ms, QuarantineUpdate},
-    EndReason, Fingerprint, QuarantineFinding, Quarantined,
+    EndReason, Fingerprint, QuarantineDeclared, QuarantineFinding,
 };
 
 /// Minimum score for a quarantine: three isolated incidents. A request may twice run on the
@@ -153,7 +153,7 @@
             self.update_correlation(crash.at, now);
         }
         self.findings
-            .push(QuarantineFinding::Quarantined(Quarantined {
+            .push(QuarantineFinding::Quarantined(QuarantineDeclared {
                 content,
                 crashes,
                 duration: period.until.since(now),
--- a/crates/notchwalk_quarantine/src/verdict.rs
+++ b/crates/notchwalk_quarantine/src/verdict.rs
@@ -29,7 +29,7 @@
 
 /// A content that was just quarantined.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Quarantined {
+pub struct QuarantineDeclared {
     /// The quarantined content.
     pub content: Fingerprint,
     /// The crashes for which it is quarantined, as known to this node.
@@ -55,7 +55,7 @@
         incidents: u32,
     },
     /// A content was quarantined.
-    Quarantined(Quarantined),
+    Quarantined(QuarantineDeclared),
     /// A quarantine ended.
     Ended {
         /// The content.
--- a/crates/notchwalk_relay/src/quarantine.rs
+++ b/crates/notchwalk_relay/src/quarantine.rs
@@ -13,7 +13,7 @@
 use notchwalk_http::prelude::*;
 use notchwalk_platform::{Row, RowWrite};
 use notchwalk_quarantine::{
-    Crash, EndReason, Fingerprint, QuarantineFinding, Quarantined, Verdict,
+    Crash, EndReason, Fingerprint, QuarantineDeclared, QuarantineFinding, Verdict,
 };
 use notchwalk_route::{Event, Fleet};
 use serde_tuple::{Deserialize_tuple, Serialize_tuple};
@@ -96,7 +96,7 @@
     LogEvent::new(LogEventKind::CrashSuspected, facts).emit();
 }
 
-fn log_quarantined(shell: &Shell, quarantined: &Quarantined) {
+fn log_quarantined(shell: &Shell, quarantined: &QuarantineDeclared) {
     if quarantined.declared_locally {
         shell.metrics.quarantines.inc();
     }
--- a/crates/notchwalk_relay/src/shell.rs
+++ b/crates/notchwalk_relay/src/shell.rs
@@ -8,7 +8,7 @@
 use notchwalk_daemon::{SuspensionWatch, Wake};
 use notchwalk_http::Client;
 use notchwalk_platform::{RowPage, RowStore, StoreVersion};
-use notchwalk_route::{ClientLimits, Effect, Event, RequestKey, Router, ServerKey};
+use notchwalk_route::{CallerLimits, Effect, Event, RequestKey, Router, ServerKey};
 use slotmap::SecondaryMap;
 
 use crate::{
@@ -50,7 +50,7 @@
     pub client: Client,
     pub metrics: Metrics,
     pub peers: RefCell<Peers>,
-    pub limits: std::cell::Cell<ClientLimits>,
+    pub limits: std::cell::Cell<CallerLimits>,
     pub stopping: std::cell::Cell<Stopping>,
     /// Whether the last poll of the store succeeded.
     pub store_up: std::cell::Cell<bool>,
--- a/crates/notchwalk_route/src/lib.rs
+++ b/crates/notchwalk_route/src/lib.rs
@@ -58,5 +58,5 @@
 pub use server_notice::{RateLimit, ServerNotice};
 pub use shares::WorkspaceShortId;
 pub use site::{
-    Backend, ClientLimits, EngineParameters, Repeatability, Route, Service, SiteConfig, Workspace,
+    Backend, CallerLimits, EngineParameters, Repeatability, Route, Service, SiteConfig, Workspace,
 };
--- a/crates/notchwalk_route/src/retry_budget.rs
+++ b/crates/notchwalk_route/src/retry_budget.rs
@@ -100,8 +100,8 @@
         retries + 1.0 <= USED_BUDGET_FRACTION * (self.ratio * first_attempts + slack)
     }
 
-    /// Takes one retry from the budget; returns whether it allows one.
-    pub fn take(&mut self, now: Instant, nodes: Option<u32>) -> bool {
+    /// Spends one retry. Returns whether the budget allows one. The slack is divided by `nodes`.
+    pub fn try_spend(&mut self, now: Instant, nodes: Option<u32>) -> bool {
         self.start(now);
         self.remove_expired(now);
         if !self.allows_retry(now, nodes) {
--- a/crates/notchwalk_route/src/router/ending.rs
+++ b/crates/notchwalk_route/src/router/ending.rs
@@ -258,7 +258,7 @@
         if matches!(end, AttemptEnd::NotConnected | AttemptEnd::NotSent) {
             return true;
         }
-        self.retry_budget.take(now, self.node_count)
+        self.retry_budget.try_spend(now, self.node_count)
     }
 
     /// Ends a request that may not be sent again.
--- a/crates/notchwalk_route/src/site.rs
+++ b/crates/notchwalk_route/src/site.rs
@@ -12,7 +12,7 @@
     /// All services.
     pub services: Vec<Service>,
     /// Limits on requests and connections of callers.
-    pub limits: ClientLimits,
+    pub limits: CallerLimits,
     /// Workspaces and their keys; `None` if callers need no key.
     pub workspaces: Option<Vec<Workspace>>,
 }
@@ -107,7 +107,7 @@
 
 /// Limits on requests and connections of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ClientLimits {
+pub struct CallerLimits {
     /// Maximum size of a request head, in bytes.
     pub head_bytes: usize,
     /// Maximum size of a request body, in bytes.
@@ -118,7 +118,7 @@
     pub idle_timeout: Duration,
 }
 
-impl Default for ClientLimits {
+impl Default for CallerLimits {
     fn default() -> Self {
         Self {
             head_bytes: 16 << 10,
--- a/crates/notchwalk_route/tests/decisions/retries.rs
+++ b/crates/notchwalk_route/tests/decisions/retries.rs
@@ -119,7 +119,7 @@
         budget.record_first_attempt(node.now);
     }
     let take_retries =
-        |budget: &mut RetryBudget, now| (0..100).filter(|_| budget.take(now, Some(6))).count();
+        |budget: &mut RetryBudget, now| (0..100).filter(|_| budget.try_spend(now, Some(6))).count();
     let bound = (0.2 * 100.0 + 12.0 / 6.0) as usize;
     let first = take_retries(&mut budget, node.now);
     assert!(first > 0 && first <= bound, "{first}");
@@ -210,10 +210,10 @@
     let now = TestRouter::new().now;
     let slack = 100.0;
     let mut budget = RetryBudget::new(0.2, slack, Duration::from_secs(10));
-    assert!(!budget.take(now, None));
+    assert!(!budget.try_spend(now, None));
     let now = now.after(Duration::from_secs(10));
-    assert!(!budget.take(now, None));
-    assert!(budget.take(now, Some(1)));
+    assert!(!budget.try_spend(now, None));
+    assert!(budget.try_spend(now, Some(1)));
 }
 
 /// Guards against using the whole slack again after a restart, which resets the counts.
@@ -225,7 +225,7 @@
     for _ in 0..3 {
         let mut budget = RetryBudget::new(0.2, slack, window);
         for _ in 0..10 {
-            retries += (0..200).filter(|_| budget.take(now, Some(1))).count();
+            retries += (0..200).filter(|_| budget.try_spend(now, Some(1))).count();
             now = now.after(window / 30);
         }
     }
