--- a/crates/notchwalk_decide/src/attempt.rs
+++ b/crates/notchwalk_decide/src/attempt.rs
@@ -36,7 +36,7 @@
 const FIRST_TOKEN_BASE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Multiple of the estimated prefill time allowed for the first token.
 const FIRST_TOKEN_PREFILL_FACTOR: u64 = 4;
-/// How long a server gets no new work after it refused an attempt.
+/// How long a server gets no new work after it rejected an attempt.
 const REFUSAL_BACKOFF: Duration = Duration::from_millis(100);
 /// Percentage of its reserved tokens at which a growing completion gets a larger
 /// reservation.
--- a/crates/notchwalk_decide/src/event.rs
+++ b/crates/notchwalk_decide/src/event.rs
@@ -84,9 +84,9 @@
     },
     /// No byte of the request was sent.
     NotSent,
-    /// The backend refused it before any work.
+    /// The backend rejected it before any work.
     Refused {
-        /// The code of the refusal.
+        /// The code of the rejection.
         code: String,
     },
     /// The stream broke, or the response can't be parsed.
--- a/crates/notchwalk_decide/src/orders.rs
+++ b/crates/notchwalk_decide/src/orders.rs
@@ -69,7 +69,7 @@
     write_sent_at: Option<Instant>,
     /// When each order in flight was sent.
     in_flight: BTreeMap<ServerId, Instant>,
-    /// Servers that refused an order under the held lease.
+    /// Servers that rejected an order under the held lease.
     refused: BTreeSet<ServerId>,
 }
 
--- a/crates/notchwalk_decide/src/request.rs
+++ b/crates/notchwalk_decide/src/request.rs
@@ -76,7 +76,7 @@
     pub attempt: Attempt,
     /// Tokens delivered to the caller.
     pub delivered: u32,
-    /// Whether any byte was sent to a backend that did not refuse it.
+    /// Whether any byte was sent to a backend that did not reject it.
     pub sent: bool,
     /// Failed attempts so far.
     pub failures: u16,
--- a/crates/notchwalk_decide/src/server.rs
+++ b/crates/notchwalk_decide/src/server.rs
@@ -135,7 +135,7 @@
     pub incarnation: u32,
     /// Whether it was unreachable when last contacted.
     pub unreachable: bool,
-    /// When its last overload refusal expires.
+    /// When it may get new work again after it rejected an attempt.
     pub refused_until: Instant,
     /// Estimated contents of its prefix cache.
     pub prefix: PrefixIndex,
--- a/crates/notchwalk_quarantine/src/lib.rs
+++ b/crates/notchwalk_quarantine/src/lib.rs
@@ -7,10 +7,10 @@
 //! request; a suspect is a content with evidence against it.
 //!
 //! Servers also fail, connections are reset and racks lose power for other reasons. Requests
-//! that ran on the affected servers must not be rejected. The rules:
+//! that ran on the affected servers must not be refused. The rules:
 //!
 //! - a successful run clears its content, on any node;
-//! - a server that answers a request sent before the suspected crash did not crash;
+//! - a server that responds to a request sent before the suspected crash did not crash;
 //! - a crash counts towards a quarantine only once independent evidence shows that the
 //!   server ended: its registration is removed or belongs to a new incarnation, or it is
 //!   unreachable;
--- a/crates/notchwalk_quarantine/src/quarantine/mod.rs
+++ b/crates/notchwalk_quarantine/src/quarantine/mod.rs
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Records that a server answered a request that was sent at `since` on the same
+    /// Records that a server responded to a request that was sent at `since` on the same
     /// connection, so it did not crash between `since` and `now`.
     pub fn record_server_alive(&mut self, server: u32, since: Instant, now: Instant) {
         if !self.refute_crashes(server, since, now) {
--- a/crates/notchwalk_route/src/request.rs
+++ b/crates/notchwalk_route/src/request.rs
@@ -58,7 +58,7 @@
     pub attempted: Vec<ServerKey>,
     /// Number of servers that may have started it.
     pub started_on: u32,
-    /// Number of sends, refused ones included.
+    /// Number of sends, rejected ones included.
     pub sends: u32,
     /// Number of sends that failed because of a prefill worker.
     pub prefill_worker_failures: u32,
--- a/crates/notchwalk_route/src/router/suspects.rs
+++ b/crates/notchwalk_route/src/router/suspects.rs
@@ -88,7 +88,7 @@
             return;
         };
         let short_id = self.short_id(server);
-        let answered = matches!(
+        let responded = matches!(
             end,
             AttemptEnd::Delivered { .. }
                 | AttemptEnd::ServerError
@@ -98,7 +98,7 @@
                     address_reused: false
                 }
         );
-        if let Some(short_id) = short_id.filter(|_| answered) {
+        if let Some(short_id) = short_id.filter(|_| responded) {
             self.quarantine.record_server_alive(short_id, sent_at, now);
         }
         match end {
--- a/crates/notchwalk_standin/tests/bad_input.rs
+++ b/crates/notchwalk_standin/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Invalid requests and misbehaving clients: each gets a specific error, and
+//! Invalid requests and misbehaving callers: each gets a specific error, and
 //! engine memory is released.
 
 use std::{
