--- a/crates/notchwalk_relay/src/config_watch.rs
+++ b/crates/notchwalk_relay/src/config_watch.rs
@@ -29,9 +29,9 @@
             Ok(site) => site,
             Err(reason) => return log_rejected(row.version.rev, &reason),
         };
-        let in_force = self.shell.router.borrow().version();
-        if site.version <= in_force {
-            if site.version < in_force {
+        let active_version = self.shell.router.borrow().version();
+        if site.version <= active_version {
+            if site.version < active_version {
                 log_rejected(site.version, "it is older than the one in force");
             }
             return;
@@ -60,8 +60,8 @@
     }
 
     fn is_behind(&self) -> bool {
-        let in_force = self.shell.router.borrow().version();
-        let peer_is_ahead = self.shell.peers.borrow().newest_config() > in_force;
+        let active_version = self.shell.router.borrow().version();
+        let peer_is_ahead = self.shell.peers.borrow().newest_config() > active_version;
         peer_is_ahead || self.shell.newest_epoch() > self.epoch
     }
 
--- a/crates/notchwalk_relay/src/front/accept.rs
+++ b/crates/notchwalk_relay/src/front/accept.rs
@@ -14,7 +14,7 @@
 
 /// Caller timeout of requests that give none.
 const DEFAULT_CALLER_TIMEOUT: Duration = Duration::from_secs(10);
-/// `Retry-After` while no configuration is in force yet.
+/// `Retry-After` while no configuration is active yet.
 const NO_CONFIG_RETRY_AFTER: Duration = Duration::from_millis(300);
 /// How long before the route's timeout a request fails, so that the final response
 /// arrives in time.
--- a/crates/notchwalk_relay/src/metrics.rs
+++ b/crates/notchwalk_relay/src/metrics.rs
@@ -22,7 +22,7 @@
     pub store_polls: IntCounterVec,
     /// The epoch of the store; it increases with each restore from a snapshot.
     pub store_epoch: IntGauge,
-    /// The version of the configuration in force.
+    /// The version of the active configuration.
     pub config_version: IntGauge,
     /// Requests in progress.
     pub open_requests: IntGauge,
--- a/crates/notchwalk_relay/src/quarantine.rs
+++ b/crates/notchwalk_relay/src/quarantine.rs
@@ -129,7 +129,7 @@
     )
 }
 
-/// Persists a quarantine, retrying while it is in force.
+/// Persists a quarantine, retrying while it is active.
 async fn persist(shell: Rc<Shell>, content: Fingerprint, times: u32) {
     let mut backoff = Backoff::new(Duration::from_millis(200));
     loop {
@@ -149,7 +149,7 @@
     }
 }
 
-/// Persists the quarantines in force that are missing from the store; returns their
+/// Persists the active quarantines that are missing from the store; returns their
 /// number.
 pub(crate) async fn persist_missing(shell: &Rc<Shell>, stored: &HashSet<String>) -> usize {
     let now = shell.now();
--- a/crates/notchwalk_relay/src/shell.rs
+++ b/crates/notchwalk_relay/src/shell.rs
@@ -221,7 +221,7 @@
         }
     }
 
-    /// Returns whether requests can be served: a configuration is in force and the
+    /// Returns whether requests can be served: a configuration is active and the
     /// process is not stopping.
     pub fn is_ready(&self) -> bool {
         self.stopping.get() == Stopping::No && self.router.borrow().version() > 0
