--- a/crates/notchwalk_core/src/finding.rs
+++ b/crates/notchwalk_core/src/finding.rs
@@ -36,7 +36,7 @@
 pub struct Findings(#[error(not(source))] pub Vec<Finding>);
 
 impl Findings {
-    /// Adds a fault.
+    /// Adds a finding.
     pub fn add(&mut self, file: &str, section: &str, key: &str, reason: impl Into<String>) {
         self.0.push(Finding {
             file: file.to_owned(),
--- a/crates/notchwalk_decide/src/membership.rs
+++ b/crates/notchwalk_decide/src/membership.rs
@@ -345,7 +345,9 @@
     }
 }
 
-/// Charges the cost that peers served to the workspaces' virtual time here.
+/// Charges each reported workspace, in this node's queue, with the change of the cost that the
+/// peer `from` served for it since the peer's previous report of that workspace. The first
+/// report of a workspace by a boot of the peer is only recorded, not charged.
 fn apply_served(node: &mut Node, from: VmId, served: &[ServedCost]) {
     for cost in served {
         let Some(slot) = node.catalog.workspace_by_hash(cost.workspace) else {
--- a/crates/notchwalk_quarantine/src/quarantine/policy.rs
+++ b/crates/notchwalk_quarantine/src/quarantine/policy.rs
@@ -190,7 +190,9 @@
 /// Returns whether a suspect can be removed. Its quarantine count is retained until the count
 /// expires, and the time of a clearance while older updates may still arrive.
 fn is_expired(suspect: &Suspect, now: Instant) -> bool {
-    /// Longer than the time for which crashes are rebroadcast.
+    /// Minimum period for which a suspect is retained after it was cleared. It is longer than
+    /// `REBROADCAST_PERIOD`, so that a crash from before the clearance is still ignored when
+    /// the node that observed it repeats it.
     const CLEARED_RETENTION: Duration = Duration::from_secs(30);
     let is_idle = suspect.crashes().is_empty() && !suspect.is_quarantined(now);
     let since_clear = now.since(suspect.cleared_at);
--- a/crates/notchwalk_relay/src/presence.rs
+++ b/crates/notchwalk_relay/src/presence.rs
@@ -23,7 +23,9 @@
     // peers.
     monoio::spawn(discover_peers(shell.clone()));
     write_record(&shell).await;
-    // If two nodes start together, the later writer finds the record of the earlier.
+    // `discover_peers` may have read the records before this node's record was written. Of two
+    // nodes that start together, the one whose record is written last finds the other's record
+    // by this second read.
     if let Err(e) = read_records(&shell).await {
         log::debug!("can't read the presence records: {e}");
     }
@@ -71,8 +73,9 @@
 /// Reads the presence records of all nodes, retrying on failure, and rereads them
 /// periodically.
 async fn discover_peers(shell: Rc<Shell>) {
-    /// New nodes introduce themselves by heartbeats; rereading only recovers from
-    /// losses.
+    /// How long after a successful read the presence records are read again. New nodes
+    /// introduce themselves by heartbeats; the later reads find nodes whose heartbeats were
+    /// lost.
     const REREAD_INTERVAL: Duration = Duration::from_secs(30);
     let mut backoff = Backoff::new(Duration::from_millis(200));
     loop {
--- a/crates/notchwalk_standin/src/engine/simulation.rs
+++ b/crates/notchwalk_standin/src/engine/simulation.rs
@@ -201,8 +201,9 @@
         decoded
     }
 
-    /// Evicts the last running sequence after index `i`, which restarts later. Returns whether
-    /// there was one.
+    /// Evicts the last sequence after index `i` that is running and is not a held segment. The
+    /// evicted sequence loses its prefilled tokens and waits to be admitted again. Returns
+    /// whether there was such a sequence.
     fn evict_after(&mut self, i: usize) -> bool {
         let mut candidates = self.sequences.iter().enumerate().skip(i + 1);
         let victim = candidates.rfind(|(_, s)| s.running && !s.is_held_segment());
--- a/crates/notchwalk_standin/src/routed/bound.rs
+++ b/crates/notchwalk_standin/src/routed/bound.rs
@@ -60,7 +60,8 @@
         }
     }
 
-    /// Calls `f` with the length and the work of each window that contains the job's window.
+    /// Calls `f` once for each window that contains the job's window, with the number of
+    /// intervals in that window and the accepted work of the jobs whose windows are inside it.
     fn for_each_enclosing(&mut self, job: &Job, mut f: impl FnMut(usize, &mut f64)) {
         for from in 0..=job.from {
             let row = from * (self.intervals + 1);
