--- a/crates/notchwalk_decide/src/admission.rs
+++ b/crates/notchwalk_decide/src/admission.rs
@@ -1,4 +1,5 @@
-//! Admission: what is refused at the door, before it costs anything.
+//! Admission: refuses requests that cannot be served before they use any
+//! resources.
 
 use std::time::Duration;
 
@@ -19,34 +20,34 @@
     timer::TimerKind,
 };
 
-/// The shortest time to come back after, in milliseconds.
+/// Shortest `Retry-After`, in milliseconds.
 const MIN_RETRY_AFTER_MS: u64 = 200;
-/// The longest.
+/// Longest `Retry-After`, in milliseconds.
 const MAX_RETRY_AFTER_MS: u64 = 60_000;
-/// The priority of a request that asks for none.
+/// The priority of a request that names none.
 const DEFAULT_PRIORITY: u8 = 5;
 
-/// Returns a jittered time to come back after, around `ms`.
+/// Returns a jittered `Retry-After` around `ms`, in milliseconds.
 pub(crate) fn retry_after(node: &mut Node, ms: u64) -> Option<u64> {
     let ms = ms.clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS);
     Some(node.rng.random_range(ms * 3 / 4..=ms * 5 / 4))
 }
 
-struct Sized {
+struct RequestSize {
     group: GroupKey,
     lane: Lane,
-    /// The least time it needs alone, in microseconds.
-    alone_us: u64,
+    /// The estimated prefill time on an idle engine, in microseconds.
+    prefill_us: u64,
 }
 
-/// Admits a request or refuses it as not run.
+/// Admits a request, or refuses it as not run.
 pub(crate) fn on_arrive(node: &mut Node, cx: &mut Cx<'_>, arrival: Arrival) {
     node.counters.arrived += 1;
     let caller = arrival.caller;
     if let Err((code, retry_ms)) = admit(node, cx, arrival) {
         node.counters.refused += 1;
         let retry_after_ms = match code {
-            // Not a time to come back: when the quarantine ends.
+            // This is the end of the quarantine, so it gets no jitter.
             FailureCode::Quarantined => retry_ms,
             _ => retry_ms.and_then(|ms| retry_after(node, ms)),
         };
@@ -61,20 +62,20 @@
 
 type Refusal = (FailureCode, Option<u64>);
 
-/// When to come back after a refusal that passes soon, in milliseconds.
-const SOON_MS: u64 = 1_000;
+/// `Retry-After` of a temporary refusal, in milliseconds.
+const DEFAULT_RETRY_AFTER_MS: u64 = 1_000;
 
-/// Refuses what can be refused without knowing the request: an entry that
-/// isn't ready or full, or a workspace whose queue is full.
-fn refuse_unread(node: &mut Node, cx: &Cx<'_>, key: WorkspaceKey) -> Result<(), Refusal> {
+/// Makes the checks that don't need the request's body: the node is ready and
+/// not full, and the workspace's queue has room.
+fn check_before_body(node: &mut Node, cx: &Cx<'_>, key: WorkspaceKey) -> Result<(), Refusal> {
     let Some(bundle) = node.catalog.bundle.clone() else {
-        return Err((FailureCode::NotReady, Some(SOON_MS)));
+        return Err((FailureCode::NotReady, Some(DEFAULT_RETRY_AFTER_MS)));
     };
     if node.drain.refuses(cx.now) {
-        return Err((FailureCode::Draining, Some(SOON_MS)));
+        return Err((FailureCode::Draining, Some(DEFAULT_RETRY_AFTER_MS)));
     }
     if node.requests.len() >= bundle.policy.max_requests as usize {
-        return Err((FailureCode::EntryFull, Some(SOON_MS)));
+        return Err((FailureCode::EntryFull, Some(DEFAULT_RETRY_AFTER_MS)));
     }
     let workspace = bundle.workspace(key);
     let slot = node.catalog.slot(key);
@@ -82,25 +83,27 @@
     let queue_is_full = state.queued >= workspace.max_queued;
     let all_run = state.in_flight >= workspace.max_in_flight;
     if queue_is_full && all_run || state.queued > workspace.max_queued {
-        let wait = queue_ms(node, cx, slot);
-        return Err((FailureCode::WorkspaceQueueFull, Some(wait.max(SOON_MS))));
+        let wait = workspace_wait_ms(node, cx, slot);
+        return Err((
+            FailureCode::WorkspaceQueueFull,
+            Some(wait.max(DEFAULT_RETRY_AFTER_MS)),
+        ));
     }
     Ok(())
 }
 
-/// Estimates how long a workspace's queue takes, in milliseconds, over all
-/// models.
-fn queue_ms(node: &mut Node, cx: &Cx<'_>, slot: WorkspaceSlot) -> u64 {
+/// Estimates the wait in a workspace's queue, in milliseconds: the longest over
+/// all models.
+fn workspace_wait_ms(node: &mut Node, cx: &Cx<'_>, slot: WorkspaceSlot) -> u64 {
     let weight = node.catalog.workspace(slot).weight;
     let groups = node.catalog.groups.len() as u32;
-    let waits = (0..groups).map(|g| waiting_ms(node, cx, GroupKey(g), slot, weight));
+    let waits = (0..groups).map(|g| expected_wait_ms(node, cx, GroupKey(g), slot, weight));
     waits.max().unwrap_or(0)
 }
 
-/// Returns the refusal that a request of a workspace would get before its body
-/// is even read.
+/// Returns the refusal that applies before a request's body is read, if any.
 pub(crate) fn early_refusal(node: &mut Node, cx: &Cx<'_>, key: WorkspaceKey) -> Option<Failure> {
-    let (code, retry_ms) = refuse_unread(node, cx, key).err()?;
+    let (code, retry_ms) = check_before_body(node, cx, key).err()?;
     node.counters.arrived += 1;
     node.counters.refused += 1;
     Some(Failure {
@@ -111,35 +114,38 @@
 }
 
 fn admit(node: &mut Node, cx: &mut Cx<'_>, arrival: Arrival) -> Result<(), Refusal> {
-    refuse_unread(node, cx, arrival.workspace)?;
+    check_before_body(node, cx, arrival.workspace)?;
     let Some(bundle) = node.catalog.bundle.clone() else {
-        return Err((FailureCode::NotReady, Some(SOON_MS)));
+        return Err((FailureCode::NotReady, Some(DEFAULT_RETRY_AFTER_MS)));
     };
     let workspace = bundle.workspace(arrival.workspace);
     let slot = node.catalog.slot(arrival.workspace);
     let policy = &bundle.policy;
     if let Work::Generate(work) = &arrival.work {
         let model = &bundle.models[work.model.index()];
-        let whole = work.prompt_tokens + Tokens::from(work.max_tokens);
-        if whole > model.context_tokens {
+        let total_tokens = work.prompt_tokens + Tokens::from(work.max_tokens);
+        if total_tokens > model.context_tokens {
             return Err((FailureCode::ContextExceeded, None));
         }
     }
     if let Some((code, ms)) = suspects::refusal(node, arrival.content, cx.now) {
         return Err((code, Some(ms)));
     }
-    let sized = size_up(node, &arrival.work);
+    let size = estimate_size(node, &arrival.work);
     let timeout_ms = arrival.timeout_ms.unwrap_or(policy.default_timeout_ms);
     let timeout_ms = timeout_ms.clamp(1, policy.max_timeout_ms);
     if policy.kind == PolicyKind::Fair {
-        let wait = waiting_ms(node, cx, sized.group, slot, workspace.weight);
-        let alone_ms = sized.alone_us / 1_000;
-        if alone_ms > timeout_ms {
-            // Coming back later would not help.
+        let wait = expected_wait_ms(node, cx, size.group, slot, workspace.weight);
+        let prefill_ms = size.prefill_us / 1_000;
+        if prefill_ms > timeout_ms {
+            // A later attempt would fail as well.
             return Err((FailureCode::DeadlineTooClose, None));
         }
-        if wait + alone_ms > timeout_ms {
-            return Err((FailureCode::DeadlineTooClose, Some(wait.max(SOON_MS))));
+        if wait + prefill_ms > timeout_ms {
+            return Err((
+                FailureCode::DeadlineTooClose,
+                Some(wait.max(DEFAULT_RETRY_AFTER_MS)),
+            ));
         }
     }
     let priority = arrival.priority.unwrap_or(DEFAULT_PRIORITY);
@@ -153,8 +159,8 @@
         },
         caller: arrival.caller,
         workspace: slot,
-        group: sized.group,
-        lane: sized.lane,
+        group: size.group,
+        lane: size.lane,
         seq,
         priority: priority.min(workspace.priority_max),
         arrived: cx.now,
@@ -168,23 +174,23 @@
         avoid: None,
         charged_us: 0,
         claim: claim::new_claim(&arrival, &bundle),
-        queued_at: None,
+        queue_position: None,
         plan: None,
         content: arrival.content,
         work: arrival.work,
     };
-    enter(node, cx, request);
+    insert_request(node, cx, request);
     Ok(())
 }
 
-fn enter(node: &mut Node, cx: &mut Cx<'_>, request: Request) {
+fn insert_request(node: &mut Node, cx: &mut Cx<'_>, request: Request) {
     let (id, caller, deadline) = (request.id, request.caller, request.deadline);
     let (slot, group) = (request.workspace, request.group);
     let claims = request.claim.is_some();
     let key = node.requests.insert(request);
     node.by_seq.insert(id.seq, key);
     node.timers.set(deadline, key, TimerKind::Deadline);
-    credit::work_came(node, slot, group);
+    credit::add_request(node, slot, group);
     cx.emit(Effect::Admitted {
         caller,
         request: key,
@@ -197,29 +203,30 @@
     schedule::enqueue(node, key);
 }
 
-fn size_up(node: &mut Node, work: &Work) -> Sized {
+fn estimate_size(node: &mut Node, work: &Work) -> RequestSize {
     match work {
-        Work::Call(call) => Sized {
+        Work::Call(call) => RequestSize {
             group: node.catalog.service_group(call.service),
             lane: Lane::Short,
-            alone_us: 0,
+            prefill_us: 0,
         },
         Work::Generate(work) => {
             let group = node.catalog.model_group(work.model);
-            let cached = best_cached(node, group, &work.prefix);
+            let cached = max_cached_tokens(node, group, &work.prefix);
             let cost = &node.costs[group.index()];
             let uncached = work.prompt_tokens.saturating_sub(cached);
-            Sized {
+            RequestSize {
                 group,
                 lane: Lane::of(uncached),
-                alone_us: cost.prompt_us(uncached),
+                prefill_us: cost.prefill_us(uncached),
             }
         }
     }
 }
 
-/// Returns the most tokens of a prompt that any engine is believed to cache.
-fn best_cached(node: &Node, group: GroupKey, prefix: &[u64]) -> Tokens {
+/// Returns the largest estimated number of a prompt's tokens in the cache of
+/// any engine.
+fn max_cached_tokens(node: &Node, group: GroupKey, prefix: &[u64]) -> Tokens {
     if prefix.is_empty() {
         return 0;
     }
@@ -228,10 +235,9 @@
     cached.max().unwrap_or(0)
 }
 
-/// Estimates how long a workspace's next request will wait, in milliseconds:
-/// what it has waiting, served at its share of what this entry's shares of the
-/// engines do.
-pub(crate) fn waiting_ms(
+/// Estimates the wait of a workspace's next request, in milliseconds: its
+/// queued cost, served at its fair share of this node's shares of the engines.
+pub(crate) fn expected_wait_ms(
     node: &mut Node,
     cx: &Cx<'_>,
     group: GroupKey,
--- a/crates/notchwalk_decide/src/attempt.rs
+++ b/crates/notchwalk_decide/src/attempt.rs
@@ -1,6 +1,6 @@
-//! Attempts: sending work, taking in its frames, and what follows when an
-//! attempt breaks. A caller's answer is built from any number of attempts with
-//! neither gap nor repeat, since each frame names request, attempt and offset.
+//! Attempts: dispatch, frames, and retries after failures. A caller's answer is
+//! built from any number of attempts without gaps or duplicates, since each
+//! frame names request, attempt and offset.
 
 use std::time::Duration;
 
@@ -23,36 +23,35 @@
     timer::TimerKind,
 };
 
-/// Attempts a request gets at the most.
+/// Upper bound of the attempts of a request.
 const MAX_ATTEMPTS: u16 = 8;
-/// The first pause after a failed attempt; it doubles each time.
-const FIRST_BACKOFF: Duration = Duration::from_millis(20);
-/// The longest pause after a failed attempt.
+/// The backoff after the first failed attempt; doubles each time.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
+/// Upper bound of the backoff.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
-/// How long a stream may stay silent after its first token.
-pub(crate) const STALL: Duration = Duration::from_secs(5);
-/// How long a first token may take beyond a multiple of the prompt's time.
-const FIRST_TOKEN_STALL: Duration = Duration::from_secs(10);
-/// That multiple.
-const FIRST_TOKEN_FACTOR: u64 = 4;
-/// How long a server that refused work is left alone.
-const REFUSED_PAUSE: Duration = Duration::from_millis(100);
-/// The hold is raised when the answer reaches this part of what is held for
-/// it, in percent (the paper's two-stage reservation).
+/// Longest gap between frames after the first token.
+pub(crate) const STREAM_STALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time limit of the first token, in addition to a multiple of the prefill
+/// time.
+const FIRST_TOKEN_BASE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Multiple of the estimated prefill time allowed for the first token.
+const FIRST_TOKEN_PREFILL_FACTOR: u64 = 4;
+/// How long a server that refused work gets no more.
+const REFUSED_BACKOFF: Duration = Duration::from_millis(100);
+/// The reservation is raised when the answer reaches this share of its reserved
+/// tokens, in percent.
 const TOP_UP_AT_PERCENT: u64 = 80;
-/// By how much of the answer so far the hold is raised, in percent.
+/// Size of the increase relative to the answer so far, in percent.
 const TOP_UP_PERCENT: u64 = 50;
 
-/// What a frame says about itself.
+/// The header of a frame.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct FrameHead {
-    /// The request it names.
+pub(crate) struct FrameHeader {
     pub id: RequestId,
-    /// The attempt it names.
     pub attempt: Attempt,
-    /// The place of its first token.
+    /// The offset of its first token.
     pub offset: u32,
-    /// Its tokens.
+    /// The number of its tokens.
     pub count: u32,
 }
 
@@ -62,17 +61,21 @@
     cx: &mut Cx<'_>,
     key: RequestKey,
     server: ServerKey,
-    held: Tokens,
+    reserved: Tokens,
     backlog: Tokens,
 ) {
     let req = &mut node.requests[key];
     let repeatable = req.is_repeatable();
     invariant!(
         repeatable || !req.sent,
-        "call {} that may not be repeated is sent twice",
+        "non-repeatable call {} is dispatched twice",
+        req.id
+    );
+    invariant!(
+        req.running.is_none(),
+        "request {} already has a running attempt",
         req.id
     );
-    invariant!(req.running.is_none(), "{} runs twice at once", req.id);
     if req.attempt.0 == 0 || req.plan.is_none() {
         req.attempt.0 += 1;
     }
@@ -80,10 +83,10 @@
     req.sent = true;
     req.running = Some(Running {
         server,
-        since: cx.now,
-        progress: cx.now,
-        answers: false,
-        held,
+        sent_at: cx.now,
+        last_progress: cx.now,
+        first_token_received: false,
+        reserved,
         backlog,
     });
     let slot = req.workspace;
@@ -96,14 +99,14 @@
         priority: engine_priority(node, cx, key),
         timeout_ms: node.requests[key].deadline.since(cx.now).as_millis() as u64,
     };
-    let cost_us = engine_cost(node, key, backlog);
+    let cost_us = expected_engine_us(node, key, backlog);
     let share = credit::share_of(node, cx.now, server);
-    let place = &mut node.servers.arena[server];
-    place.pay(cx.now, cost_us, share);
-    place.running += 1;
+    let target = &mut node.servers.arena[server];
+    target.charge_time(cx.now, cost_us, share);
+    target.running += 1;
     if !long {
-        place.held += held;
-        place.backlog[lane.index()] += backlog;
+        target.reserved += reserved;
+        target.backlog[lane.index()] += backlog;
     }
     node.catalog.workspace(slot).in_flight += 1;
     node.counters.attempts += 1;
@@ -113,8 +116,8 @@
     cx.emit(Effect::Dispatch(dispatch));
 }
 
-/// The engine time an attempt is expected to take, in microseconds.
-fn engine_cost(node: &Node, key: RequestKey, backlog: Tokens) -> u64 {
+/// Returns the expected engine time of an attempt, in microseconds.
+fn expected_engine_us(node: &Node, key: RequestKey, backlog: Tokens) -> u64 {
     let req = &node.requests[key];
     match req.generate() {
         Some(work) => node.costs[req.group.index()].expected_us(backlog, work.max_tokens),
@@ -122,9 +125,9 @@
     }
 }
 
-/// The priority on engines: none under the baselines. Long work that has
-/// waited longer than the ageing time, or whose workspace is behind the
-/// others, moves up a class.
+/// Returns the priority on engines, which is 0 under the baseline policies. Long
+/// work that has waited for an ageing period gets the priority of a shorter
+/// lane.
 fn engine_priority(node: &mut Node, cx: &Cx<'_>, key: RequestKey) -> u8 {
     if node.policy_kind() != notchwalk_bundle::PolicyKind::Fair {
         return 0;
@@ -143,7 +146,7 @@
         return;
     }
     let cost = match &req.work {
-        Work::Generate(work) => node.costs[req.group.index()].generate_us(work),
+        Work::Generate(work) => node.costs[req.group.index()].generation_us(work),
         Work::Call(_) => crate::cost::CostModel::call_us(),
     };
     charge(node, key, cost as i64);
@@ -160,7 +163,7 @@
     node.queue.charge(slot, cost_us, weight);
 }
 
-/// Replaces the estimate by what was really done.
+/// Replaces the estimated cost by the actual one.
 fn settle_cost(node: &mut Node, key: RequestKey, computed_prompt: Tokens, answer: u32) {
     let req = &node.requests[key];
     if req.generate().is_none() {
@@ -172,30 +175,30 @@
 }
 
 fn set_stall_timer(node: &mut Node, cx: &Cx<'_>, key: RequestKey) {
-    let at = cx.now.after(stall_time(node, key));
+    let at = cx.now.after(stall_timeout(node, key));
     node.timers.set(at, key, TimerKind::Stall);
 }
 
-/// How long the running attempt may stay silent.
-fn stall_time(node: &Node, key: RequestKey) -> Duration {
+/// Returns how long the running attempt may go without a frame.
+fn stall_timeout(node: &Node, key: RequestKey) -> Duration {
     let req = &node.requests[key];
     let Some(work) = req.generate() else {
         return req.deadline.since(req.arrived);
     };
-    let waits_for_first = req.running.is_some_and(|r| !r.answers);
+    let waits_for_first = req.running.is_some_and(|r| !r.first_token_received);
     if !waits_for_first {
-        return STALL;
+        return STREAM_STALL_TIMEOUT;
     }
-    let prompt = node.costs[req.group.index()].prompt_us(work.prompt_tokens);
-    FIRST_TOKEN_STALL + Duration::from_micros(prompt * FIRST_TOKEN_FACTOR)
+    let prompt = node.costs[req.group.index()].prefill_us(work.prompt_tokens);
+    FIRST_TOKEN_BASE_TIMEOUT + Duration::from_micros(prompt * FIRST_TOKEN_PREFILL_FACTOR)
 }
 
-/// The running attempt may have stalled.
+/// Fails the running attempt if it has stalled.
 pub(crate) fn on_stall_timer(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey) {
     let Some(running) = node.requests.get(key).and_then(|req| req.running) else {
         return;
     };
-    let due = running.progress.after(stall_time(node, key));
+    let due = running.last_progress.after(stall_timeout(node, key));
     if cx.now < due {
         node.timers.set(due, key, TimerKind::Stall);
         return;
@@ -204,9 +207,9 @@
     on_ended(node, cx, key, attempt, AttemptEnd::Broken);
 }
 
-/// Takes in a frame: late and crossed ones are dropped, and tokens that were
-/// delivered before are passed over.
-pub(crate) fn on_frame(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey, frame: FrameHead) {
+/// Handles a frame. Frames of other requests or attempts are dropped, and
+/// tokens that were already delivered are skipped.
+pub(crate) fn on_frame(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey, frame: FrameHeader) {
     let Some(req) = node.requests.get_mut(key) else {
         return;
     };
@@ -227,8 +230,8 @@
         on_ended(node, cx, key, attempt, AttemptEnd::Broken);
         return;
     }
-    let first = !std::mem::replace(&mut running.answers, true);
-    running.progress = cx.now;
+    let first = !std::mem::replace(&mut running.first_token_received, true);
+    running.last_progress = cx.now;
     let skip = req.delivered - frame.offset;
     if skip >= frame.count {
         return;
@@ -244,9 +247,9 @@
 
 fn on_first_token(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey) {
     release_backlog(node, key);
-    // From now on silence is judged by the gap between tokens.
+    // From now on the stall timeout limits the gap between frames.
     set_stall_timer(node, cx, key);
-    long_work::on_prompt_done(node, cx, key);
+    long_work::on_prefill_done(node, cx, key);
     node.schedule.capacity_changed();
 }
 
@@ -261,7 +264,7 @@
     }
 }
 
-/// Raises the hold of an answer that grows beyond what was held for it.
+/// Raises the reservation of an answer that grows beyond it.
 fn top_up(node: &mut Node, key: RequestKey) {
     let req = &mut node.requests[key];
     if node.cfg.reserve != ReserveMode::TopUp || req.plan.is_some() {
@@ -273,20 +276,20 @@
     let Some(running) = req.running.as_mut() else {
         return;
     };
-    let held_answer = running.held.saturating_sub(prompt);
-    let at_most = Tokens::from(max_tokens);
-    if held_answer >= at_most || delivered * 100 < held_answer * TOP_UP_AT_PERCENT {
+    let reserved_answer = running.reserved.saturating_sub(prompt);
+    let max_answer = Tokens::from(max_tokens);
+    if reserved_answer >= max_answer || delivered * 100 < reserved_answer * TOP_UP_AT_PERCENT {
         return;
     }
     let more = (delivered * TOP_UP_PERCENT / 100).max(16);
-    let more = more.min(at_most - held_answer);
-    running.held += more;
-    node.servers.arena[running.server].held += more;
+    let more = more.min(max_answer - reserved_answer);
+    running.reserved += more;
+    node.servers.arena[running.server].reserved += more;
     node.counters.top_ups += 1;
 }
 
-/// Ends the accounting of the running attempt. Returns its server.
-fn stop_running(node: &mut Node, key: RequestKey) -> Option<ServerKey> {
+/// Removes the running attempt from all accounts. Returns its server.
+fn clear_running(node: &mut Node, key: RequestKey) -> Option<ServerKey> {
     release_backlog(node, key);
     let req = &mut node.requests[key];
     let running = req.running.take()?;
@@ -295,17 +298,17 @@
     let server = &mut node.servers.arena[running.server];
     invariant!(
         server.running > 0,
-        "server {} runs less than nothing",
+        "server {}: count of running requests underflows",
         server.id.0
     );
     server.running -= 1;
     if !long {
         invariant!(
-            server.held >= running.held,
-            "server {} holds less than nothing",
+            server.reserved >= running.reserved,
+            "server {}: count of reserved tokens underflows",
             server.id.0
         );
-        server.held -= running.held;
+        server.reserved -= running.reserved;
     }
     node.catalog.workspace(slot).in_flight -= 1;
     node.queue.unpark(slot);
@@ -313,7 +316,7 @@
     Some(running.server)
 }
 
-/// An attempt ended. Ends of older attempts mean nothing any more.
+/// Handles the end of an attempt. Ends of earlier attempts are ignored.
 pub(crate) fn on_ended(
     node: &mut Node,
     cx: &mut Cx<'_>,
@@ -328,7 +331,7 @@
         return;
     }
     if req.running.is_none() {
-        // A segment of a huge prompt failed before the answer began.
+        // A segment of a huge prompt failed before decoding started.
         if req.plan.is_some() && req.phase == Phase::Running {
             retry_or_fail(node, cx, key, end);
         }
@@ -342,8 +345,8 @@
             completion_tokens,
         } => {
             let req = &node.requests[key];
-            let whole = req.generate().is_none() || completion_tokens == req.delivered;
-            if !whole {
+            let is_complete = req.generate().is_none() || completion_tokens == req.delivered;
+            if !is_complete {
                 return on_failed_attempt(node, cx, key, AttemptEnd::Broken);
             }
             complete(node, cx, key, prompt_tokens, cached_tokens);
@@ -363,14 +366,14 @@
     let req = &node.requests[key];
     let (group, answer) = (req.group, req.delivered);
     if req.generate().is_some() {
-        node.cost(group).learn_answer(answer);
+        node.cost(group).record_answer(answer);
     }
     settle_cost(node, key, computed, answer);
-    if let Some(server) = stop_running(node, key) {
+    if let Some(server) = clear_running(node, key) {
         schedule::server_succeeded(node, cx, server);
     }
     let percent = node.bundle().map_or(0, |b| b.policy.retry_percent);
-    node.retry.succeeded(percent);
+    node.retry.record_success(percent);
     node.counters.completed += 1;
     let completion = Completion {
         prompt_tokens,
@@ -381,24 +384,24 @@
 }
 
 fn on_failed_attempt(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey, end: AttemptEnd) {
-    let Some(server) = stop_running(node, key) else {
+    let Some(server) = clear_running(node, key) else {
         return;
     };
     let req = &mut node.requests[key];
     req.avoid = Some(server);
     match &end {
         AttemptEnd::Refused { .. } => {
-            node.servers.arena[server].refused_until = cx.now.after(REFUSED_PAUSE);
+            node.servers.arena[server].refused_until = cx.now.after(REFUSED_BACKOFF);
         }
         AttemptEnd::NotSent => {
-            suspects::on_server_away(node, cx, server);
+            suspects::on_server_unreachable(node, cx, server);
             schedule::server_failed(node, cx, server);
         }
         AttemptEnd::Broken | AttemptEnd::Complete { .. } => {
             let (id, up_to) = (req.id, req.attempt);
-            let cancels = req.generate().is_some();
+            let cancellable = req.generate().is_some();
             schedule::server_failed(node, cx, server);
-            if cancels {
+            if cancellable {
                 sweep::cancel(node, cx, server, id, up_to);
             }
         }
@@ -406,48 +409,48 @@
     retry_or_fail(node, cx, key, end);
 }
 
-/// Decides what follows a failed attempt.
+/// Retries a request after a failed attempt, or fails it.
 fn retry_or_fail(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey, end: AttemptEnd) {
     let req = &mut node.requests[key];
-    // Segments that were computed did run, whatever became of the rest.
+    // Completed segments ran, even if the last attempt did not.
     let segments_ran = req.plan.as_ref().is_some_and(|plan| plan.segments_done > 0);
     let unsent = matches!(end, AttemptEnd::NotSent | AttemptEnd::Refused { .. });
-    let ran_not = unsent && !segments_ran;
+    let not_run = unsent && !segments_ran;
     long_work::release_plan(node, cx, key);
     let req = &mut node.requests[key];
-    if ran_not && req.failures == 0 {
+    if not_run && req.failures == 0 {
         req.sent = false;
     }
-    if !ran_not {
+    if !not_run {
         req.failures += 1;
     }
-    if !ran_not && !req.is_repeatable() {
+    if !not_run && !req.is_repeatable() {
         return fail(node, cx, key, FailureCode::CallFailed, None);
     }
-    if req.attempt.0 >= MAX_ATTEMPTS && !ran_not {
+    if req.attempt.0 >= MAX_ATTEMPTS && !not_run {
         return fail(node, cx, key, FailureCode::BackendFailed, Some(1_000));
     }
     let content = node.requests[key].content;
     if let Some((code, ms)) = suspects::refusal(node, content, cx.now) {
-        return fail_until(node, cx, key, code, ms);
+        return fail_suspected(node, cx, key, code, ms);
     }
     let percent = node.bundle().map_or(0, |b| b.policy.retry_percent);
-    if !ran_not && !node.retry.take(percent) {
+    if !not_run && !node.retry.take(percent) {
         return fail(node, cx, key, FailureCode::BackendFailed, Some(2_000));
     }
     let req = &node.requests[key];
     let doublings = u32::from(req.attempt.0.min(6));
-    let pause = (FIRST_BACKOFF * 2u32.pow(doublings - doublings.min(1))).min(MAX_BACKOFF);
-    if cx.now.after(pause) >= req.deadline {
+    let backoff = (INITIAL_BACKOFF * 2u32.pow(doublings - doublings.min(1))).min(MAX_BACKOFF);
+    if cx.now.after(backoff) >= req.deadline {
         return fail(node, cx, key, FailureCode::TimedOut, None);
     }
     node.counters.retries += 1;
     let facts = format!("request={} attempt={} end={end:?}", req.id, req.attempt.0);
     cx.log(LogEventKind::AttemptRetried, facts);
-    schedule::back_off(node, cx, key, pause);
+    schedule::back_off(node, cx, key, backoff);
 }
 
-/// The deadline passed: the caller gets its final answer now.
+/// Fails a request whose deadline passed.
 pub(crate) fn on_deadline(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey) {
     let Some(req) = node.requests.get(key) else {
         return;
@@ -457,15 +460,16 @@
     fail(node, cx, key, FailureCode::TimedOut, None);
 }
 
-/// The caller went away: its work ends.
-pub(crate) fn on_caller_gone(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey) {
+/// Ends the work of a disconnected caller.
+pub(crate) fn on_caller_disconnected(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey) {
     if node.requests.contains_key(key) {
         fail(node, cx, key, FailureCode::CallerGone, None);
     }
 }
 
-/// Ends a request whose content may not be sent now, or for so long.
-fn fail_until(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey, code: FailureCode, ms: u64) {
+/// Fails a request whose content is suspected or quarantined; `ms` is the
+/// remaining time.
+fn fail_suspected(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey, code: FailureCode, ms: u64) {
     if code != FailureCode::Quarantined {
         return fail(node, cx, key, code, Some(ms));
     }
@@ -478,7 +482,7 @@
     fail_with(node, cx, key, failure);
 }
 
-/// Returns what a failed request's caller is told of whether it ran.
+/// Returns whether a failed request ran, as reported to its caller.
 fn outcome_of(req: &Request) -> OutcomeWord {
     match (&req.work, req.sent) {
         (_, false) => OutcomeWord::NotRun,
@@ -487,7 +491,7 @@
     }
 }
 
-/// Ends a request with a failure, wherever it stands.
+/// Fails a request in any phase.
 pub(crate) fn fail(
     node: &mut Node,
     cx: &mut Cx<'_>,
@@ -505,14 +509,14 @@
     fail_with(node, cx, key, failure);
 }
 
-/// Ends a request with a given failure, wherever it stands.
+/// Fails a request in any phase with a given failure.
 pub(crate) fn fail_with(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey, failure: Failure) {
     node.counters.failed += 1;
     let req = &node.requests[key];
     let (id, up_to, delivered) = (req.id, req.attempt, req.delivered);
-    let cancels = req.generate().is_some();
-    if let Some(server) = stop_running(node, key) {
-        if cancels {
+    let cancellable = req.generate().is_some();
+    if let Some(server) = clear_running(node, key) {
+        if cancellable {
             let prompt = node.requests[key].prompt_tokens();
             settle_cost(node, key, prompt, delivered);
             sweep::cancel(node, cx, server, id, up_to);
@@ -521,7 +525,7 @@
     finish(node, cx, key, Err(failure));
 }
 
-/// Takes a request out of everything and tells its caller.
+/// Removes a request and reports the result to its caller.
 pub(crate) fn finish(
     node: &mut Node,
     cx: &mut Cx<'_>,
@@ -535,16 +539,20 @@
     });
 }
 
-/// Takes a request out of everything.
+/// Removes a request from all state.
 pub(crate) fn remove(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey) {
     schedule::dequeue(node, key);
     long_work::release_plan(node, cx, key);
-    claim::on_request_over(node, cx, key);
+    claim::on_request_ended(node, cx, key);
     let Some(req) = node.requests.remove(key) else {
         return;
     };
-    invariant!(req.running.is_none(), "{} ended while it runs", req.id);
+    invariant!(
+        req.running.is_none(),
+        "request {} is removed while an attempt runs",
+        req.id
+    );
     node.by_seq.remove(&req.id.seq);
     node.timers.clear(req.deadline, key, TimerKind::Deadline);
-    credit::work_went(node, req.workspace, req.group);
+    credit::remove_request(node, req.workspace, req.group);
 }
--- a/crates/notchwalk_decide/src/catalog.rs
+++ b/crates/notchwalk_decide/src/catalog.rs
@@ -1,73 +1,69 @@
-//! Workspaces, models and services by small keys that stay the same from one
-//! bundle version to the next.
+//! Compact keys of workspaces, models and services that are stable across
+//! bundle versions.
 
 use std::{collections::HashMap, sync::Arc};
 
 use notchwalk_bundle::{Bundle, ModelKey, ServiceKey, WorkspaceKey};
 use notchwalk_core::leading_u64;
 
-/// Names a workspace for as long as the node runs.
+/// Identifies a workspace for the lifetime of the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WorkspaceSlot(pub u32);
 
 impl WorkspaceSlot {
-    /// Returns the place in the node's list.
+    /// Returns the index into the catalog's list.
     pub fn index(self) -> usize {
         self.0 as usize
     }
 }
 
-/// Names a model or a plain service for as long as the node runs: servers of
-/// one group can stand in for each other.
+/// Identifies a model or plain service for the lifetime of the node. The
+/// servers of a group are interchangeable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct GroupKey(pub u32);
 
 impl GroupKey {
-    /// Returns the place in the node's list.
+    /// Returns the index into the catalog's list.
     pub fn index(self) -> usize {
         self.0 as usize
     }
 }
 
-/// Returns the hash under which a name is known between daemons.
+/// Returns the hash that identifies a name between daemons.
 pub fn name_hash(name: &str) -> u64 {
     leading_u64(blake3::hash(name.as_bytes()).as_bytes())
 }
 
-/// What a node remembers of a workspace.
+/// A node's state of a workspace.
 #[derive(Clone, Debug)]
 pub(crate) struct WorkspaceState {
-    /// The name.
     pub name: String,
-    /// The share; the latest bundle's.
+    /// The weight in the active bundle.
     pub weight: f64,
     /// Requests running.
     pub in_flight: u32,
-    /// Requests waiting.
+    /// Requests queued.
     pub queued: u32,
-    /// Requests it may have running.
+    /// Upper bound of the requests running.
     pub max_in_flight: u32,
-    /// Cost served for it by this node since the boot, in microseconds.
+    /// Cost served by this node since boot, in microseconds.
     pub served_us: u64,
 }
 
 /// A group's name and kind.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum GroupName {
-    /// A model.
     Model(String),
-    /// A plain service.
     Service(String),
 }
 
-/// The bundle in force and the lasting keys of what it names.
+/// The active bundle, and stable keys for the names in it.
 #[derive(Debug, Default)]
 pub(crate) struct Catalog {
-    /// The bundle in force.
     pub bundle: Option<Arc<Bundle>>,
-    /// All workspaces ever named.
+    /// The workspaces of all bundles so far.
     pub workspaces: Vec<WorkspaceState>,
-    /// All groups ever named.
+    /// The groups of all bundles so far.
     pub groups: Vec<GroupName>,
     by_workspace_name: HashMap<String, WorkspaceSlot>,
     by_workspace_hash: HashMap<u64, WorkspaceSlot>,
@@ -78,9 +74,9 @@
 }
 
 impl Catalog {
-    /// Puts a bundle into force unless it is older than the present one;
-    /// tells whether it did.
-    pub fn put_in_force(&mut self, bundle: Arc<Bundle>) -> bool {
+    /// Activates a bundle if it is newer than the active one. Returns whether
+    /// it did.
+    pub fn apply(&mut self, bundle: Arc<Bundle>) -> bool {
         let present = self.bundle.as_ref().map(|b| b.version);
         if present.is_some_and(|version| version >= bundle.version) {
             return false;
@@ -134,47 +130,42 @@
         group
     }
 
-    /// Returns the lasting key of a workspace of the bundle in force.
+    /// Returns the stable key of a workspace of the active bundle.
     pub fn slot(&self, key: WorkspaceKey) -> WorkspaceSlot {
         self.slot_of_workspace[key.index()]
     }
 
-    /// Returns the lasting key of a model of the bundle in force.
+    /// Returns the stable key of a model of the active bundle.
     pub fn model_group(&self, key: ModelKey) -> GroupKey {
         self.group_of_model[key.index()]
     }
 
-    /// Returns the lasting key of a service of the bundle in force.
+    /// Returns the stable key of a service of the active bundle.
     pub fn service_group(&self, key: ServiceKey) -> GroupKey {
         self.group_of_service[key.index()]
     }
 
-    /// Finds a model's group by name.
     pub fn model_named(&self, name: &str) -> Option<GroupKey> {
         self.by_group_name
             .get(&GroupName::Model(name.to_owned()))
             .copied()
     }
 
-    /// Finds a service's group by name.
     pub fn service_named(&self, name: &str) -> Option<GroupKey> {
         self.by_group_name
             .get(&GroupName::Service(name.to_owned()))
             .copied()
     }
 
-    /// Finds a workspace by the hash of its name.
-    pub fn workspace_hashed(&self, hash: u64) -> Option<WorkspaceSlot> {
+    pub fn workspace_by_hash(&self, hash: u64) -> Option<WorkspaceSlot> {
         self.by_workspace_hash.get(&hash).copied()
     }
 
-    /// Returns the hash of a group's name.
     pub fn group_hash(&self, group: GroupKey) -> u64 {
         let (GroupName::Model(text) | GroupName::Service(text)) = &self.groups[group.index()];
         name_hash(text)
     }
 
-    /// Returns a workspace's state.
     pub fn workspace(&mut self, slot: WorkspaceSlot) -> &mut WorkspaceState {
         &mut self.workspaces[slot.index()]
     }
--- a/crates/notchwalk_decide/src/claim.rs
+++ b/crates/notchwalk_decide/src/claim.rs
@@ -1,6 +1,6 @@
 //! Claims: a call with an idempotency key is claimed in the platform's table
-//! before it is sent, so that it runs at most once, whichever entries its
-//! tries reach. A claim is never taken over from its owner.
+//! before it is sent, so that it runs at most once, whichever nodes its
+//! attempts reach. A claim is never taken over from its owner.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -20,32 +20,32 @@
     timer::TimerKind,
 };
 
-/// How long a claim may take before the call is refused as not run.
-const CLAIM_WITHIN: Duration = Duration::from_secs(4);
-/// How long one answer of the store is waited for.
-const ANSWER_WITHIN: Duration = Duration::from_millis(1_500);
-/// The pause before the store is asked again.
-const ASK_AGAIN: Duration = Duration::from_millis(100);
-/// How long the release of an abandoned claim is tried.
-const RELEASE_FOR: Duration = Duration::from_secs(600);
-/// The first pause between tries of a release; it doubles each time.
-const RELEASE_PAUSE: Duration = Duration::from_millis(500);
-/// The longest.
-const MAX_RELEASE_PAUSE: Duration = Duration::from_secs(20);
+/// Time limit for a claim, after which the call fails as not run.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(4);
+/// How long to wait for one answer of the store.
+const STORE_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Delay before the store is queried again.
+const STORE_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// How long the release of an abandoned claim is retried.
+const RELEASE_TTL: Duration = Duration::from_secs(600);
+/// Delay before a release is first repeated; doubles each time.
+const INITIAL_RELEASE_DELAY: Duration = Duration::from_millis(500);
+/// Upper bound of that delay.
+const MAX_RELEASE_DELAY: Duration = Duration::from_secs(20);
 
-/// A claim of a request.
+/// The claim of a request.
 #[derive(Clone, Debug)]
 pub(crate) struct Claim {
     /// The row's key.
     pub key: String,
-    /// The token that makes the row ours.
+    /// The token that marks this request as the row's owner.
     pub token: String,
-    /// Whether the row is known to be ours.
-    pub held: bool,
+    /// Whether the row is known to be owned by this request.
+    pub owned: bool,
     /// Whether a write may have been sent.
     pub written: bool,
-    /// When the store was last asked.
-    pub asked: Instant,
+    /// When the store was last queried.
+    pub last_query: Instant,
 }
 
 /// Returns the key of a claim's row.
@@ -54,7 +54,7 @@
     format!("claim/{workspace}/{service}/{hash:016x}/{idempotency_key}")
 }
 
-/// Returns the claim an arrival needs, if it has an idempotency key.
+/// Returns the claim that an arrival needs, if it has an idempotency key.
 pub(crate) fn new_claim(arrival: &Arrival, bundle: &Bundle) -> Option<Claim> {
     let Work::Call(call) = &arrival.work else {
         return None;
@@ -65,13 +65,13 @@
     Some(Claim {
         key: claim_key(workspace, service, key),
         token: String::new(),
-        held: false,
+        owned: false,
         written: false,
-        asked: Instant::ZERO,
+        last_query: Instant::ZERO,
     })
 }
 
-/// Starts claiming.
+/// Writes the claim of a request.
 pub(crate) fn start(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey) {
     let req = &mut node.requests[key];
     req.phase = Phase::Claiming;
@@ -88,7 +88,7 @@
         return;
     };
     claim.written = true;
-    claim.asked = cx.now;
+    claim.last_query = cx.now;
     cx.emit(Effect::ClaimInsert {
         request: key,
         key: claim.key.clone(),
@@ -96,23 +96,23 @@
         fingerprint,
     });
     node.timers
-        .set(cx.now.after(ANSWER_WITHIN), key, TimerKind::Claim);
+        .set(cx.now.after(STORE_TIMEOUT), key, TimerKind::Claim);
 }
 
 fn read(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey) {
     let Some(claim) = node.requests[key].claim.as_mut() else {
         return;
     };
-    claim.asked = cx.now;
+    claim.last_query = cx.now;
     cx.emit(Effect::ClaimRead {
         request: key,
         key: claim.key.clone(),
     });
     node.timers
-        .set(cx.now.after(ANSWER_WITHIN), key, TimerKind::Claim);
+        .set(cx.now.after(STORE_TIMEOUT), key, TimerKind::Claim);
 }
 
-/// The store answered, or did not.
+/// Handles the store's answer.
 pub(crate) fn on_answer(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey, answer: ClaimAnswer) {
     let Some(req) = node.requests.get(key) else {
         return;
@@ -123,17 +123,19 @@
     let (arrived, deadline) = (req.arrived, req.deadline);
     match answer {
         ClaimAnswer::Row(row) => on_row(node, cx, key, &row),
-        _ if cx.now >= arrived.after(CLAIM_WITHIN).min(deadline) => give_up(node, cx, key),
+        _ if cx.now >= arrived.after(CLAIM_TIMEOUT).min(deadline) => {
+            fail_unavailable(node, cx, key)
+        }
         ClaimAnswer::NoRow => write(node, cx, key),
         ClaimAnswer::NoAnswer => {
-            let us = ASK_AGAIN.as_micros() as u64;
-            let pause = Duration::from_micros(node.rng.random_range(us / 2..us * 2));
-            node.timers.set(cx.now.after(pause), key, TimerKind::Claim);
+            let us = STORE_RETRY_DELAY.as_micros() as u64;
+            let delay = Duration::from_micros(node.rng.random_range(us / 2..us * 2));
+            node.timers.set(cx.now.after(delay), key, TimerKind::Claim);
         }
     }
 }
 
-/// The store is asked again after a pause, or because it stays silent.
+/// Reads the claim again, after a delay or because the store did not answer.
 pub(crate) fn on_timer(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey) {
     let Some(req) = node.requests.get(key) else {
         return;
@@ -141,11 +143,11 @@
     if req.phase != Phase::Claiming {
         return;
     }
-    if cx.now >= req.arrived.after(CLAIM_WITHIN).min(req.deadline) {
-        return give_up(node, cx, key);
+    if cx.now >= req.arrived.after(CLAIM_TIMEOUT).min(req.deadline) {
+        return fail_unavailable(node, cx, key);
     }
-    let asked = req.claim.as_ref().map_or(cx.now, |c| c.asked);
-    if cx.now.since(asked) >= ASK_AGAIN / 2 {
+    let last_query = req.claim.as_ref().map_or(cx.now, |c| c.last_query);
+    if cx.now.since(last_query) >= STORE_RETRY_DELAY / 2 {
         read(node, cx, key);
     }
 }
@@ -156,14 +158,14 @@
         return;
     };
     if row.token == claim.token {
-        claim.held = true;
+        claim.owned = true;
         schedule::enqueue(node, key);
         return;
     }
     claim.written = false;
     let row_key = claim.key.clone();
     if row.fingerprint != fingerprint {
-        return refuse(
+        return reject(
             node,
             cx,
             key,
@@ -180,29 +182,29 @@
         });
         return;
     }
-    match owner_lives(node, &row.token) {
+    match owner_may_be_running(node, &row.token) {
         true => {
             let code = FailureCode::StillRunning;
-            refuse(node, cx, key, code, OutcomeWord::Unknown, Some(500));
+            reject(node, cx, key, code, OutcomeWord::Unknown, Some(500));
         }
         false => {
             let code = FailureCode::OutcomeUnknown;
-            refuse(node, cx, key, code, OutcomeWord::Unknown, None);
+            reject(node, cx, key, code, OutcomeWord::Unknown, None);
         }
     }
 }
 
-fn owner_lives(node: &Node, token: &str) -> bool {
+fn owner_may_be_running(node: &Node, token: &str) -> bool {
     let Ok(owner) = token.parse::<RequestId>() else {
         return false;
     };
     if owner.vm == node.cfg.vm {
         return owner.boot == node.cfg.boot && node.by_seq.contains_key(&owner.seq);
     }
-    node.membership.may_live(owner.vm, owner.boot)
+    node.membership.may_be_alive(owner.vm, owner.boot)
 }
 
-fn refuse(
+fn reject(
     node: &mut Node,
     cx: &mut Cx<'_>,
     key: RequestKey,
@@ -219,16 +221,16 @@
     attempt::fail_with(node, cx, key, failure);
 }
 
-/// The store can't be relied on in time: the call is not sent, now or later.
-fn give_up(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey) {
+/// Fails a call whose claim was not confirmed in time; the call is never sent.
+fn fail_unavailable(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey) {
     let facts = format!("request={}", node.requests[key].id);
     cx.log(LogEventKind::ClaimUnknown, facts);
     attempt::fail(node, cx, key, FailureCode::StoreUnavailable, Some(2_000));
 }
 
-/// A request is over: a claim whose call was never sent is released, so that
-/// a later try can run.
-pub(crate) fn on_request_over(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey) {
+/// Releases the claim of a call that was never sent, so that a later attempt
+/// can run.
+pub(crate) fn on_request_ended(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey) {
     let Some(req) = node.requests.get(key) else {
         return;
     };
@@ -243,7 +245,7 @@
         fingerprint: req.fingerprint(),
         since: cx.now,
         next: cx.now,
-        pause: RELEASE_PAUSE,
+        delay: INITIAL_RELEASE_DELAY,
     };
     node.releases.pending.insert(claim.key.clone(), release);
 }
@@ -254,7 +256,7 @@
     fingerprint: String,
     since: Instant,
     next: Instant,
-    pause: Duration,
+    delay: Duration,
 }
 
 /// Releases of abandoned claims, repeated until they are confirmed.
@@ -265,19 +267,19 @@
 }
 
 impl ClaimReleases {
-    /// Takes in the answer to a release.
+    /// Handles the answer to a release.
     pub fn on_released(&mut self, now: Instant, key: &str, confirmed: bool) {
         if confirmed {
             self.pending.remove(key);
             return;
         }
         if let Some(release) = self.pending.get_mut(key) {
-            release.next = now.after(release.pause);
-            release.pause = (release.pause * 2).min(MAX_RELEASE_PAUSE);
+            release.next = now.after(release.delay);
+            release.delay = (release.delay * 2).min(MAX_RELEASE_DELAY);
         }
     }
 
-    /// Returns how many releases are not confirmed.
+    /// Returns the number of unconfirmed releases.
     pub fn len(&self) -> usize {
         self.pending.len()
     }
@@ -285,19 +287,19 @@
 
 /// Sends the releases that are due.
 pub(crate) fn on_tick(node: &mut Node, cx: &mut Cx<'_>) {
-    const SCAN_EVERY: Duration = Duration::from_millis(100);
+    const SCAN_INTERVAL: Duration = Duration::from_millis(100);
     if node.releases.pending.is_empty() || cx.now < node.releases.next_scan {
         return;
     }
-    node.releases.next_scan = cx.now.after(SCAN_EVERY);
+    node.releases.next_scan = cx.now.after(SCAN_INTERVAL);
     node.releases
         .pending
-        .retain(|_, r| cx.now.since(r.since) < RELEASE_FOR);
+        .retain(|_, r| cx.now.since(r.since) < RELEASE_TTL);
     for (key, release) in &mut node.releases.pending {
         if cx.now < release.next {
             continue;
         }
-        release.next = cx.now.after(release.pause);
+        release.next = cx.now.after(release.delay);
         cx.emit(Effect::ClaimRelease {
             key: key.clone(),
             token: release.token.clone(),
--- a/crates/notchwalk_decide/src/cost.rs
+++ b/crates/notchwalk_decide/src/cost.rs
@@ -1,27 +1,28 @@
-//! What work costs: engine time of prompt and answer tokens, the length of
-//! answers and the bytes of a token, each learned for each model.
+//! Cost estimates for each model: engine time for prefill and decode, answer
+//! lengths and bytes per token.
 
 use hdrhistogram::Histogram;
 use notchwalk_core::Tokens;
 
 use crate::event::GenerateWork;
 
-/// Weight of a new observation in the running means.
-const NEW_WEIGHT: f64 = 0.05;
-/// Answers after which the percentile is taken anew.
-const REFRESH_EVERY: u32 = 64;
-/// Answers after which the older half of what was learned is forgotten.
-const FORGET_AFTER: u64 = 4_096;
-/// The answer length that is held for, as a quantile.
-const HELD_QUANTILE: f64 = 0.95;
+/// Weight of a new observation in the moving averages.
+const EWMA_WEIGHT: f64 = 0.05;
+/// Answers between two updates of the percentile.
+const REFRESH_INTERVAL_ANSWERS: u32 = 64;
+/// Answers after which the histogram is cleared, so that old lengths stop
+/// counting.
+const MAX_SAMPLES: u64 = 4_096;
+/// The quantile of answer lengths to reserve memory for.
+const RESERVED_QUANTILE: f64 = 0.95;
 /// The cost of a call of a plain service, in microseconds.
 const CALL_COST_US: u64 = 1_000;
 
-/// What is known about a model's costs.
+/// The cost estimates of one model.
 #[derive(Debug)]
 pub(crate) struct CostModel {
-    prompt_token_us: f64,
-    answer_token_us: f64,
+    prefill_token_us: f64,
+    decode_token_us: f64,
     bytes_per_token: f64,
     answers: Histogram<u32>,
     since_refresh: u32,
@@ -35,8 +36,8 @@
         const DIGITS: u8 = 2;
         let answers = Histogram::new_with_max(MAX_ANSWER, DIGITS);
         Self {
-            prompt_token_us: 40.0,
-            answer_token_us: 200.0,
+            prefill_token_us: 40.0,
+            decode_token_us: 200.0,
             bytes_per_token: 4.0,
             answers: answers.expect("the bounds are valid"),
             since_refresh: 0,
@@ -47,60 +48,61 @@
 }
 
 impl CostModel {
-    /// Learns from what an engine reports, in nanoseconds a token.
-    pub fn learn_times(&mut self, prompt_token_ns: u64, answer_token_ns: u64) {
+    /// Records the token times that an engine reports, in nanoseconds per
+    /// token.
+    pub fn record_token_times(&mut self, prompt_token_ns: u64, answer_token_ns: u64) {
         let learn = |mean: &mut f64, seen_ns: u64| {
-            *mean += NEW_WEIGHT * (seen_ns as f64 / 1_000.0 - *mean);
+            *mean += EWMA_WEIGHT * (seen_ns as f64 / 1_000.0 - *mean);
         };
-        learn(&mut self.prompt_token_us, prompt_token_ns);
-        learn(&mut self.answer_token_us, answer_token_ns);
+        learn(&mut self.prefill_token_us, prompt_token_ns);
+        learn(&mut self.decode_token_us, answer_token_ns);
     }
 
-    /// Learns from a whole answer.
-    pub fn learn_answer(&mut self, completion_tokens: u32) {
+    /// Records the length of a complete answer.
+    pub fn record_answer(&mut self, completion_tokens: u32) {
         self.answers.saturating_record(u64::from(completion_tokens));
-        self.answer_mean += NEW_WEIGHT * (f64::from(completion_tokens) - self.answer_mean);
+        self.answer_mean += EWMA_WEIGHT * (f64::from(completion_tokens) - self.answer_mean);
         self.since_refresh += 1;
-        if self.since_refresh < REFRESH_EVERY && self.answer_p95.is_some() {
+        if self.since_refresh < REFRESH_INTERVAL_ANSWERS && self.answer_p95.is_some() {
             return;
         }
         self.since_refresh = 0;
-        self.answer_p95 = Some(self.answers.value_at_quantile(HELD_QUANTILE) as u32);
-        if self.answers.len() > FORGET_AFTER {
+        self.answer_p95 = Some(self.answers.value_at_quantile(RESERVED_QUANTILE) as u32);
+        if self.answers.len() > MAX_SAMPLES {
             self.answers.reset();
         }
     }
 
-    /// Learns how many bytes a token has from a counted prompt.
-    pub fn learn_bytes(&mut self, bytes: usize, tokens: Tokens) {
+    /// Records the size of a prompt whose tokens were counted.
+    pub fn record_prompt_size(&mut self, bytes: usize, tokens: Tokens) {
         if tokens < 16 {
             return;
         }
         let seen = bytes as f64 / tokens as f64;
-        self.bytes_per_token += NEW_WEIGHT * (seen.clamp(0.5, 16.0) - self.bytes_per_token);
+        self.bytes_per_token += EWMA_WEIGHT * (seen.clamp(0.5, 16.0) - self.bytes_per_token);
     }
 
-    /// Estimates the tokens of so many bytes of text.
-    pub fn tokens_of(&self, bytes: usize) -> Tokens {
+    /// Estimates the number of tokens in a text of `bytes` bytes.
+    pub fn estimate_tokens(&self, bytes: usize) -> Tokens {
         (bytes as f64 / self.bytes_per_token).ceil() as Tokens
     }
 
-    /// Returns the answer's length to hold memory for.
-    pub fn held_answer(&self, max_tokens: u32) -> u32 {
+    /// Returns the answer length to reserve memory for, in tokens.
+    pub fn reserved_answer(&self, max_tokens: u32) -> u32 {
         self.answer_p95.unwrap_or(max_tokens).min(max_tokens)
     }
 
     /// Estimates the cost of a generation, in microseconds.
-    pub fn generate_us(&self, work: &GenerateWork) -> u64 {
+    pub fn generation_us(&self, work: &GenerateWork) -> u64 {
         self.expected_us(work.prompt_tokens, work.max_tokens)
     }
 
-    /// Estimates the cost of so many prompt tokens and an answer of at most
-    /// so many, in microseconds.
+    /// Estimates the cost of prefilling `prompt_tokens` and decoding an answer
+    /// of at most `max_tokens`, in microseconds.
     pub fn expected_us(&self, prompt_tokens: Tokens, max_tokens: u32) -> u64 {
         let answer = self.answer_mean.min(f64::from(max_tokens));
-        let prompt = prompt_tokens as f64 * self.prompt_token_us;
-        (prompt + answer * self.answer_token_us) as u64 + 1
+        let prompt = prompt_tokens as f64 * self.prefill_token_us;
+        (prompt + answer * self.decode_token_us) as u64 + 1
     }
 
     /// Returns the cost of a call, in microseconds.
@@ -108,14 +110,15 @@
         CALL_COST_US
     }
 
-    /// Returns the cost of what was really done, in microseconds.
+    /// Returns the cost of finished work, in microseconds.
     pub fn actual_us(&self, computed_prompt: Tokens, answer: u32) -> u64 {
-        let prompt = computed_prompt as f64 * self.prompt_token_us;
-        (prompt + f64::from(answer) * self.answer_token_us) as u64 + 1
+        let prompt = computed_prompt as f64 * self.prefill_token_us;
+        (prompt + f64::from(answer) * self.decode_token_us) as u64 + 1
     }
 
-    /// Estimates the time a prompt takes alone on an engine, in microseconds.
-    pub fn prompt_us(&self, tokens: Tokens) -> u64 {
-        (tokens as f64 * self.prompt_token_us) as u64
+    /// Estimates the time to prefill a prompt on an idle engine, in
+    /// microseconds.
+    pub fn prefill_us(&self, tokens: Tokens) -> u64 {
+        (tokens as f64 * self.prefill_token_us) as u64
     }
 }
--- a/crates/notchwalk_decide/src/credit.rs
+++ b/crates/notchwalk_decide/src/credit.rs
@@ -1,9 +1,9 @@
-//! Credits: how much of each engine this entry may use without asking.
+//! Credits: how much of each engine this node may use without coordination.
 //!
-//! Each server has a home among the live entries, by rendezvous hash. The home
-//! weighs the entries' reported demand and grants each a share, which rides on
-//! its heartbeats and lapses by itself. Without a word from the home an entry
-//! falls back to its equal share.
+//! Each server has a home among the live nodes, chosen by rendezvous hashing.
+//! The home grants each node a share by reported demand, which is sent with its
+//! heartbeats and expires by itself. Without a grant a node falls back to an
+//! equal share.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -17,35 +17,35 @@
     server::ServerKey,
 };
 
-/// How often a home weighs the demand anew.
-const GRANT_EVERY: Duration = Duration::from_millis(500);
-/// How long a granted share holds.
-const SHARE_LIFE: Duration = Duration::from_secs(3);
+/// Interval between grants.
+const GRANT_INTERVAL: Duration = Duration::from_millis(500);
+/// How long a granted share is valid.
+const SHARE_TTL: Duration = Duration::from_secs(3);
 /// A whole server, in thousandths.
-const WHOLE: u64 = 1_000;
-/// All entries' floors together, in thousandths of a server.
-const FLOORS: u64 = 120;
+const WHOLE_PER_MILLE: u64 = 1_000;
+/// Sum of the minimum shares of all nodes, in thousandths of a server.
+const TOTAL_FLOOR_PER_MILLE: u64 = 120;
 
-/// Shares and the demand they follow from.
+/// Shares, and the demand they are computed from.
 #[derive(Debug, Default)]
 pub(crate) struct Credits {
-    /// Requests of a workspace in a group.
+    /// Open requests by workspace and group.
     counts: HashMap<(WorkspaceSlot, GroupKey), u32>,
-    /// The summed weight of the workspaces with work in a group.
+    /// The summed weight of the workspaces with open requests, by group.
     weight: Vec<f64>,
-    /// The same in thousandths, falling slowly.
-    smooth: Vec<u64>,
+    /// The same in thousandths, with a slow decay.
+    smoothed_weight: Vec<u64>,
     next_grant: Instant,
     homes: HashMap<ServerId, VmId>,
     homes_epoch: (u64, u64),
-    /// Since when this node is home of a server.
+    /// Since when this node is the home of a server.
     home_since: HashMap<ServerId, Instant>,
-    /// The shares that are due to each peer.
+    /// The shares to send to each peer.
     grants: HashMap<VmId, Vec<ServerShare>>,
 }
 
-/// Notes that a workspace has one more request in a group.
-pub(crate) fn work_came(node: &mut Node, slot: WorkspaceSlot, group: GroupKey) {
+/// Counts a new request of a workspace in a group.
+pub(crate) fn add_request(node: &mut Node, slot: WorkspaceSlot, group: GroupKey) {
     let count = node.credits.counts.entry((slot, group)).or_default();
     *count += 1;
     if *count == 1 {
@@ -54,8 +54,8 @@
     }
 }
 
-/// Notes that a workspace has one request less in a group.
-pub(crate) fn work_went(node: &mut Node, slot: WorkspaceSlot, group: GroupKey) {
+/// Uncounts a request of a workspace in a group.
+pub(crate) fn remove_request(node: &mut Node, slot: WorkspaceSlot, group: GroupKey) {
     let Some(count) = node.credits.counts.get_mut(&(slot, group)) else {
         return;
     };
@@ -76,7 +76,7 @@
     *sum = (*sum + weight).max(0.0);
 }
 
-/// Sums the demand anew after weights may have changed.
+/// Recomputes the demand after weights may have changed.
 pub(crate) fn recount_demand(node: &mut Node) {
     node.credits.weight.clear();
     let keys: Vec<_> = node.credits.counts.keys().copied().collect();
@@ -86,16 +86,16 @@
     }
 }
 
-/// Returns a demand that falls slowly, so that an entry whose next request is
-/// only a moment away keeps its share.
-pub(crate) fn smoothed(before: u64, now: u64) -> u64 {
-    const KEPT_PERCENT: u64 = 70;
-    now.max(before * KEPT_PERCENT / 100)
+/// Returns the demand with a slow decay, so that a node that is idle for a
+/// moment retains its share.
+pub(crate) fn decay_demand(before: u64, now: u64) -> u64 {
+    const RETAINED_PERCENT: u64 = 70;
+    now.max(before * RETAINED_PERCENT / 100)
 }
 
-/// Returns this node's demand, as heartbeats carry it.
+/// Returns this node's demand by hash of the group's name, for heartbeats.
 pub(crate) fn own_demand(node: &Node) -> Vec<(u64, u64)> {
-    let weights = node.credits.smooth.iter().enumerate();
+    let weights = node.credits.smoothed_weight.iter().enumerate();
     let busy = weights.filter(|(_, weight)| **weight > 0);
     let hashed = busy.map(|(i, weight)| {
         let hash = node.catalog.group_hash(GroupKey(i as u32));
@@ -114,7 +114,7 @@
         .unwrap_or(node.cfg.vm)
 }
 
-/// Returns since when this node is home of a server, if it is.
+/// Returns since when this node is the home of a server, if it is.
 pub(crate) fn home_since(node: &mut Node, now: Instant, server: ServerId) -> Option<Instant> {
     refresh_homes(node, now);
     node.credits.home_since.get(&server).copied()
@@ -134,44 +134,44 @@
     node.credits
         .home_since
         .retain(|id, _| homes.get(id) == Some(&own));
-    let homed = homes.iter().filter(|(_, vm)| **vm == own);
-    for (id, _) in homed {
+    let own_servers = homes.iter().filter(|(_, vm)| **vm == own);
+    for (id, _) in own_servers {
         node.credits.home_since.entry(*id).or_insert(now);
     }
 }
 
-/// Picks the entry with the highest hash of entry and server.
+/// Returns the node with the highest hash of node and server.
 fn rendezvous(server: ServerId, live: &[VmId]) -> VmId {
     let score = |vm: &VmId| {
-        let mixed = (u64::from(vm.0) << 32) | u64::from(server.0);
-        mix(mixed)
+        let input = (u64::from(vm.0) << 32) | u64::from(server.0);
+        splitmix64_finalize(input)
     };
     let best = live.iter().max_by_key(|vm| score(vm));
-    *best.expect("a node counts itself as live")
+    *best.expect("the live nodes include this one")
 }
 
-/// Scrambles 64 bits (the finalizer of SplitMix64).
-fn mix(mut x: u64) -> u64 {
+/// The finalizer of SplitMix64.
+fn splitmix64_finalize(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     x ^ (x >> 31)
 }
 
-/// Weighs demand anew when it is time.
+/// Recomputes demand and grants when due.
 pub(crate) fn on_tick(node: &mut Node, cx: &mut Cx<'_>) {
     if cx.now < node.credits.next_grant {
         return;
     }
-    node.credits.next_grant = cx.now.after(GRANT_EVERY);
-    smooth_own(&mut node.credits);
+    node.credits.next_grant = cx.now.after(GRANT_INTERVAL);
+    update_smoothed_weight(&mut node.credits);
     refresh_homes(node, cx.now);
     grant_shares(node, cx.now);
 }
 
-fn smooth_own(credits: &mut Credits) {
-    credits.smooth.resize(credits.weight.len(), 0);
-    for (smooth, weight) in credits.smooth.iter_mut().zip(&credits.weight) {
-        *smooth = smoothed(*smooth, (weight * WHOLE as f64) as u64);
+fn update_smoothed_weight(credits: &mut Credits) {
+    credits.smoothed_weight.resize(credits.weight.len(), 0);
+    for (smoothed_weight, weight) in credits.smoothed_weight.iter_mut().zip(&credits.weight) {
+        *smoothed_weight = decay_demand(*smoothed_weight, (weight * WHOLE_PER_MILLE as f64) as u64);
     }
 }
 
@@ -194,7 +194,7 @@
                 pool_per_mille: pool as u16,
             };
             if *vm == own {
-                let until = now.after(SHARE_LIFE);
+                let until = now.after(SHARE_TTL);
                 node.servers.arena[key].grant = Some((share, until));
                 continue;
             }
@@ -204,36 +204,36 @@
     node.schedule.capacity_changed();
 }
 
-/// Returns an entry's demand for a server: that for all it serves.
+/// Returns a node's demand for all groups that a server serves.
 fn demand_of(node: &Node, vm: VmId, key: ServerKey) -> u64 {
     let groups = node.servers.arena[key].loaded.iter().map(|l| l.group);
     if vm == node.cfg.vm {
-        let weight = |g: GroupKey| node.credits.smooth.get(g.index()).copied();
+        let weight = |g: GroupKey| node.credits.smoothed_weight.get(g.index()).copied();
         return groups.filter_map(weight).sum();
     }
     let hashes = groups.map(|g| node.catalog.group_hash(g));
     hashes.map(|hash| node.membership.demand(vm, hash)).sum()
 }
 
-/// Splits a server by demand, in thousandths. Each entry has a small floor, so
+/// Splits a server by demand, in thousandths. Each node has a minimum share, so
 /// that its next request need not wait for a grant.
 fn shares(demand: &[u64]) -> Vec<u64> {
     let n = demand.len() as u64;
     let total: u64 = demand.iter().sum();
     if total == 0 {
-        return vec![WHOLE / n; demand.len()];
+        return vec![WHOLE_PER_MILLE / n; demand.len()];
     }
-    let floor = FLOORS / n;
-    let rest = WHOLE - floor * n;
+    let floor = TOTAL_FLOOR_PER_MILLE / n;
+    let rest = WHOLE_PER_MILLE - floor * n;
     demand.iter().map(|d| floor + rest * d / total).collect()
 }
 
-/// Takes the shares due to a peer.
-pub(crate) fn take_grants(node: &mut Node, vm: VmId) -> Vec<ServerShare> {
+/// Returns the shares to send to a peer.
+pub(crate) fn grants_for(node: &mut Node, vm: VmId) -> Vec<ServerShare> {
     node.credits.grants.get(&vm).cloned().unwrap_or_default()
 }
 
-/// Takes in shares that a home granted.
+/// Applies the shares that a home granted.
 pub(crate) fn on_shares(node: &mut Node, now: Instant, from: VmId, shares: &[ServerShare]) {
     refresh_homes(node, now);
     for share in shares {
@@ -241,12 +241,12 @@
             continue;
         }
         let share = ServerShare {
-            per_mille: share.per_mille.min(WHOLE as u16),
-            pool_per_mille: share.pool_per_mille.min(WHOLE as u16),
+            per_mille: share.per_mille.min(WHOLE_PER_MILLE as u16),
+            pool_per_mille: share.pool_per_mille.min(WHOLE_PER_MILLE as u16),
             ..*share
         };
         if let Some(server) = node.servers.by_id(share.server) {
-            server.grant = Some((share, now.after(SHARE_LIFE)));
+            server.grant = Some((share, now.after(SHARE_TTL)));
         }
     }
     node.schedule.capacity_changed();
@@ -254,32 +254,33 @@
 
 /// Returns this node's share of a server's time, in thousandths.
 pub(crate) fn share_of(node: &Node, now: Instant, key: ServerKey) -> u64 {
-    match granted(node, now, key) {
+    match current_grant(node, now, key) {
         Some(share) => u64::from(share.per_mille),
-        None => WHOLE / node.membership.live_count() as u64,
+        None => WHOLE_PER_MILLE / node.membership.live_count() as u64,
     }
 }
 
 /// Returns this node's share of a server's memory, in thousandths.
 pub(crate) fn memory_share_of(node: &Node, now: Instant, key: ServerKey) -> u64 {
-    let pool = granted(node, now, key).map_or(WHOLE, |share| u64::from(share.pool_per_mille));
-    share_of(node, now, key) * pool / WHOLE
+    let pool = current_grant(node, now, key)
+        .map_or(WHOLE_PER_MILLE, |share| u64::from(share.pool_per_mille));
+    share_of(node, now, key) * pool / WHOLE_PER_MILLE
 }
 
-fn granted(node: &Node, now: Instant, key: ServerKey) -> Option<ServerShare> {
+fn current_grant(node: &Node, now: Instant, key: ServerKey) -> Option<ServerShare> {
     let (share, until) = node.servers.arena[key].grant?;
     (now < until).then_some(share)
 }
 
-/// Returns this node's shares of a group's open servers, summed: 1.0 is a
-/// whole server.
+/// Returns the sum of this node's shares of a group's available servers; 1.0 is
+/// one whole server.
 pub(crate) fn shares_of_group(node: &mut Node, now: Instant, group: GroupKey) -> f64 {
     let keys = node.servers.of_group(group).to_vec();
     let mut sum = 0;
     for key in keys {
-        if node.servers.arena[key].is_open(now) {
+        if node.servers.arena[key].accepts_work(now) {
             sum += share_of(node, now, key);
         }
     }
-    sum as f64 / WHOLE as f64
+    sum as f64 / WHOLE_PER_MILLE as f64
 }
--- a/crates/notchwalk_decide/src/drain.rs
+++ b/crates/notchwalk_decide/src/drain.rs
@@ -1,5 +1,6 @@
-//! A planned stop: leave the list of entries first, serve on while callers may
-//! still hold it, then finish what is in flight, then end.
+//! Graceful shutdown: the node leaves the list of nodes, serves while callers
+//! may still have it cached, then refuses new requests, finishes those in
+//! flight and stops.
 
 use notchwalk_core::{Instant, LogEventKind};
 
@@ -8,38 +9,38 @@
     node::{Cx, Node},
 };
 
-/// Where a planned stop stands.
+/// The state of a graceful shutdown.
 #[derive(Debug, Default)]
 pub(crate) struct Drain {
-    /// When callers' lists that name this entry have lapsed.
+    /// When cached lists that name this node have expired.
     refuse_from: Option<Instant>,
     stopped: bool,
 }
 
 impl Drain {
-    /// Tells whether the node was told to stop.
-    pub fn is_on(&self) -> bool {
+    /// Returns whether the node is draining.
+    pub fn is_draining(&self) -> bool {
         self.refuse_from.is_some()
     }
 
-    /// Tells whether new requests are refused.
+    /// Returns whether new requests are refused.
     pub fn refuses(&self, now: Instant) -> bool {
         self.refuse_from.is_some_and(|from| now >= from)
     }
 }
 
-/// The daemon was told to stop. A second time changes nothing.
+/// Starts draining. Repeated events change nothing.
 pub(crate) fn on_drain(node: &mut Node, cx: &mut Cx<'_>) {
-    if node.drain.is_on() {
+    if node.drain.is_draining() {
         return;
     }
     node.drain.refuse_from = Some(cx.now.after(node.cfg.entries_ttl));
-    node.membership.leave();
+    node.membership.start_draining();
     let facts = format!("open_requests={}", node.requests.len());
     cx.log(LogEventKind::DrainStarted, facts);
 }
 
-/// Ends the daemon once nothing is left to do.
+/// Stops the daemon once no work is left.
 pub(crate) fn on_tick(node: &mut Node, cx: &mut Cx<'_>) {
     let done = node.drain.refuses(cx.now)
         && node.requests.is_empty()
--- a/crates/notchwalk_decide/src/dump.rs
+++ b/crates/notchwalk_decide/src/dump.rs
@@ -1,4 +1,4 @@
-//! The node's whole state, made to be read.
+//! A serialisable dump of the node's state.
 
 use notchwalk_core::Instant;
 use serde::Serialize;
@@ -10,123 +10,123 @@
     node::{Counters, Node},
 };
 
-/// A workspace's state.
+/// The state of a workspace.
 #[derive(Clone, Debug, Serialize)]
 pub struct WorkspaceDump {
     /// The name.
     pub name: String,
-    /// The share.
+    /// The weight.
     pub weight: f64,
     /// Requests running.
     pub in_flight: u32,
-    /// Requests waiting.
+    /// Requests queued.
     pub queued: u32,
-    /// Cost served here since the boot, in microseconds.
+    /// Cost served by this node since boot, in microseconds.
     pub served_us: u64,
-    /// How far it is ahead of the others, in microseconds at weight 1.
+    /// Lead over the virtual time, in microseconds at weight 1.
     pub lead_us: u64,
 }
 
-/// A backend server's state.
+/// The state of a backend server.
 #[derive(Clone, Debug, Serialize)]
 pub struct ServerDump {
     /// The number.
     pub id: u32,
-    /// What it is.
+    /// The kind.
     pub kind: String,
     /// The failure domain.
     pub failure_domain: String,
-    /// The entry that is its home.
+    /// The node that is its home.
     pub home: u32,
-    /// Whether it leaves.
+    /// Whether it is draining.
     pub leaving: bool,
-    /// The circuit.
+    /// The state of the circuit.
     pub circuit: String,
-    /// Models or the service it serves.
+    /// The models or the service it serves.
     pub serves: Vec<String>,
-    /// This entry's share, in thousandths.
+    /// This node's share of its time, in thousandths.
     pub share_per_mille: u64,
-    /// Requests running from here.
+    /// Requests of this node running there.
     pub running: u32,
-    /// Tokens held from here, long work aside.
+    /// Tokens reserved by this node, excluding long work.
     pub held_tokens: u64,
-    /// Tokens held for long work, if this entry is its home.
+    /// Tokens reserved for long work, if this node is its home.
     pub long_held_tokens: u64,
-    /// Prompt tokens sent from here and not yet computed.
+    /// Prompt tokens sent by this node and not yet prefilled.
     pub backlog_tokens: u64,
     /// Memory as last reported, in tokens.
     pub capacity_tokens: u64,
     /// Memory in use as last reported, in tokens.
     pub used_tokens: u64,
-    /// Milliseconds since the last report, if one ever came.
+    /// Milliseconds since the last report, if there is one.
     pub report_age_ms: Option<u64>,
-    /// Prompt blocks believed to be cached.
+    /// Estimated number of cached prompt blocks.
     pub cached_blocks: usize,
 }
 
-/// A peer's state.
+/// The state of a peer.
 #[derive(Clone, Debug, Serialize)]
 pub struct PeerDump {
     /// The VM.
     pub vm: u32,
-    /// How it stands.
+    /// The liveness state.
     pub state: String,
-    /// Its boot, if it was ever heard.
+    /// The boot number, if a heartbeat ever arrived.
     pub boot: Option<u64>,
-    /// Whether it leaves.
+    /// Whether it is draining.
     pub leaving: bool,
-    /// The bundle in force there.
+    /// The version of its active bundle.
     pub bundle_version: u64,
-    /// Milliseconds since it was heard.
+    /// Milliseconds since its last heartbeat, if there is one.
     pub heard_ms_ago: Option<u64>,
 }
 
-/// A lane with waiting requests.
+/// A lane with queued requests.
 #[derive(Clone, Debug, Serialize)]
 pub struct LaneDump {
     /// The model or service.
     pub group: String,
     /// The length class.
     pub lane: String,
-    /// Requests waiting.
+    /// Requests queued.
     pub waiting: usize,
 }
 
-/// The state of one daemon.
+/// The state of one node.
 #[derive(Clone, Debug, Serialize)]
 pub struct NodeDump {
     /// The VM.
     pub vm: u32,
-    /// The boot.
+    /// The boot number.
     pub boot: u64,
     /// The failure domain.
     pub failure_domain: String,
     /// Whether it is ready.
     pub ready: bool,
-    /// Whether it drains.
+    /// Whether it is draining.
     pub draining: bool,
-    /// The bundle in force.
+    /// The version of the active bundle.
     pub bundle_version: u64,
-    /// How long it has been in force here, in milliseconds.
+    /// Milliseconds since that bundle became active here.
     pub bundle_age_ms: u64,
-    /// Requests admitted and not over.
+    /// Open requests.
     pub open_requests: usize,
-    /// Requests waiting.
+    /// Requests queued.
     pub queued_requests: usize,
-    /// Cancels not confirmed.
+    /// Unconfirmed cancels.
     pub open_cancels: usize,
-    /// Claim releases not confirmed.
+    /// Unconfirmed claim releases.
     pub open_claim_releases: usize,
     /// Timers set.
     pub timers: usize,
-    /// Retries saved up.
+    /// Retries available.
     pub retry_budget: f64,
-    /// The fencing number under which this node may give orders, if it holds
+    /// The fencing number under which this node may send orders, if it holds
     /// the lease.
     pub order_fence: Option<u64>,
-    /// Counts since the boot.
+    /// Counts since boot.
     pub counters: Counters,
-    /// Lanes with waiting requests.
+    /// Lanes with queued requests.
     pub lanes: Vec<LaneDump>,
     /// Workspaces that have had work.
     pub workspaces: Vec<WorkspaceDump>,
@@ -137,22 +137,22 @@
 }
 
 impl Node {
-    /// Returns the whole state, made to be read.
+    /// Returns a dump of the whole state.
     pub fn dump(&mut self, now: Instant) -> NodeDump {
         NodeDump {
             vm: self.cfg.vm.0,
             boot: self.cfg.boot.0,
             failure_domain: self.cfg.failure_domain.clone(),
             ready: self.is_ready(),
-            draining: self.drain.is_on(),
+            draining: self.drain.is_draining(),
             bundle_version: self.bundle_version(),
-            bundle_age_ms: now.since(self.bundle_since).as_millis() as u64,
+            bundle_age_ms: now.since(self.bundle_applied_at).as_millis() as u64,
             open_requests: self.requests.len(),
             queued_requests: self.queue.len(),
             open_cancels: self.cancels.len(),
             open_claim_releases: self.releases.len(),
             timers: self.timers.len(),
-            retry_budget: self.retry.saved(),
+            retry_budget: self.retry.available(),
             order_fence: self.orders.fence(now),
             counters: self.counters.clone(),
             lanes: dump_lanes(self),
@@ -230,14 +230,14 @@
             kind: format!("{:?}", server.kind),
             failure_domain: server.failure_domain.clone(),
             home: home.0,
-            leaving: server.leaving,
+            leaving: server.draining,
             circuit: format!("{:?}", server.circuit),
             serves: groups.map(group_text).collect(),
             share_per_mille: credit::share_of(node, now, key),
             running: server.running,
-            held_tokens: server.held,
-            long_held_tokens: node.long.held_on(id),
-            backlog_tokens: server.whole_backlog(),
+            held_tokens: server.reserved,
+            long_held_tokens: node.long.reserved_on(id),
+            backlog_tokens: server.total_backlog(),
             capacity_tokens: server.capacity(),
             used_tokens: used,
             report_age_ms: age,
@@ -253,9 +253,9 @@
         vm: vm.0,
         state: format!("{:?}", peer.state).to_lowercase(),
         boot: peer.boot.map(|b| b.0),
-        leaving: peer.leaving,
+        leaving: peer.draining,
         bundle_version: peer.bundle_version,
-        heard_ms_ago: peer.heard.map(|at| now.since(at).as_millis() as u64),
+        heard_ms_ago: peer.last_seen.map(|at| now.since(at).as_millis() as u64),
     });
     peers.collect()
 }
--- a/crates/notchwalk_decide/src/lib.rs
+++ b/crates/notchwalk_decide/src/lib.rs
@@ -1,9 +1,10 @@
-//! The decisions of an entry daemon: one reducer over all events, with effects
-//! as data. No I/O, no clock, no thread; random numbers come from a given
-//! seed, so a recorded stream of events replays to the same effects.
+//! The decisions of a node: one reducer over all events, with effects as data.
+//! It does no I/O, reads no clock and starts no threads. Random numbers come
+//! from a given seed, so replaying a recorded stream of events gives the same
+//! effects.
 //!
-//! [`Node::step`] is the whole interface. Each concern is a part in a file of
-//! its own; `node.rs` shows which event goes to which part.
+//! [`Node::step`] is the main entry point. Each concern has a module of its
+//! own; `node.rs` routes events to them.
 
 mod admission;
 mod attempt;
@@ -46,7 +47,7 @@
     ServerKind, ServerRecord, Work,
 };
 pub use lane::{Lane, LANES};
-pub use membership::LiveEntry;
+pub use membership::LiveNode;
 pub use node::{Counters, Node};
 pub use orders::LeaseRow;
 pub use prefix::{block_hashes, BLOCK_TOKENS};
--- a/crates/notchwalk_decide/src/long_home.rs
+++ b/crates/notchwalk_decide/src/long_home.rs
@@ -1,5 +1,4 @@
-//! As home of an engine: the ledger of its reservations for long work, decided
-//! in one step of the reducer.
+//! The home's side of long work: the ledger of an engine's reservations.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -14,30 +13,33 @@
 use crate::{
     credit,
     effect::Effect,
-    long_work::{on_reply, own_holds, LONE_PERCENT},
+    long_work::{on_reply, own_reservations, SOLE_PROMPT_PERCENT},
     node::{Cx, Node},
     server::ServerKey,
 };
 
-/// How long a home keeps room clear for one request without a new ask.
-const EARMARK_LIFE: Duration = Duration::from_millis(1_500);
-/// How long a new home learns of holds before it grants more.
-const LEARN_FOR: Duration = Duration::from_millis(1_500);
-/// How long a hold may stay unconfirmed by its holder's heartbeats.
-const UNCONFIRMED_LIFE: Duration = Duration::from_secs(3);
-/// Prompts computed on one engine at the same time.
-const MAX_PROMPTS: usize = 1;
+/// How long a home makes room for one request unless the reservation is
+/// repeated.
+const PENDING_RESERVATION_TTL: Duration = Duration::from_millis(1_500);
+/// How long a new home collects existing reservations before it grants more.
+const HOME_WARMUP: Duration = Duration::from_millis(1_500);
+/// How long a reservation lasts without confirmation by its holder's
+/// heartbeats.
+const UNCONFIRMED_TTL: Duration = Duration::from_secs(3);
+/// Long prompts prefilled on one engine at the same time.
+const MAX_CONCURRENT_PREFILLS: usize = 1;
 
-/// What a home knows of one hold.
+/// A granted reservation.
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct Reservation {
     tokens: Tokens,
     prompt_done: bool,
     confirmed: Instant,
 }
 
+/// A reservation for which the home makes room.
 #[derive(Clone, Copy, Debug)]
-struct Earmark {
+struct PendingReservation {
     request: RequestId,
     tokens: Tokens,
     until: Instant,
@@ -45,27 +47,27 @@
 
 #[derive(Debug, Default)]
 struct Ledger {
-    held: BTreeMap<RequestId, Held>,
-    earmark: Option<Earmark>,
+    reserved: BTreeMap<RequestId, Reservation>,
+    pending: Option<PendingReservation>,
 }
 
-/// The ledgers of the servers this node is home of.
+/// The ledgers of the servers whose home is this node.
 #[derive(Debug, Default)]
-pub(crate) struct LongLedgers {
+pub(crate) struct ReservationLedgers {
     ledgers: HashMap<ServerId, Ledger>,
     next_scan: Instant,
 }
 
-impl LongLedgers {
-    /// Returns the tokens held on a server.
-    pub fn held_on(&self, server: ServerId) -> Tokens {
+impl ReservationLedgers {
+    /// Returns the tokens reserved on a server.
+    pub fn reserved_on(&self, server: ServerId) -> Tokens {
         let ledger = self.ledgers.get(&server);
-        ledger.map_or(0, |l| l.held.values().map(|h| h.tokens).sum())
+        ledger.map_or(0, |l| l.reserved.values().map(|r| r.tokens).sum())
     }
 }
 
-/// The part of a server that its entries may use for shorter work without
-/// asking, in thousandths: what long work doesn't hold.
+/// Returns the part of a server's memory that is left for shorter work, in
+/// thousandths.
 pub(crate) fn short_pool_per_mille(node: &Node, now: Instant, key: ServerKey) -> u64 {
     let server = &node.servers.arena[key];
     let capacity = server.capacity();
@@ -75,33 +77,33 @@
     let Some(ledger) = node.long.ledgers.get(&server.id) else {
         return 1_000;
     };
-    let mut taken = node.long.held_on(server.id);
-    if let Some(earmark) = ledger.earmark.filter(|e| now < e.until) {
-        taken += earmark.tokens;
+    let mut taken = node.long.reserved_on(server.id);
+    if let Some(pending) = ledger.pending.filter(|p| now < p.until) {
+        taken += pending.tokens;
     }
-    let least = node.bundle().map_or(0, |b| b.policy.short_room_percent) * 10;
+    let short_floor = node.bundle().map_or(0, |b| b.policy.short_room_percent) * 10;
     let left = capacity.saturating_sub(taken) * 1_000 / capacity;
-    left.max(least.min(1_000))
+    left.max(short_floor.min(1_000))
 }
 
-/// As home: decides about a reservation, or notes its progress or end.
+/// Handles a request for a reservation, its progress or its release.
 pub(crate) fn on_request(node: &mut Node, cx: &mut Cx<'_>, from: VmId, message: LongRequest) {
     let ledger = node.long.ledgers.entry(message.server).or_default();
     match message.kind {
         LongRequestKind::Release => {
-            ledger.held.remove(&message.request);
-            if ledger.earmark.is_some_and(|e| e.request == message.request) {
-                ledger.earmark = None;
+            ledger.reserved.remove(&message.request);
+            if ledger.pending.is_some_and(|p| p.request == message.request) {
+                ledger.pending = None;
             }
             node.schedule.capacity_changed();
         }
         LongRequestKind::PromptDone => {
-            if let Some(held) = ledger.held.get_mut(&message.request) {
-                held.prompt_done = true;
+            if let Some(reserved) = ledger.reserved.get_mut(&message.request) {
+                reserved.prompt_done = true;
             }
         }
         LongRequestKind::Reserve(tokens) => {
-            let kind = decide(node, cx.now, message, tokens);
+            let kind = decide_reservation(node, cx.now, message, tokens);
             match kind {
                 LongReplyKind::Granted => node.counters.long_granted += 1,
                 _ => node.counters.long_denied += 1,
@@ -120,17 +122,22 @@
     }
 }
 
-fn decide(node: &mut Node, now: Instant, message: LongRequest, tokens: Tokens) -> LongReplyKind {
+fn decide_reservation(
+    node: &mut Node,
+    now: Instant,
+    message: LongRequest,
+    tokens: Tokens,
+) -> LongReplyKind {
     let Some(since) = credit::home_since(node, now, message.server) else {
         return LongReplyKind::Denied;
     };
-    let learning = now.since(since) < LEARN_FOR && node.membership.has_peers();
+    let warming_up = now.since(since) < HOME_WARMUP && node.membership.has_peers();
     let Some(key) = node.servers.key(message.server) else {
         return LongReplyKind::Denied;
     };
-    let short_room = node.bundle().map_or(0, |b| b.policy.short_room_percent);
+    let short_reserve_percent = node.bundle().map_or(0, |b| b.policy.short_room_percent);
     let server = &mut node.servers.arena[key];
-    if learning || !server.is_open(now) {
+    if warming_up || !server.accepts_work(now) {
         return LongReplyKind::Denied;
     }
     let Some(report) = server.fresh_report(now) else {
@@ -138,73 +145,77 @@
     };
     let (capacity, used) = (report.capacity_tokens, report.used_tokens);
     let ledger = node.long.ledgers.entry(message.server).or_default();
-    if let Some(held) = ledger.held.get_mut(&message.request) {
-        held.confirmed = now;
+    if let Some(reserved) = ledger.reserved.get_mut(&message.request) {
+        reserved.confirmed = now;
         return LongReplyKind::Granted;
     }
-    let prompts = ledger.held.values().filter(|h| !h.prompt_done).count();
-    if prompts >= MAX_PROMPTS {
+    let prompts = ledger.reserved.values().filter(|r| !r.prompt_done).count();
+    if prompts >= MAX_CONCURRENT_PREFILLS {
         return LongReplyKind::Denied;
     }
-    let other = |e: &Earmark| now < e.until && e.request != message.request;
-    if ledger.earmark.as_ref().is_some_and(other) {
+    let other = |p: &PendingReservation| now < p.until && p.request != message.request;
+    if ledger.pending.as_ref().is_some_and(other) {
         return LongReplyKind::Denied;
     }
-    let held: Tokens = ledger.held.values().map(|h| h.tokens).sum();
-    let limit = match held {
-        0 => capacity * LONE_PERCENT / 100,
-        _ => capacity * (100 - short_room) / 100,
+    let reserved: Tokens = ledger.reserved.values().map(|r| r.tokens).sum();
+    let limit = match reserved {
+        0 => capacity * SOLE_PROMPT_PERCENT / 100,
+        _ => capacity * (100 - short_reserve_percent) / 100,
     };
-    if held + tokens > limit.max(1) && !(held == 0 && tokens <= capacity) {
+    if reserved + tokens > limit.max(1) && !(reserved == 0 && tokens <= capacity) {
         return LongReplyKind::Denied;
     }
-    // What is used beyond the holds is shorter work; it drains as shares sink.
-    let shorter = used.saturating_sub(held);
-    if held + tokens + shorter > capacity {
-        ledger.earmark = Some(Earmark {
+    // Usage beyond the reservations is shorter work; it shrinks with the
+    // granted shares.
+    let short_use = used.saturating_sub(reserved);
+    if reserved + tokens + short_use > capacity {
+        ledger.pending = Some(PendingReservation {
             request: message.request,
             tokens,
-            until: now.after(EARMARK_LIFE),
+            until: now.after(PENDING_RESERVATION_TTL),
         });
         return LongReplyKind::Earmarked;
     }
-    ledger.earmark = None;
-    let held = Held {
+    ledger.pending = None;
+    let reserved = Reservation {
         tokens,
         prompt_done: false,
         confirmed: now,
     };
-    ledger.held.insert(message.request, held);
+    ledger.reserved.insert(message.request, reserved);
     LongReplyKind::Granted
 }
 
-/// As home: takes in what a peer says it holds. Unknown holds are learned.
-pub(crate) fn on_peer_holds(node: &mut Node, now: Instant, holds: &[LongHold]) {
-    for hold in holds {
-        if credit::home_since(node, now, hold.server).is_none() {
+/// Applies the reservations that a peer reports, and adds unknown ones.
+pub(crate) fn on_peer_reservations(node: &mut Node, now: Instant, reservations: &[LongHold]) {
+    for reported in reservations {
+        if credit::home_since(node, now, reported.server).is_none() {
             continue;
         }
-        let ledger = node.long.ledgers.entry(hold.server).or_default();
-        let held = ledger.held.entry(hold.request).or_insert(Held {
-            tokens: hold.tokens,
-            prompt_done: hold.prompt_done,
-            confirmed: now,
-        });
-        held.confirmed = now;
-        held.prompt_done |= hold.prompt_done;
+        let ledger = node.long.ledgers.entry(reported.server).or_default();
+        let reserved = ledger
+            .reserved
+            .entry(reported.request)
+            .or_insert(Reservation {
+                tokens: reported.tokens,
+                prompt_done: reported.prompt_done,
+                confirmed: now,
+            });
+        reserved.confirmed = now;
+        reserved.prompt_done |= reported.prompt_done;
     }
 }
 
-/// Drops holds that their holders no longer confirm, and ledgers of servers
-/// that moved to another home.
+/// Drops reservations that their holders no longer confirm, and ledgers of
+/// servers that moved to another home.
 pub(crate) fn on_tick(node: &mut Node, cx: &mut Cx<'_>) {
-    const SCAN_EVERY: Duration = Duration::from_millis(500);
+    const SCAN_INTERVAL: Duration = Duration::from_millis(500);
     if cx.now < node.long.next_scan {
         return;
     }
-    node.long.next_scan = cx.now.after(SCAN_EVERY);
-    let own = own_holds(node);
-    on_peer_holds(node, cx.now, &own);
+    node.long.next_scan = cx.now.after(SCAN_INTERVAL);
+    let own = own_reservations(node);
+    on_peer_reservations(node, cx.now, &own);
     let servers: Vec<ServerId> = node.long.ledgers.keys().copied().collect();
     for server in servers {
         if credit::home_since(node, cx.now, server).is_none() {
@@ -214,8 +225,8 @@
         let Some(ledger) = node.long.ledgers.get_mut(&server) else {
             continue;
         };
-        let fresh = |held: &Held| cx.now.since(held.confirmed) < UNCONFIRMED_LIFE;
-        ledger.held.retain(|_, held| fresh(held));
-        ledger.earmark = ledger.earmark.filter(|e| cx.now < e.until);
+        let fresh = |reserved: &Reservation| cx.now.since(reserved.confirmed) < UNCONFIRMED_TTL;
+        ledger.reserved.retain(|_, reserved| fresh(reserved));
+        ledger.pending = ledger.pending.filter(|p| cx.now < p.until);
     }
 }
--- a/crates/notchwalk_decide/src/long_work.rs
+++ b/crates/notchwalk_decide/src/long_work.rs
@@ -1,11 +1,10 @@
-//! Long prompts: each needs a reservation of the home of the engine it goes
-//! to, so that entries never overcommit an engine with them. A prompt larger
-//! than an engine's memory is spread over several engines, all or none.
+//! Long prompts. Each needs a reservation from the home of its engine, so that
+//! nodes together never overcommit an engine with them. A prompt larger than an
+//! engine's memory is spread over several engines, all or none.
 //!
-//! The home's ledger counts what is held before new work is granted, in one
-//! step, as the paper's `held` field does (PAPER-budget-scopes-reservations-
-//! 46cd.md). Reservations are taken in the order of server numbers and
-//! released in reverse; nobody waits while holding, so there is no deadlock.
+//! The home checks its ledger and reserves in one step. Reservations are made
+//! in the order of server numbers and released in reverse order. A denied
+//! reservation releases the granted ones, so there is no deadlock.
 
 use std::time::Duration;
 
@@ -29,40 +28,41 @@
     timer::TimerKind,
 };
 
-/// Requests of a group that ask homes at the same time.
-const MAX_ASKING: usize = 8;
-/// How long a home's answer is waited for.
-const ANSWER_WITHIN: Duration = Duration::from_millis(500);
-/// The pause before a home that clears room is asked again.
-const ASK_AGAIN: Duration = Duration::from_millis(60);
-/// The pause after all servers denied.
-const DENIED_PAUSE: Duration = Duration::from_millis(80);
-/// Turns a debt of engine time into prompt tokens, roughly.
-const US_PER_TOKEN: u64 = 40;
-/// How long a segment may take beyond a multiple of its time, in milliseconds.
-const SEGMENT_STALL_MS: u64 = 10_000;
-/// That multiple.
-const SEGMENT_FACTOR: u64 = 4;
-/// The part of an engine's memory that a lone long prompt may take, in
-/// percent.
-pub(crate) const LONE_PERCENT: Tokens = 95;
+/// Upper bound of the requests that wait for reservations at the same time.
+const MAX_RESERVING: usize = 8;
+/// How long to wait for a home's reply.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(500);
+/// Delay before a home that is making room is queried again.
+const RESERVE_RETRY_DELAY: Duration = Duration::from_millis(60);
+/// Backoff after all servers denied a reservation.
+const DENIED_BACKOFF: Duration = Duration::from_millis(80);
+/// Approximate conversion of charged engine time to prompt tokens.
+const PREFILL_US_PER_TOKEN: u64 = 40;
+/// Time limit of a segment, in addition to a multiple of its prefill time, in
+/// milliseconds.
+const SEGMENT_BASE_TIMEOUT_MS: u64 = 10_000;
+/// Multiple of the estimated prefill time allowed for a segment.
+const SEGMENT_PREFILL_FACTOR: u64 = 4;
+/// Share of an engine's memory that a single long prompt may use, in percent.
+pub(crate) const SOLE_PROMPT_PERCENT: Tokens = 95;
 
-/// One request's reservations.
+/// The reservations of one request.
 #[derive(Clone, Debug)]
 pub(crate) struct LongPlan {
-    /// The servers, in the order of their numbers.
+    /// The servers, ordered by number.
     pub servers: Vec<ServerKey>,
-    /// Tokens to hold on each.
-    pub tokens_each: Tokens,
-    /// How many have granted.
+    /// Tokens to reserve on each server.
+    pub tokens_per_server: Tokens,
+    /// How many servers have granted their reservation.
     pub granted: usize,
-    /// Segments that are computed.
+    /// How many segments are prefilled.
     pub segments_done: usize,
-    /// Servers that denied in this round.
-    pub tried: Vec<ServerKey>,
+    /// Servers that denied a reservation in this round.
+    pub denied_by: Vec<ServerKey>,
 }
 
-/// Moves a class up by so many steps for long waiting.
+/// Returns the lane whose priority long work gets after waiting for `steps`
+/// ageing periods.
 pub(crate) fn aged_lane(lane: Lane, steps: u64) -> Lane {
     match (lane, steps) {
         (Lane::Huge | Lane::Long, 1) => Lane::Medium,
@@ -71,23 +71,23 @@
     }
 }
 
-/// Starts asking for room for a request at the head of its lane. Returns
-/// whether it left the lane.
-pub(crate) fn start_asking(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey) -> bool {
-    if node.asking >= MAX_ASKING {
+/// Starts reserving for the request at the head of its lane. Returns whether
+/// the request left the lane.
+pub(crate) fn start_reserving(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey) -> bool {
+    if node.reserving >= MAX_RESERVING {
         return false;
     }
     schedule::dequeue(node, key);
     let req = &mut node.requests[key];
     req.phase = Phase::Asking;
-    node.asking += 1;
-    choose(node, cx, key, Vec::new());
+    node.reserving += 1;
+    choose_servers(node, cx, key, Vec::new());
     true
 }
 
-/// Chooses servers for a request that asks, and asks the first.
-fn choose(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey, tried: Vec<ServerKey>) {
-    let need = placement::hold_for(node, key);
+/// Chooses servers for a request and sends the first reservation.
+fn choose_servers(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey, denied_by: Vec<ServerKey>) {
+    let need = placement::tokens_to_reserve(node, key);
     let group = node.requests[key].group;
     let mut ranked = Vec::new();
     let mut largest = 0;
@@ -96,40 +96,40 @@
             continue;
         }
         largest = largest.max(node.servers.arena[server].capacity());
-        if tried.contains(&server) {
+        if denied_by.contains(&server) {
             continue;
         }
         let score = long_score(node, cx.now, key, server);
         ranked.push((score, server));
     }
     if largest == 0 {
-        return pause(node, cx, key);
+        return back_off_denied(node, cx, key);
     }
-    let short_room = node.bundle().map_or(0, |b| b.policy.short_room_percent);
-    let parts_of = |percent: Tokens| need.div_ceil((largest * percent / 100).max(1)) as usize;
-    // Room for short work is left on each server, unless there are too few.
-    let mut parts = parts_of(100 - short_room);
-    if ranked.len() < parts {
-        parts = parts_of(LONE_PERCENT);
+    let short_reserve_percent = node.bundle().map_or(0, |b| b.policy.short_room_percent);
+    let segments_at = |percent: Tokens| need.div_ceil((largest * percent / 100).max(1)) as usize;
+    // Leaves room for short work on each server, unless there are too few.
+    let mut segments = segments_at(100 - short_reserve_percent);
+    if ranked.len() < segments {
+        segments = segments_at(SOLE_PROMPT_PERCENT);
     }
-    if ranked.len() < parts {
-        return pause(node, cx, key);
+    if ranked.len() < segments {
+        return back_off_denied(node, cx, key);
     }
     ranked.sort_unstable();
-    let mut servers: Vec<_> = ranked.into_iter().take(parts).map(|(_, s)| s).collect();
+    let mut servers: Vec<_> = ranked.into_iter().take(segments).map(|(_, s)| s).collect();
     servers.sort_unstable_by_key(|server| node.servers.arena[*server].id);
     node.requests[key].plan = Some(LongPlan {
         servers,
-        tokens_each: need.div_ceil(parts as u64),
+        tokens_per_server: need.div_ceil(segments as u64),
         granted: 0,
         segments_done: 0,
-        tried,
+        denied_by,
     });
-    ask(node, cx, key);
+    send_reserve(node, cx, key);
 }
 
-/// Ranks a server for a long prompt: the emptier the better, with a bonus for
-/// a cached beginning.
+/// Scores a server for a long prompt; the lowest score wins. Low load and a
+/// cached prefix lower it.
 fn long_score(node: &mut Node, now: Instant, key: RequestKey, server: ServerKey) -> u64 {
     let noise = node.rng.random_range(0..4_096);
     let req = &node.requests[key];
@@ -140,31 +140,31 @@
     } else {
         0
     };
-    let place = &node.servers.arena[server];
-    let load = place.fresh_report(now).map_or(u64::from(u32::MAX), |r| {
+    let target = &node.servers.arena[server];
+    let load = target.fresh_report(now).map_or(u64::from(u32::MAX), |r| {
         r.backlog_tokens + r.used_tokens / 4
     });
-    let own = node.long.held_on(place.id);
-    // A server whose time this entry has used up comes later.
-    let debt_us = place.paid_at.since(now).as_micros() as u64;
-    let debt = debt_us / US_PER_TOKEN;
+    let own = node.long.reserved_on(target.id);
+    // Servers where this node has used up its share of time rank lower.
+    let debt_us = target.time_charged_until.since(now).as_micros() as u64;
+    let debt = debt_us / PREFILL_US_PER_TOKEN;
     (load + own + debt + noise + avoided).saturating_sub(cached)
 }
 
-fn pause(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey) {
-    stop_asking(node, key);
-    schedule::back_off(node, cx, key, DENIED_PAUSE);
+fn back_off_denied(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey) {
+    stop_reserving(node, key);
+    schedule::back_off(node, cx, key, DENIED_BACKOFF);
 }
 
-fn stop_asking(node: &mut Node, key: RequestKey) {
+fn stop_reserving(node: &mut Node, key: RequestKey) {
     if node.requests[key].phase == Phase::Asking {
-        node.asking -= 1;
+        node.reserving -= 1;
         node.requests[key].phase = Phase::Backoff;
     }
 }
 
-/// Asks the home of the next server of the plan.
-fn ask(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey) {
+/// Sends a reservation to the home of the plan's next server.
+fn send_reserve(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey) {
     let req = &node.requests[key];
     let Some(plan) = &req.plan else {
         return;
@@ -173,10 +173,10 @@
     let message = LongRequest {
         request: req.id,
         server: node.servers.arena[server].id,
-        kind: LongRequestKind::Reserve(plan.tokens_each),
+        kind: LongRequestKind::Reserve(plan.tokens_per_server),
     };
     node.timers
-        .set(cx.now.after(ANSWER_WITHIN), key, TimerKind::Ask);
+        .set(cx.now.after(REPLY_TIMEOUT), key, TimerKind::Reserve);
     send_to_home(node, cx, message);
 }
 
@@ -190,12 +190,12 @@
     cx.emit(Effect::Peer { to: home, message });
 }
 
-/// A home answered.
+/// Handles a home's reply.
 pub(crate) fn on_reply(node: &mut Node, cx: &mut Cx<'_>, reply: LongReply) {
     let key = node.by_seq.get(&reply.request.seq).copied();
-    let asked = key.filter(|key| is_asking(node, *key, reply));
-    let Some(key) = asked else {
-        if reply.kind == LongReplyKind::Granted && !holds(node, key, reply) {
+    let awaited = key.filter(|key| awaits_reply(node, *key, reply));
+    let Some(key) = awaited else {
+        if reply.kind == LongReplyKind::Granted && !is_reserved(node, key, reply) {
             release(node, cx, reply.request, reply.server);
         }
         return;
@@ -205,12 +205,12 @@
         LongReplyKind::Denied => on_denied(node, cx, key),
         LongReplyKind::Earmarked => {
             node.timers
-                .set(cx.now.after(ASK_AGAIN), key, TimerKind::Ask);
+                .set(cx.now.after(RESERVE_RETRY_DELAY), key, TimerKind::Reserve);
         }
     }
 }
 
-fn is_asking(node: &Node, key: RequestKey, reply: LongReply) -> bool {
+fn awaits_reply(node: &Node, key: RequestKey, reply: LongReply) -> bool {
     let Some(req) = node.requests.get(key) else {
         return false;
     };
@@ -222,8 +222,8 @@
     req.id == reply.request && req.phase == Phase::Asking && next == Some(reply.server)
 }
 
-/// Tells whether a reservation belongs to a plan that still stands.
-fn holds(node: &Node, key: Option<RequestKey>, reply: LongReply) -> bool {
+/// Returns whether a reservation belongs to a plan that is still active.
+fn is_reserved(node: &Node, key: Option<RequestKey>, reply: LongReply) -> bool {
     let plan = key
         .and_then(|key| node.requests.get(key))
         .and_then(|req| req.plan.as_ref());
@@ -240,10 +240,10 @@
     };
     plan.granted += 1;
     if plan.granted < plan.servers.len() {
-        return ask(node, cx, key);
+        return send_reserve(node, cx, key);
     }
-    stop_asking(node, key);
-    go_on(node, cx, key);
+    stop_reserving(node, key);
+    continue_plan(node, cx, key);
 }
 
 fn on_denied(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey) {
@@ -253,40 +253,40 @@
     let denied = plan.servers[plan.granted];
     release_granted(node, cx, key);
     node.requests[key].plan = None;
-    plan.tried.push(denied);
-    choose(node, cx, key, plan.tried);
+    plan.denied_by.push(denied);
+    choose_servers(node, cx, key, plan.denied_by);
 }
 
-/// A home is silent, or is asked again for room that it clears.
-pub(crate) fn on_ask_timer(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey) {
-    let asking = node
+/// Repeats a reservation that was not answered, or that waits for room.
+pub(crate) fn on_reserve_timer(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey) {
+    let reserving = node
         .requests
         .get(key)
         .is_some_and(|req| req.phase == Phase::Asking);
-    if asking {
-        ask(node, cx, key);
+    if reserving {
+        send_reserve(node, cx, key);
     }
 }
 
-/// Does what comes next for a plan that is wholly granted: a segment, or the
-/// answer itself on the last server.
-fn go_on(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey) {
+/// Starts the next step of a fully granted plan: a segment, or the attempt on
+/// the last server.
+fn continue_plan(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey) {
     let req = &mut node.requests[key];
     let prompt = req.prompt_tokens();
     let Some(plan) = req.plan.as_ref() else {
         return;
     };
     let done = plan.segments_done;
-    let parts = plan.servers.len();
+    let segments = plan.servers.len();
     let server = plan.servers[done];
-    let held = plan.tokens_each;
-    let segment = prompt.div_ceil(parts as u64);
-    if done + 1 == parts {
-        let backlog = prompt.saturating_sub(segment * done as u64);
-        if parts == 1 {
+    let reserved = plan.tokens_per_server;
+    let segment_tokens = prompt.div_ceil(segments as u64);
+    if done + 1 == segments {
+        let backlog = prompt.saturating_sub(segment_tokens * done as u64);
+        if segments == 1 {
             req.attempt.0 += 1;
         }
-        attempt::start(node, cx, key, server, held, backlog);
+        attempt::start(node, cx, key, server, reserved, backlog);
         return;
     }
     if done == 0 {
@@ -295,19 +295,19 @@
     req.phase = Phase::Running;
     req.sent = true;
     let (attempt, group, left) = (req.attempt, req.group, req.deadline.since(cx.now));
-    let alone_ms = node.costs[group.index()].prompt_us(segment) / 1_000;
-    let patience = SEGMENT_STALL_MS + alone_ms * SEGMENT_FACTOR;
+    let prefill_ms = node.costs[group.index()].prefill_us(segment_tokens) / 1_000;
+    let stall_timeout_ms = SEGMENT_BASE_TIMEOUT_MS + prefill_ms * SEGMENT_PREFILL_FACTOR;
     cx.emit(Effect::Segment(SegmentOrder {
-        timeout_ms: patience.min(left.as_millis() as u64),
+        timeout_ms: stall_timeout_ms.min(left.as_millis() as u64),
         request: key,
         attempt,
         server: node.servers.arena[server].id,
-        from: segment * done as u64,
-        to: (segment * (done as u64 + 1)).min(prompt),
+        from: segment_tokens * done as u64,
+        to: (segment_tokens * (done as u64 + 1)).min(prompt),
     }));
 }
 
-/// A segment of a huge prompt is computed and exported.
+/// Handles a segment that is prefilled and exported.
 pub(crate) fn on_segment_ready(
     node: &mut Node,
     cx: &mut Cx<'_>,
@@ -325,20 +325,20 @@
     };
     let server = plan.servers[plan.segments_done];
     plan.segments_done += 1;
-    tell_prompt_done(node, cx, key, server);
-    go_on(node, cx, key);
+    send_prefill_done(node, cx, key, server);
+    continue_plan(node, cx, key);
 }
 
-/// The first token came: the last server's prompt is computed.
-pub(crate) fn on_prompt_done(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey) {
+/// Handles the first token, which ends the prefill on the last server.
+pub(crate) fn on_prefill_done(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey) {
     let plan = node.requests[key].plan.as_ref();
     let last = plan.and_then(|plan| plan.servers.last().copied());
     if let Some(server) = last {
-        tell_prompt_done(node, cx, key, server);
+        send_prefill_done(node, cx, key, server);
     }
 }
 
-fn tell_prompt_done(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey, server: ServerKey) {
+fn send_prefill_done(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey, server: ServerKey) {
     let message = LongRequest {
         request: node.requests[key].id,
         server: node.servers.arena[server].id,
@@ -356,31 +356,32 @@
     send_to_home(node, cx, message);
 }
 
-/// Releases what a plan was granted, the last first, and what was asked for.
+/// Releases the plan's granted reservations and the one requested last, in
+/// reverse order.
 fn release_granted(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey) {
     let req = &node.requests[key];
     let id = req.id;
     let Some(plan) = req.plan.clone() else {
         return;
     };
-    let asked = (plan.granted + 1).min(plan.servers.len());
-    for server in plan.servers[..asked].iter().rev() {
+    let requested = (plan.granted + 1).min(plan.servers.len());
+    for server in plan.servers[..requested].iter().rev() {
         let server = node.servers.arena[*server].id;
         release(node, cx, id, server);
     }
 }
 
-/// Ends a request's plan, wherever it stands: reservations are released and
-/// segments freed. A hold exists only while its work might still happen.
+/// Ends a request's plan in any phase: releases its reservations and cancels
+/// its segments.
 pub(crate) fn release_plan(node: &mut Node, cx: &mut Cx<'_>, key: RequestKey) {
     let Some(req) = node.requests.get(key) else {
         return;
     };
     if req.plan.is_none() {
-        stop_asking(node, key);
+        stop_reserving(node, key);
         return;
     }
-    stop_asking(node, key);
+    stop_reserving(node, key);
     release_granted(node, cx, key);
     let req = &mut node.requests[key];
     let (id, up_to) = (req.id, req.attempt);
@@ -396,20 +397,20 @@
     }
 }
 
-/// Returns the reservations of this node's requests, as heartbeats carry them.
-pub(crate) fn own_holds(node: &Node) -> Vec<LongHold> {
-    let mut holds = Vec::new();
+/// Returns the reservations of this node's requests, for heartbeats.
+pub(crate) fn own_reservations(node: &Node) -> Vec<LongHold> {
+    let mut reservations = Vec::new();
     for req in node.requests.values() {
         let Some(plan) = &req.plan else { continue };
         for (i, server) in plan.servers.iter().take(plan.granted).enumerate() {
-            let computed = req.running.is_some_and(|r| r.answers);
-            holds.push(LongHold {
+            let computed = req.running.is_some_and(|r| r.first_token_received);
+            reservations.push(LongHold {
                 server: node.servers.arena[*server].id,
                 request: req.id,
-                tokens: plan.tokens_each,
+                tokens: plan.tokens_per_server,
                 prompt_done: i < plan.segments_done || computed,
             });
         }
     }
-    holds
+    reservations
 }
--- a/crates/notchwalk_decide/src/membership.rs
+++ b/crates/notchwalk_decide/src/membership.rs
@@ -1,8 +1,8 @@
-//! Membership without consensus: the VM list (late) says who may exist,
-//! heartbeats (late, lost, crossing) say who answers. A silent peer is first
-//! suspected, and counts as dead only when the others have not heard it
-//! either. All of this is soft state: a wrong view costs speed, never a
-//! promise.
+//! Membership without consensus. The VM list, which may be late, names the
+//! nodes that may exist; heartbeats, which may be late, lost or reordered, show
+//! which are alive. A silent peer is first suspected, and declared dead only
+//! when no other node has heard from it either. All of this is soft state: a
+//! wrong view costs latency, not correctness.
 
 use std::{
     cmp::Reverse,
@@ -24,49 +24,46 @@
     schedule, suspects,
 };
 
-/// How often each peer is sent a heartbeat.
-const HEARTBEAT_EVERY: Duration = Duration::from_millis(500);
+/// Interval between heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 /// Silence after which a peer is suspected.
 const SUSPECT_AFTER: Duration = Duration::from_millis(1_600);
-/// Silence towards all after which a peer counts as dead.
+/// Silence towards all nodes after which a peer is declared dead.
 const DEAD_AFTER: Duration = Duration::from_millis(3_000);
-/// Workspaces whose served cost is told to peers.
-const MAX_SERVED: usize = 32;
-/// Peers that are sent heartbeats; with more entries, a bounded choice.
-const MAX_PEERS: usize = 8;
-/// How often the scan for silent peers runs.
-const SCAN_EVERY: Duration = Duration::from_millis(100);
-
-/// How a peer stands.
+/// Upper bound of the workspaces whose served cost is in a heartbeat.
+const MAX_SERVED_WORKSPACES: usize = 32;
+/// Upper bound of the peers that get heartbeats from one node.
+const MAX_HEARTBEAT_PEERS: usize = 8;
+/// Interval between scans for silent peers.
+const SCAN_INTERVAL: Duration = Duration::from_millis(100);
+
+/// The liveness state of a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PeerState {
-    /// Listed, but never heard.
+    /// Listed, but no heartbeat arrived yet.
     Unheard,
-    /// Heard lately.
+    /// Heartbeats arrive.
     Alive,
     /// Silent towards this node.
     Suspect,
-    /// Silent towards all.
+    /// Silent towards all nodes.
     Dead,
 }
 
-/// A peer.
 #[derive(Clone, Debug)]
 pub(crate) struct Peer {
-    /// What the VM list says; `None` if it doesn't name the peer (yet).
+    /// The entry in the VM list; `None` if it isn't listed (yet).
     pub record: Option<PeerRecord>,
-    /// The latest boot heard of.
+    /// The latest boot seen.
     pub boot: Option<BootNumber>,
     seq: u64,
-    /// When this node last heard it.
-    pub heard: Option<Instant>,
-    /// When anybody last heard it.
-    pub heard_by_any: Option<Instant>,
-    /// How it stands.
+    /// When this node last got a heartbeat from it.
+    pub last_seen: Option<Instant>,
+    /// When any node last got a heartbeat from it.
+    pub last_seen_by_any: Option<Instant>,
     pub state: PeerState,
-    /// It drains.
-    pub leaving: bool,
-    /// The bundle in force there.
+    pub draining: bool,
+    /// The version of its active bundle.
     pub bundle_version: u64,
     demand: HashMap<u64, u64>,
     served: HashMap<u64, u64>,
@@ -78,35 +75,35 @@
             record,
             boot: None,
             seq: 0,
-            heard: None,
-            heard_by_any: None,
+            last_seen: None,
+            last_seen_by_any: None,
             state: PeerState::Unheard,
-            leaving: false,
+            draining: false,
             bundle_version: 0,
             demand: HashMap::new(),
             served: HashMap::new(),
         }
     }
 
-    fn counts_as_live(&self) -> bool {
-        matches!(self.state, PeerState::Alive | PeerState::Suspect) && !self.leaving
+    fn is_live(&self) -> bool {
+        matches!(self.state, PeerState::Alive | PeerState::Suspect) && !self.draining
     }
 }
 
-/// An entry callers may use.
+/// A node that callers may use.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LiveEntry {
+pub struct LiveNode {
     /// Where callers connect.
     pub caller_address: String,
     /// Its failure domain.
     pub failure_domain: String,
 }
 
-/// What a node knows of the other entries.
+/// A node's view of its peers.
 #[derive(Debug)]
 pub(crate) struct Membership {
     own: VmId,
-    own_leaving: bool,
+    own_draining: bool,
     own_record: Option<PeerRecord>,
     peers: BTreeMap<VmId, Peer>,
     seq: u64,
@@ -115,16 +112,16 @@
     rotation: usize,
     /// Workspaces whose served cost changed since the last heartbeat.
     pub served_since: BTreeSet<WorkspaceSlot>,
-    /// Counts changes of the set of live entries.
+    /// Counts changes of the set of live nodes.
     pub epoch: u64,
 }
 
 impl Membership {
-    /// Builds the view of a node that knows no peers.
+    /// Builds a view without peers.
     pub fn new(cfg: &NodeConfig) -> Self {
         Self {
             own: cfg.vm,
-            own_leaving: false,
+            own_draining: false,
             own_record: None,
             peers: BTreeMap::new(),
             seq: 0,
@@ -136,18 +133,18 @@
         }
     }
 
-    /// Returns all entries that count as live, this node among them.
+    /// Returns all live nodes, including this one.
     pub fn live_vms(&self) -> Vec<VmId> {
-        let peers = self.peers.iter().filter(|(_, p)| p.counts_as_live());
+        let peers = self.peers.iter().filter(|(_, p)| p.is_live());
         let mut live: Vec<_> = peers.map(|(vm, _)| *vm).collect();
         live.push(self.own);
         live.sort_unstable();
         live
     }
 
-    /// Returns how many entries count as live.
+    /// Returns the number of live nodes, including this one.
     pub fn live_count(&self) -> usize {
-        1 + self.peers.values().filter(|p| p.counts_as_live()).count()
+        1 + self.peers.values().filter(|p| p.is_live()).count()
     }
 
     /// Returns the live peer with the newest bundle.
@@ -160,9 +157,9 @@
         newest.map(|(vm, p)| (*vm, p.bundle_version))
     }
 
-    /// Tells whether any peer is known.
+    /// Returns whether any peer is live.
     pub fn has_peers(&self) -> bool {
-        self.peers.values().any(Peer::counts_as_live)
+        self.peers.values().any(Peer::is_live)
     }
 
     /// Returns a peer's reported demand for a group.
@@ -173,9 +170,9 @@
             .unwrap_or(0)
     }
 
-    /// Tells whether a boot of a VM may still be alive: only a later boot, or
-    /// the VM's absence from both list and heartbeats, proves the contrary.
-    pub fn may_live(&self, vm: VmId, boot: BootNumber) -> bool {
+    /// Returns whether a boot of a VM may still be alive. Only a later boot, or
+    /// a VM that is neither listed nor sends heartbeats, rules this out.
+    pub fn may_be_alive(&self, vm: VmId, boot: BootNumber) -> bool {
         let Some(peer) = self.peers.get(&vm) else {
             return false;
         };
@@ -185,11 +182,11 @@
         peer.record.is_some() || peer.state != PeerState::Dead
     }
 
-    /// Tells whether a boot of a VM has been silent towards all since before
-    /// `longest_pause` ago.
-    pub fn silent_for(&self, now: Instant, vm: VmId, longest_pause: Duration) -> bool {
-        let heard = self.peers.get(&vm).and_then(|p| p.heard_by_any);
-        heard.is_some_and(|at| now.since(at) > longest_pause)
+    /// Returns whether a VM has been silent towards all nodes for more than
+    /// `longest_pause`.
+    pub fn is_silent_longer_than(&self, now: Instant, vm: VmId, longest_pause: Duration) -> bool {
+        let last_seen = self.peers.get(&vm).and_then(|p| p.last_seen_by_any);
+        last_seen.is_some_and(|at| now.since(at) > longest_pause)
     }
 
     /// Returns the peers, for dumps.
@@ -197,32 +194,32 @@
         self.peers.iter()
     }
 
-    /// Marks this node as leaving.
-    pub fn leave(&mut self) {
-        self.own_leaving = true;
+    /// Marks this node as draining.
+    pub fn start_draining(&mut self) {
+        self.own_draining = true;
         self.next_heartbeat = Instant::ZERO;
     }
 
-    /// Chooses the peers that get heartbeats: all, or with many entries the
-    /// next ones on a ring of ids, which gives each the same number.
-    pub(crate) fn receivers(&self) -> Vec<VmId> {
-        let listed = |p: &Peer| p.record.is_some() || p.counts_as_live();
+    /// Returns the peers that get heartbeats: all, or in a large fleet the next
+    /// ones on a ring of ids, so that each node gets the same number.
+    pub(crate) fn heartbeat_targets(&self) -> Vec<VmId> {
+        let listed = |p: &Peer| p.record.is_some() || p.is_live();
         let all = self
             .peers
             .iter()
             .filter(|(_, p)| listed(p))
             .map(|(vm, _)| *vm);
         let all: Vec<_> = all.collect();
-        if all.len() <= MAX_PEERS {
+        if all.len() <= MAX_HEARTBEAT_PEERS {
             return all;
         }
         let start = all.partition_point(|vm| *vm < self.own);
         let ring = (0..all.len()).map(|i| all[(start + i) % all.len()]);
-        ring.take(MAX_PEERS).collect()
+        ring.take(MAX_HEARTBEAT_PEERS).collect()
     }
 }
 
-/// Takes in the VM list's entries.
+/// Applies the VM list's nodes.
 pub(crate) fn on_vm_list(node: &mut Node, _cx: &mut Cx<'_>, entries: Vec<PeerRecord>) {
     let own = node.cfg.vm;
     for peer in node.membership.peers.values_mut() {
@@ -233,16 +230,16 @@
             node.membership.own_record = Some(record);
             continue;
         }
-        let leaving = record.leaving;
+        let draining = record.leaving;
         let peer = node.membership.peers.entry(record.vm);
         let peer = peer.or_insert_with(|| Peer::new(None));
         peer.record = Some(record);
-        if leaving && !peer.leaving {
-            peer.leaving = true;
+        if draining && !peer.draining {
+            peer.draining = true;
             node.membership.epoch += 1;
         }
     }
-    let forgotten = |p: &Peer| p.record.is_none() && !p.counts_as_live();
+    let forgotten = |p: &Peer| p.record.is_none() && !p.is_live();
     let before = node.membership.peers.len();
     node.membership.peers.retain(|_, p| !forgotten(p));
     if node.membership.peers.len() != before {
@@ -250,7 +247,7 @@
     }
 }
 
-/// Takes in a peer's message.
+/// Handles a peer's message.
 pub(crate) fn on_message(node: &mut Node, cx: &mut Cx<'_>, from: VmId, message: PeerMessage) {
     if from == node.cfg.vm {
         return;
@@ -262,8 +259,8 @@
         PeerMessage::Heartbeat(_) => {}
         PeerMessage::LongRequest(request) => long_home::on_request(node, cx, from, request),
         PeerMessage::LongReply(reply) => long_work::on_reply(node, cx, reply),
-        PeerMessage::Suspects(news) => node.quarantine.hear(from.0, &news, cx.now),
-        // The driver moves bundles; the reducer only ever sees a checked one.
+        PeerMessage::Suspects(updates) => node.quarantine.hear(from.0, &updates, cx.now),
+        // The driver exchanges bundles and passes on only verified ones.
         PeerMessage::BundleAsk(_) | PeerMessage::BundleOffer(_) => {}
     }
 }
@@ -282,68 +279,68 @@
     if peer.boot != Some(heartbeat.boot) {
         peer.served.clear();
     }
-    let was_live = peer.counts_as_live();
+    let was_live = peer.is_live();
     let revived = peer.state != PeerState::Alive;
     peer.boot = Some(heartbeat.boot);
     peer.seq = heartbeat.seq;
-    peer.heard = Some(cx.now);
-    peer.heard_by_any = Some(cx.now);
+    peer.last_seen = Some(cx.now);
+    peer.last_seen_by_any = Some(cx.now);
     peer.state = PeerState::Alive;
-    peer.leaving = heartbeat.leaving;
+    peer.draining = heartbeat.leaving;
     peer.bundle_version = heartbeat.bundle_version;
-    take_in_demand(peer, &heartbeat.demand);
-    if peer.counts_as_live() != was_live {
+    apply_demand(peer, &heartbeat.demand);
+    if peer.is_live() != was_live {
         node.membership.epoch += 1;
     }
     if revived {
         let facts = format!("vm={} boot={}", from.0, heartbeat.boot.0);
         cx.log(LogEventKind::PeerAlive, facts);
     }
-    take_in_heard(node, cx.now, from, &heartbeat.heard);
-    take_in_served(node, from, &heartbeat.served);
+    apply_last_seen(node, cx.now, from, &heartbeat.heard);
+    apply_served(node, from, &heartbeat.served);
     credit::on_shares(node, cx.now, from, &heartbeat.shares);
-    long_home::on_peer_holds(node, cx.now, &heartbeat.long_holds);
+    long_home::on_peer_reservations(node, cx.now, &heartbeat.long_holds);
     for server in &heartbeat.leaving_servers {
         if let Some(key) = node.servers.key(*server) {
-            schedule::mark_leaving(node, cx, key);
+            schedule::mark_draining(node, cx, key);
         }
     }
 }
 
-fn take_in_demand(peer: &mut Peer, demand: &[(u64, u64)]) {
+fn apply_demand(peer: &mut Peer, demand: &[(u64, u64)]) {
     let before = std::mem::take(&mut peer.demand);
     peer.demand = demand.iter().copied().collect();
     for (group, old) in before {
-        let kept = credit::smoothed(old, 0);
-        if kept == 0 {
+        let decayed = credit::decay_demand(old, 0);
+        if decayed == 0 {
             continue;
         }
         let now = peer.demand.entry(group).or_default();
-        *now = (*now).max(kept);
+        *now = (*now).max(decayed);
     }
 }
 
-/// Learns when others last heard their peers.
-fn take_in_heard(node: &mut Node, now: Instant, from: VmId, heard: &[Heard]) {
-    for told in heard {
-        if told.vm == from {
+/// Applies when other nodes last got heartbeats from their peers.
+fn apply_last_seen(node: &mut Node, now: Instant, from: VmId, heard: &[Heard]) {
+    for report in heard {
+        if report.vm == from {
             continue;
         }
-        let Some(peer) = node.membership.peers.get_mut(&told.vm) else {
+        let Some(peer) = node.membership.peers.get_mut(&report.vm) else {
             continue;
         };
-        if peer.boot > Some(told.boot) {
+        if peer.boot > Some(report.boot) {
             continue;
         }
-        let at = now.before(Duration::from_millis(told.age_ms));
-        peer.heard_by_any = peer.heard_by_any.max(Some(at));
+        let at = now.before(Duration::from_millis(report.age_ms));
+        peer.last_seen_by_any = peer.last_seen_by_any.max(Some(at));
     }
 }
 
-/// Counts what peers served for workspaces into their virtual time here.
-fn take_in_served(node: &mut Node, from: VmId, served: &[ServedCost]) {
+/// Charges the cost that peers served to the workspaces' virtual time here.
+fn apply_served(node: &mut Node, from: VmId, served: &[ServedCost]) {
     for cost in served {
-        let Some(slot) = node.catalog.workspace_hashed(cost.workspace) else {
+        let Some(slot) = node.catalog.workspace_by_hash(cost.workspace) else {
             continue;
         };
         let Some(peer) = node.membership.peers.get_mut(&from) else {
@@ -357,30 +354,32 @@
     }
 }
 
-/// Sends heartbeats and looks for silent peers when it is time.
+/// Sends heartbeats and scans for silent peers when due.
 pub(crate) fn on_tick(node: &mut Node, cx: &mut Cx<'_>) {
     if cx.now >= node.membership.next_scan {
-        node.membership.next_scan = cx.now.after(SCAN_EVERY);
-        scan(node, cx);
+        node.membership.next_scan = cx.now.after(SCAN_INTERVAL);
+        update_peer_states(node, cx);
     }
     if cx.now >= node.membership.next_heartbeat {
-        node.membership.next_heartbeat = cx.now.after(HEARTBEAT_EVERY);
+        node.membership.next_heartbeat = cx.now.after(HEARTBEAT_INTERVAL);
         send_heartbeats(node, cx);
         suspects::on_heartbeat(node, cx);
     }
 }
 
-fn scan(node: &mut Node, cx: &mut Cx<'_>) {
+fn update_peer_states(node: &mut Node, cx: &mut Cx<'_>) {
     let now = cx.now;
     let mut changed = false;
     for (vm, peer) in &mut node.membership.peers {
-        let silence = peer.heard.map_or(Duration::MAX, |at| now.since(at));
-        let silence_to_all = peer.heard_by_any.map_or(Duration::MAX, |at| now.since(at));
+        let silence = peer.last_seen.map_or(Duration::MAX, |at| now.since(at));
+        let silence_from_all = peer
+            .last_seen_by_any
+            .map_or(Duration::MAX, |at| now.since(at));
         let state = match peer.state {
             PeerState::Unheard => continue,
             PeerState::Dead => continue,
             _ if silence < SUSPECT_AFTER => PeerState::Alive,
-            _ if silence_to_all < DEAD_AFTER => PeerState::Suspect,
+            _ if silence_from_all < DEAD_AFTER => PeerState::Suspect,
             _ => PeerState::Dead,
         };
         if state == peer.state {
@@ -405,23 +404,23 @@
 
 fn send_heartbeats(node: &mut Node, cx: &mut Cx<'_>) {
     node.membership.seq += 1;
-    let heard = heard_list(node, cx.now);
-    let served = heaviest(node);
+    let heard = last_seen_list(node, cx.now);
+    let served = top_served(node);
     let demand = credit::own_demand(node);
-    let long_holds = long_work::own_holds(node);
-    let leaving_servers = leaving_servers(node);
-    for vm in node.membership.receivers() {
+    let long_holds = long_work::own_reservations(node);
+    let draining_servers = draining_servers(node);
+    for vm in node.membership.heartbeat_targets() {
         let heartbeat = Heartbeat {
             vm: node.cfg.vm,
             boot: node.cfg.boot,
             seq: node.membership.seq,
-            leaving: node.membership.own_leaving,
+            leaving: node.membership.own_draining,
             bundle_version: node.bundle_version(),
             heard: heard.clone(),
             demand: demand.clone(),
-            shares: credit::take_grants(node, vm),
+            shares: credit::grants_for(node, vm),
             served: served.clone(),
-            leaving_servers: leaving_servers.clone(),
+            leaving_servers: draining_servers.clone(),
             long_holds: long_holds.clone(),
         };
         let message = Box::new(PeerMessage::Heartbeat(heartbeat));
@@ -429,14 +428,14 @@
     }
 }
 
-fn heard_list(node: &Node, now: Instant) -> Vec<Heard> {
+fn last_seen_list(node: &Node, now: Instant) -> Vec<Heard> {
     let mut list = Vec::new();
     for (vm, peer) in &node.membership.peers {
-        let (Some(boot), Some(at)) = (peer.boot, peer.heard) else {
+        let (Some(boot), Some(at)) = (peer.boot, peer.last_seen) else {
             continue;
         };
         let age_ms = now.since(at).as_millis() as u64;
-        if age_ms > DEAD_AFTER.as_millis() as u64 || list.len() >= MAX_PEERS {
+        if age_ms > DEAD_AFTER.as_millis() as u64 || list.len() >= MAX_HEARTBEAT_PEERS {
             continue;
         }
         list.push(Heard {
@@ -448,55 +447,55 @@
     list
 }
 
-/// Of the workspaces served since the last heartbeat, those with the most
-/// cost; a bounded list, and no scan of all workspaces.
-fn heaviest(node: &mut Node) -> Vec<ServedCost> {
-    let told = std::mem::take(&mut node.membership.served_since);
+/// Returns the workspaces with the highest cost among those served since the
+/// last heartbeat.
+fn top_served(node: &mut Node) -> Vec<ServedCost> {
+    let served = std::mem::take(&mut node.membership.served_since);
     let state = |slot: &WorkspaceSlot| &node.catalog.workspaces[slot.index()];
-    let mut heaviest: Vec<_> = told.into_iter().collect();
-    if heaviest.len() > MAX_SERVED {
-        heaviest.select_nth_unstable_by_key(MAX_SERVED, |s| Reverse(state(s).served_us));
-        heaviest.truncate(MAX_SERVED);
+    let mut slots: Vec<_> = served.into_iter().collect();
+    if slots.len() > MAX_SERVED_WORKSPACES {
+        slots.select_nth_unstable_by_key(MAX_SERVED_WORKSPACES, |s| Reverse(state(s).served_us));
+        slots.truncate(MAX_SERVED_WORKSPACES);
     }
-    let costs = heaviest.iter().map(|slot| ServedCost {
+    let costs = slots.iter().map(|slot| ServedCost {
         workspace: crate::catalog::name_hash(&state(slot).name),
         cost_us: state(slot).served_us,
     });
     costs.collect()
 }
 
-fn leaving_servers(node: &Node) -> Vec<ServerId> {
+fn draining_servers(node: &Node) -> Vec<ServerId> {
     let servers = node.servers.arena.values();
     servers
-        .filter(|s| s.leaving && !s.gone)
+        .filter(|s| s.draining && !s.removed)
         .map(|s| s.id)
         .collect()
 }
 
-/// Returns the entries callers should use: those of this failure domain
-/// first, each part turned on with every answer, so that load spreads.
-pub(crate) fn live_entries(node: &mut Node) -> Vec<LiveEntry> {
+/// Returns the nodes callers should use: those of this failure domain first.
+/// Both groups rotate with each call, so that load spreads.
+pub(crate) fn live_entries(node: &mut Node) -> Vec<LiveNode> {
     let view = &mut node.membership;
     view.rotation = view.rotation.wrapping_add(1);
-    let usable = |p: &&Peer| p.state == PeerState::Alive && !p.leaving;
+    let usable = |p: &&Peer| p.state == PeerState::Alive && !p.draining;
     let peers = view
         .peers
         .values()
         .filter(usable)
         .filter_map(|p| p.record.as_ref());
-    let own = view.own_record.as_ref().filter(|_| !view.own_leaving);
+    let own = view.own_record.as_ref().filter(|_| !view.own_draining);
     let all: Vec<&PeerRecord> = own.into_iter().chain(peers).collect();
-    let near = |r: &&&PeerRecord| r.failure_domain == node.cfg.failure_domain;
-    let mut first: Vec<_> = all.iter().filter(near).copied().collect();
-    let mut rest: Vec<_> = all.iter().filter(|r| !near(r)).copied().collect();
-    for part in [&mut first, &mut rest] {
-        if !part.is_empty() {
-            let turn = view.rotation % part.len();
-            part.rotate_left(turn);
+    let is_local = |r: &&&PeerRecord| r.failure_domain == node.cfg.failure_domain;
+    let mut local: Vec<_> = all.iter().filter(is_local).copied().collect();
+    let mut remote: Vec<_> = all.iter().filter(|r| !is_local(r)).copied().collect();
+    for nodes in [&mut local, &mut remote] {
+        if !nodes.is_empty() {
+            let offset = view.rotation % nodes.len();
+            nodes.rotate_left(offset);
         }
     }
-    let ordered = first.into_iter().chain(rest);
-    let entries = ordered.map(|record| LiveEntry {
+    let ordered = local.into_iter().chain(remote);
+    let entries = ordered.map(|record| LiveNode {
         caller_address: record.caller_address.clone(),
         failure_domain: record.failure_domain.clone(),
     });
--- a/crates/notchwalk_decide/src/node.rs
+++ b/crates/notchwalk_decide/src/node.rs
@@ -1,4 +1,4 @@
-//! The node: all parts, and which event goes to which part.
+//! The node: its state, and the routing of events to the modules.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -19,7 +19,7 @@
     drain::{self, Drain},
     effect::{Effect, Failure},
     event::Event,
-    long_home::{self, LongLedgers},
+    long_home::{self, ReservationLedgers},
     long_work,
     membership::{self, Membership},
     orders::{self, Orders},
@@ -33,34 +33,30 @@
     timer::{TimerKind, Timers},
 };
 
-/// The moment of a step and where its effects go.
+/// The time of a step and the output for its effects.
 pub(crate) struct Cx<'a> {
-    /// The present time.
     pub now: Instant,
-    /// The effects so far.
     pub out: &'a mut Vec<Effect>,
 }
 
 impl Cx<'_> {
-    /// Adds an effect.
     pub fn emit(&mut self, effect: Effect) {
         self.out.push(effect);
     }
 
-    /// Logs an event.
     pub fn log(&mut self, kind: LogEventKind, facts: impl Into<String>) {
         self.emit(Effect::Log(LogEvent::new(kind, facts)));
     }
 }
 
-/// Counts since the boot, for metrics and dumps.
+/// Counts since boot, for metrics and dumps.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct Counters {
-    /// Requests that came.
+    /// Requests that arrived.
     pub arrived: u64,
-    /// Requests refused at the door.
+    /// Requests refused on arrival.
     pub refused: u64,
-    /// Requests answered whole.
+    /// Requests with a complete answer.
     pub completed: u64,
     /// Admitted requests that failed.
     pub failed: u64,
@@ -68,27 +64,27 @@
     pub attempts: u64,
     /// Attempts that followed a failed one.
     pub retries: u64,
-    /// Late or crossed frames dropped.
+    /// Frames dropped because they named another request or attempt.
     pub frames_dropped: u64,
-    /// Tokens passed to callers.
+    /// Tokens delivered to callers.
     pub tokens: u64,
     /// Reservations raised while answers grew.
     pub top_ups: u64,
     /// Cancels confirmed.
     pub cancels: u64,
-    /// Long prompts refused room by homes.
+    /// Reservations of long prompts denied or deferred by this node as home.
     pub long_denied: u64,
-    /// Long prompts granted room by homes.
+    /// Reservations of long prompts granted by this node as home.
     pub long_granted: u64,
 }
 
-/// One entry's decisions.
+/// The state of one node and its reducer.
 #[derive(Debug)]
 pub struct Node {
     pub(crate) cfg: NodeConfig,
     pub(crate) rng: Pcg64Mcg,
     pub(crate) catalog: Catalog,
-    pub(crate) bundle_since: Instant,
+    pub(crate) bundle_applied_at: Instant,
     pub(crate) requests: SlotMap<RequestKey, Request>,
     pub(crate) by_seq: HashMap<u64, RequestKey>,
     pub(crate) next_seq: u64,
@@ -98,9 +94,9 @@
     pub(crate) costs: Vec<CostModel>,
     pub(crate) credits: Credits,
     pub(crate) membership: Membership,
-    pub(crate) long: LongLedgers,
-    /// Requests that ask homes for room.
-    pub(crate) asking: usize,
+    pub(crate) long: ReservationLedgers,
+    /// Requests that wait for reservations from homes.
+    pub(crate) reserving: usize,
     pub(crate) timers: Timers,
     pub(crate) retry: RetryBudget,
     pub(crate) cancels: Cancels,
@@ -112,14 +108,14 @@
 }
 
 impl Node {
-    /// Builds a node that knows nothing but itself.
+    /// Builds a node without bundle, servers or peers.
     pub fn new(cfg: NodeConfig) -> Self {
         Self {
             rng: Pcg64Mcg::seed_from_u64(cfg.seed),
             membership: Membership::new(&cfg),
             cfg,
             catalog: Catalog::default(),
-            bundle_since: Instant::ZERO,
+            bundle_applied_at: Instant::ZERO,
             requests: SlotMap::with_key(),
             by_seq: HashMap::new(),
             next_seq: 1,
@@ -128,8 +124,8 @@
             servers: Servers::default(),
             costs: Vec::new(),
             credits: Credits::default(),
-            long: LongLedgers::default(),
-            asking: 0,
+            long: ReservationLedgers::default(),
+            reserving: 0,
             timers: Timers::default(),
             retry: RetryBudget::default(),
             cancels: Cancels::default(),
@@ -141,23 +137,23 @@
         }
     }
 
-    /// Takes in one event and appends what is to be done to `out`. The same
+    /// Handles one event and appends the resulting effects to `out`. The same
     /// events at the same times give the same effects.
     ///
     /// # Panics
     ///
-    /// Panics if an invariant of the program is broken, which is a bug.
+    /// Panics if an internal invariant is violated, which is a bug.
     pub fn step(&mut self, now: Instant, event: Event, out: &mut Vec<Effect>) {
         let cx = &mut Cx { now, out };
         match event {
             Event::Tick => self.tick(cx),
-            Event::Bundle(bundle) => self.put_in_force(cx, bundle),
+            Event::Bundle(bundle) => self.apply_bundle(cx, bundle),
             Event::VmList { servers, entries } => {
                 membership::on_vm_list(self, cx, entries);
                 sweep::on_servers(self, cx, servers);
             }
             Event::Arrive(arrival) => admission::on_arrive(self, cx, *arrival),
-            Event::CallerGone(request) => attempt::on_caller_gone(self, cx, request),
+            Event::CallerGone(request) => attempt::on_caller_disconnected(self, cx, request),
             Event::Frame {
                 request,
                 id,
@@ -165,7 +161,7 @@
                 offset,
                 count,
             } => {
-                let frame = attempt::FrameHead {
+                let frame = attempt::FrameHeader {
                     id,
                     attempt,
                     offset,
@@ -201,7 +197,7 @@
                 self.releases.on_released(cx.now, &key, confirmed);
             }
             Event::Lease { row, applied } => orders::on_lease(self, cx, row, applied),
-            Event::LeaseUnanswered => orders::on_no_lease_answer(self),
+            Event::LeaseUnanswered => orders::on_lease_unanswered(self),
             Event::OrderEnded { server, accepted } => {
                 orders::on_order_ended(self, cx, server, accepted);
             }
@@ -217,7 +213,7 @@
                 TimerKind::Deadline => attempt::on_deadline(self, cx, request),
                 TimerKind::Backoff => schedule::on_backoff_over(self, cx, request),
                 TimerKind::Stall => attempt::on_stall_timer(self, cx, request),
-                TimerKind::Ask => long_work::on_ask_timer(self, cx, request),
+                TimerKind::Reserve => long_work::on_reserve_timer(self, cx, request),
                 TimerKind::Claim => claim::on_timer(self, cx, request),
             }
         }
@@ -232,16 +228,16 @@
         suspects::on_tick(self, cx);
     }
 
-    fn put_in_force(&mut self, cx: &mut Cx<'_>, bundle: Arc<Bundle>) {
+    fn apply_bundle(&mut self, cx: &mut Cx<'_>, bundle: Arc<Bundle>) {
         let version = bundle.version;
-        if !self.catalog.put_in_force(bundle) {
+        if !self.catalog.apply(bundle) {
             cx.log(
                 LogEventKind::BundleRefused,
                 format!("version={version} reason=not-newer"),
             );
             return;
         }
-        self.bundle_since = cx.now;
+        self.bundle_applied_at = cx.now;
         let groups = self.catalog.groups.len();
         self.costs.resize_with(groups, CostModel::default);
         credit::recount_demand(self);
@@ -250,8 +246,8 @@
         cx.log(LogEventKind::BundleInForce, format!("version={version}"));
     }
 
-    /// Returns the refusal that a request of a workspace would get whatever it
-    /// asks for, so that its body need not be read.
+    /// Returns the refusal that applies to any request of the workspace, so
+    /// that the body need not be read.
     pub fn early_refusal(
         &mut self,
         now: Instant,
@@ -262,12 +258,12 @@
         admission::early_refusal(self, &cx, workspace)
     }
 
-    /// Returns the bundle in force.
+    /// Returns the active bundle.
     pub fn bundle(&self) -> Option<&Arc<Bundle>> {
         self.catalog.bundle.as_ref()
     }
 
-    /// Returns the version in force, 0 if there is none.
+    /// Returns the active bundle's version, 0 if there is none.
     pub fn bundle_version(&self) -> u64 {
         self.bundle().map_or(0, |b| b.version)
     }
@@ -278,36 +274,36 @@
         (version > self.bundle_version()).then_some(vm)
     }
 
-    /// Tells whether an order may be given under a fencing number now. Drivers
-    /// ask right before they send one.
+    /// Returns whether an order may be sent under a fencing number now. Drivers
+    /// check this right before sending.
     pub fn may_order(&self, now: Instant, fence: u64) -> bool {
         self.orders.fence(now) == Some(fence)
     }
 
-    /// Tells whether a bundle is in force and the node does not drain.
+    /// Returns whether a bundle is active and the node is not draining.
     pub fn is_ready(&self) -> bool {
-        self.bundle().is_some() && !self.drain.is_on()
+        self.bundle().is_some() && !self.drain.is_draining()
     }
 
-    /// Estimates the tokens of a prompt of so many bytes.
+    /// Estimates the number of tokens in a prompt of `bytes` bytes.
     pub fn estimate_tokens(&self, model: notchwalk_bundle::ModelKey, bytes: usize) -> Tokens {
         let group = self.catalog.model_group(model);
-        self.costs[group.index()].tokens_of(bytes)
+        self.costs[group.index()].estimate_tokens(bytes)
     }
 
-    /// Learns how long a prompt of so many bytes was.
+    /// Records the token count of a prompt of `bytes` bytes.
     pub fn learn_tokens(&mut self, model: &str, bytes: usize, tokens: Tokens) {
         let Some(group) = self.catalog.model_named(model) else {
             return;
         };
-        self.costs[group.index()].learn_bytes(bytes, tokens);
+        self.costs[group.index()].record_prompt_size(bytes, tokens);
     }
 
-    /// Returns the number after which a server's cache events are wanted.
+    /// Returns the event number after which to query a server's cache events.
     pub fn cache_events_after(&mut self, server: notchwalk_core::ServerId) -> u64 {
         self.servers
             .by_id(server)
-            .map_or(0, |s| s.prefix.ask_after())
+            .map_or(0, |s| s.prefix.events_after())
     }
 
     /// Returns the id of an admitted request.
@@ -315,42 +311,42 @@
         Some(self.requests.get(request)?.id)
     }
 
-    /// Returns the live entries, in the order callers should try them.
-    pub fn live_entries(&mut self) -> Vec<membership::LiveEntry> {
+    /// Returns the live nodes, in the order in which callers should try them.
+    pub fn live_entries(&mut self) -> Vec<membership::LiveNode> {
         membership::live_entries(self)
     }
 
-    /// Returns what is known of requests under which servers ended.
+    /// Returns the tracker of requests that are suspected of crashing servers.
     pub fn quarantine(&self) -> &Quarantine {
         &self.quarantine
     }
 
-    /// Returns the counts since the boot.
+    /// Returns the counts since boot.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// Returns the retries saved up.
+    /// Returns the retries available.
     pub fn retry_budget(&self) -> f64 {
-        self.retry.saved()
+        self.retry.available()
     }
 
-    /// Returns how many requests are admitted and not over.
+    /// Returns the number of open requests.
     pub fn open_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Returns how many requests wait.
+    /// Returns the number of queued requests.
     pub fn queued_requests(&self) -> usize {
         self.queue.len()
     }
 
-    /// Returns how many cancels are not confirmed.
+    /// Returns the number of unconfirmed cancels.
     pub fn open_cancels(&self) -> usize {
         self.cancels.len()
     }
 
-    /// Returns how long the list of entries may be kept.
+    /// Returns how long callers may cache the list of nodes.
     pub fn entries_ttl(&self) -> std::time::Duration {
         self.cfg.entries_ttl
     }
--- a/crates/notchwalk_decide/src/orders.rs
+++ b/crates/notchwalk_decide/src/orders.rs
@@ -1,11 +1,11 @@
 //! Orders to engines: which versions and adapters are loaded. Only the holder
-//! of a lease in the platform's table gives them, under its fencing number.
+//! of a lease in the platform's table sends them, under its fencing number.
 //!
-//! The lease is judged by each node's own monotonic clock, never by times in
-//! the row: a row that stays the same for the lease's time is free. The holder
-//! counts from before it sent its renewal, and checks what is left right before
-//! each order. Engines that ignore fencing numbers get orders of a new holder
-//! only after the longest pause that the old one is allowed.
+//! Each node judges the lease by its own monotonic clock, never by times in the
+//! row: a row that stays unchanged for the duration of the lease has expired.
+//! The holder counts from before it sent its renewal, and checks the remaining
+//! time right before each order. Engines that ignore fencing numbers get orders
+//! from a new holder only after the longest pause allowed to the old one.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -23,81 +23,82 @@
     server::ServerKey,
 };
 
-/// How long a lease holds without renewal.
-const LEASE: Duration = Duration::from_secs(6);
-/// How long before its end the holder stops giving orders.
-const MARGIN: Duration = Duration::from_secs(1);
-/// How often the row is read or renewed.
-const RENEW_EVERY: Duration = Duration::from_millis(1_500);
-/// How often engines are compared with what is wanted.
-const COMPARE_EVERY: Duration = Duration::from_millis(500);
-/// How long an order may take before it is given again.
-const ORDER_LIFE: Duration = Duration::from_secs(30);
-/// Of so many engines, one may be under orders, so that enough stay warm.
-const ENGINES_FOR_ONE: usize = 4;
+/// How long a lease is valid without renewal.
+const LEASE_DURATION: Duration = Duration::from_secs(6);
+/// How long before its expiry the holder stops sending orders.
+const LEASE_SAFETY_MARGIN: Duration = Duration::from_secs(1);
+/// Interval between reads or renewals of the row.
+const RENEW_INTERVAL: Duration = Duration::from_millis(1_500);
+/// Interval between comparisons of engines with the bundle.
+const COMPARE_INTERVAL: Duration = Duration::from_millis(500);
+/// How long an order may take before it is sent again.
+const ORDER_TTL: Duration = Duration::from_secs(30);
+/// One of this many engines may be changed at a time, so that enough remain
+/// warm.
+const ENGINES_PER_ORDER: usize = 4;
 
 /// The lease's row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct LeaseRow {
     /// The holder.
     pub holder: VmId,
-    /// Its boot.
+    /// The holder's boot number.
     pub boot: BootNumber,
     /// The fencing number; rises with each new holder.
     pub fence: u64,
-    /// Counts renewals, so that each changes the row.
+    /// Counts renewals, so that each one changes the row.
     pub renewals: u64,
 }
 
-/// What a node knows of the lease and the orders it gave.
+/// A node's view of the lease, and the orders it sent.
 #[derive(Debug, Default)]
 pub(crate) struct Orders {
-    /// The row as last seen, and since when it has been the same.
-    seen: Option<(LeaseRow, Instant)>,
-    /// Since when no row was there.
-    absent: Option<Instant>,
-    /// The fencing number held, and until when.
+    /// The last row read, and since when it has been unchanged.
+    observed: Option<(LeaseRow, Instant)>,
+    /// Since when there has been no row.
+    absent_since: Option<Instant>,
+    /// The fencing number of the held lease, and its expiry.
     held: Option<(u64, Instant)>,
-    /// Since when it has been held.
+    /// Since when the lease has been held.
     held_since: Instant,
     next_lease: Instant,
     next_compare: Instant,
-    /// When the write on its way was sent.
-    writing: Option<Instant>,
-    /// Orders on their way.
-    sent: BTreeMap<ServerId, Instant>,
+    /// When the write in flight was sent.
+    write_sent_at: Option<Instant>,
+    /// When each order in flight was sent.
+    in_flight: BTreeMap<ServerId, Instant>,
     /// Servers that refused an order of this holder.
     refused: BTreeSet<ServerId>,
 }
 
 impl Orders {
-    /// Returns the fencing number under which orders may be given now.
+    /// Returns the fencing number under which orders may be sent now.
     pub fn fence(&self, now: Instant) -> Option<u64> {
         let (fence, until) = self.held?;
-        (now < until.before(MARGIN)).then_some(fence)
+        (now < until.before(LEASE_SAFETY_MARGIN)).then_some(fence)
     }
 }
 
-/// The table answered about the lease's row, which is now as given; `applied`
-/// if a write of ours just made it so.
+/// Handles an answer about the lease: its current row, and whether a write of
+/// this node took effect.
 pub(crate) fn on_lease(node: &mut Node, cx: &mut Cx<'_>, row: Option<LeaseRow>, applied: bool) {
     let own = (node.cfg.vm, node.cfg.boot);
     let orders = &mut node.orders;
-    // A mere reading proves nothing about when the row was written.
-    let sent = orders.writing.take().filter(|_| applied);
+    // A read does not show when the row was written.
+    let sent = orders.write_sent_at.take().filter(|_| applied);
     let Some(row) = row else {
-        orders.absent.get_or_insert(cx.now);
+        orders.absent_since.get_or_insert(cx.now);
         return;
     };
-    orders.absent = None;
-    if orders.seen.is_none_or(|(seen, _)| seen != row) {
-        orders.seen = Some((row, cx.now));
+    orders.absent_since = None;
+    if orders.observed.is_none_or(|(observed, _)| observed != row) {
+        orders.observed = Some((row, cx.now));
     }
     let held = orders.held.map(|(fence, _)| fence);
     if (row.holder, row.boot) == own {
         // Counted from before the write was sent.
         if let Some(sent) = sent {
-            orders.held = Some((row.fence, sent.after(LEASE)));
+            orders.held = Some((row.fence, sent.after(LEASE_DURATION)));
         }
         if held.is_none() && sent.is_some() {
             orders.held_since = cx.now;
@@ -111,23 +112,23 @@
     }
 }
 
-/// The table did not answer; a write may have taken effect.
-pub(crate) fn on_no_lease_answer(node: &mut Node) {
-    node.orders.writing = None;
+/// Handles an unanswered read or write; the write may have taken effect.
+pub(crate) fn on_lease_unanswered(node: &mut Node) {
+    node.orders.write_sent_at = None;
 }
 
-/// An order ended, one way or the other.
+/// Handles the end of an order.
 pub(crate) fn on_order_ended(node: &mut Node, cx: &mut Cx<'_>, server: ServerId, accepted: bool) {
-    node.orders.sent.remove(&server);
+    node.orders.in_flight.remove(&server);
     if !accepted {
         node.orders.refused.insert(server);
         cx.log(LogEventKind::OrderRefused, format!("server={}", server.0));
     }
 }
 
-/// Keeps or seeks the lease, and gives orders while it is held.
+/// Renews or acquires the lease, and sends orders while it is held.
 pub(crate) fn on_tick(node: &mut Node, cx: &mut Cx<'_>) {
-    if node.catalog.bundle.is_none() || node.drain.is_on() {
+    if node.catalog.bundle.is_none() || node.drain.is_draining() {
         return;
     }
     let lapsed = node.orders.held.is_some_and(|(_, until)| cx.now >= until);
@@ -136,17 +137,17 @@
         cx.log(LogEventKind::LeaseLost, "reason=lapsed");
     }
     if cx.now >= node.orders.next_lease {
-        node.orders.next_lease = cx.now.after(RENEW_EVERY);
-        seek_lease(node, cx);
+        node.orders.next_lease = cx.now.after(RENEW_INTERVAL);
+        renew_or_acquire_lease(node, cx);
     }
     if cx.now >= node.orders.next_compare {
-        node.orders.next_compare = cx.now.after(COMPARE_EVERY);
-        give_orders(node, cx);
+        node.orders.next_compare = cx.now.after(COMPARE_INTERVAL);
+        send_orders(node, cx);
     }
 }
 
-/// Renews the lease, takes one that lapsed, or looks at it.
-fn seek_lease(node: &mut Node, cx: &mut Cx<'_>) {
+/// Renews the lease, acquires an expired one, or reads the row.
+fn renew_or_acquire_lease(node: &mut Node, cx: &mut Cx<'_>) {
     let (vm, boot) = (node.cfg.vm, node.cfg.boot);
     let orders = &mut node.orders;
     let first = LeaseRow {
@@ -155,31 +156,31 @@
         fence: 1,
         renewals: 0,
     };
-    let write = match orders.seen {
-        _ if orders.absent.is_some() => Some((None, first)),
+    let write = match orders.observed {
+        _ if orders.absent_since.is_some() => Some((None, first)),
         None => None,
         Some((row, since)) => {
             let own = (row.holder, row.boot) == (vm, boot);
-            let free = cx.now.since(since) >= LEASE;
+            let expired = cx.now.since(since) >= LEASE_DURATION;
             let next = LeaseRow {
                 holder: vm,
                 boot,
                 fence: row.fence + u64::from(!own),
                 renewals: row.renewals + 1,
             };
-            (own || free).then_some((Some(row), next))
+            (own || expired).then_some((Some(row), next))
         }
     };
     match write {
         Some((expected, row)) => {
-            orders.writing = Some(cx.now);
+            orders.write_sent_at = Some(cx.now);
             cx.emit(Effect::LeaseWrite { expected, row });
         }
         None => cx.emit(Effect::LeaseRead),
     }
 }
 
-fn give_orders(node: &mut Node, cx: &mut Cx<'_>) {
+fn send_orders(node: &mut Node, cx: &mut Cx<'_>) {
     let Some(fence) = node.orders.fence(cx.now) else {
         return;
     };
@@ -187,31 +188,33 @@
         return;
     };
     let pause = Duration::from_millis(bundle.policy.order_pause_ms);
-    let waited_out = fence == 1 || cx.now.since(node.orders.held_since) >= pause;
+    let pause_elapsed = fence == 1 || cx.now.since(node.orders.held_since) >= pause;
     let now = cx.now;
-    node.orders.sent.retain(|_, at| now.since(*at) < ORDER_LIFE);
+    node.orders
+        .in_flight
+        .retain(|_, at| now.since(*at) < ORDER_TTL);
     let keys: Vec<ServerKey> = node.servers.arena.keys().collect();
     let engines = keys
         .iter()
         .filter(|k| node.servers.arena[**k].kind == ServerKind::Engine);
-    let at_once = (engines.count() / ENGINES_FOR_ONE).max(1);
+    let max_orders = (engines.count() / ENGINES_PER_ORDER).max(1);
     for key in keys {
-        if node.orders.sent.len() >= at_once {
+        if node.orders.in_flight.len() >= max_orders {
             return;
         }
         let server = &node.servers.arena[key];
         let id = server.id;
-        let busy = node.orders.sent.contains_key(&id) || node.orders.refused.contains(&id);
-        if busy || server.leaving || server.gone {
+        let busy = node.orders.in_flight.contains_key(&id) || node.orders.refused.contains(&id);
+        if busy || server.draining || server.removed {
             continue;
         }
-        let Some((model, wanted)) = wanted_change(node, now, key, &bundle.models) else {
+        let Some((model, wanted)) = next_order(node, now, key, &bundle.models) else {
             continue;
         };
-        if !model.checks_fence && !waited_out {
+        if !model.checks_fence && !pause_elapsed {
             continue;
         }
-        node.orders.sent.insert(id, now);
+        node.orders.in_flight.insert(id, now);
         let facts = format!("server={} wanted={wanted:?} fence={fence}", id.0);
         cx.log(LogEventKind::OrderSent, facts);
         cx.emit(Effect::Order {
@@ -222,9 +225,9 @@
     }
 }
 
-/// The first thing in which an engine differs from the bundle. What is wanted
-/// is loaded before what isn't wanted is unloaded.
-fn wanted_change<'a>(
+/// Returns the first difference between an engine and the bundle. Missing
+/// versions and adapters are loaded before surplus versions are unloaded.
+fn next_order<'a>(
     node: &Node,
     now: Instant,
     key: ServerKey,
--- a/crates/notchwalk_decide/src/placement.rs
+++ b/crates/notchwalk_decide/src/placement.rs
@@ -1,4 +1,4 @@
-//! Placement: which server a request goes to, if any has room for it now.
+//! Placement: chooses a server with capacity for a request.
 
 use notchwalk_bundle::PolicyKind;
 use notchwalk_core::{Instant, Tokens};
@@ -11,67 +11,66 @@
     lane::Lane,
     node::Node,
     request::RequestKey,
-    server::{reported_before, ServerKey},
+    server::{reported_backlog_before, ServerKey},
 };
 
-/// Prompt tokens that all entries together keep waiting on an engine. Enough
-/// for it never to run dry, few enough that a newcomer waits little.
+/// Prompt tokens that all nodes together may queue on an engine: enough to keep
+/// it busy, and few enough to keep the wait short.
 const PREFILL_WINDOW: Tokens = 8_192;
-/// What longer work counts for that is being computed on a server: it yields,
-/// but only after the engine's present step.
-const PRESENT_STEP: Tokens = 256;
-/// What a server counts extra whose home is another entry. While there is
-/// little to do, each entry keeps to its own servers and meets no other there.
-const FOREIGN_HOME: Tokens = 1_024;
-/// What a running request counts for in a server's score, in prompt tokens.
-const RUNNING_WEIGHT: Tokens = 24;
-/// Random part of scores, so that entries don't herd to one server.
-const JITTER: Tokens = 96;
-/// What a server that just failed the request counts extra.
+/// Penalty for longer work that is running on a server: it yields to shorter
+/// work only after the current step.
+const RUNNING_STEP_PENALTY: Tokens = 256;
+/// Penalty for a server whose home is another node. It keeps nodes from
+/// colliding on servers while the load is low.
+const FOREIGN_HOME_PENALTY: Tokens = 1_024;
+/// Cost of a running request in a server's score, in prompt tokens.
+const RUNNING_REQUEST_COST: Tokens = 24;
+/// Random part of scores, so that nodes don't all choose the same server.
+const SCORE_JITTER: Tokens = 96;
+/// Penalty for the server of the request's last failed attempt.
 const AVOID_PENALTY: Tokens = 1 << 20;
 
-/// What placement found.
+/// The result of a placement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Placement {
-    /// A server, the tokens to hold there and the prompt tokens to compute.
-    At {
-        /// The server.
+    /// A server has capacity.
+    Placed {
         server: ServerKey,
-        /// Tokens to hold.
-        held: Tokens,
-        /// Prompt tokens to compute.
+        /// Tokens to reserve.
+        reserved: Tokens,
+        /// Prompt tokens to prefill.
         backlog: Tokens,
     },
-    /// Servers serve it, but none has room.
-    NoRoom,
-    /// No server that may get work serves it.
+    /// The servers that serve the request have no capacity.
+    NoCapacity,
+    /// No available server serves the request.
     Unserved,
 }
 
-/// The tokens to hold for a request before it is sent.
-pub(crate) fn hold_for(node: &Node, request: RequestKey) -> Tokens {
+/// Returns the tokens to reserve for a request before it is sent.
+pub(crate) fn tokens_to_reserve(node: &Node, request: RequestKey) -> Tokens {
     let req = &node.requests[request];
     let Some(work) = req.generate() else {
         return 0;
     };
     let answer = match node.cfg.reserve {
-        ReserveMode::TopUp => node.costs[req.group.index()].held_answer(work.max_tokens),
+        ReserveMode::TopUp => node.costs[req.group.index()].reserved_answer(work.max_tokens),
         ReserveMode::CheckThenAct => 0,
         ReserveMode::Maximum => work.max_tokens,
     };
     work.prompt_tokens + Tokens::from(answer.max(req.delivered))
 }
 
-/// Finds a server for a request.
+/// Chooses a server for a request.
 pub(crate) fn place(node: &mut Node, now: Instant, request: RequestKey) -> Placement {
     match node.policy_kind() {
         PolicyKind::Fair => place_by_score(node, now, request, true),
         PolicyKind::LeastLoaded => place_by_score(node, now, request, false),
-        PolicyKind::Fifo => place_in_turn(node, now, request),
+        PolicyKind::Fifo => place_round_robin(node, now, request),
     }
 }
 
-/// Tells whether a server may get the request and serves its variant.
+/// Returns whether a server is available and serves the requested variant.
 pub(crate) fn can_serve(
     node: &mut Node,
     now: Instant,
@@ -80,7 +79,7 @@
 ) -> bool {
     let req = &node.requests[request];
     let server = &mut node.servers.arena[key];
-    if !server.is_open(now) {
+    if !server.accepts_work(now) {
         return false;
     }
     match &req.work {
@@ -92,7 +91,7 @@
     }
 }
 
-/// Servers taken into account for one placement.
+/// Returns the servers that can serve a request.
 fn candidates(node: &mut Node, now: Instant, request: RequestKey) -> Vec<ServerKey> {
     let group = node.requests[request].group;
     let mut keys = node.servers.of_group(group).to_vec();
@@ -105,7 +104,7 @@
     if candidates.is_empty() {
         return Placement::Unserved;
     }
-    let held = hold_for(node, request);
+    let reserved = tokens_to_reserve(node, request);
     let mut best: Option<(Tokens, ServerKey, Tokens)> = None;
     for key in candidates {
         let req = &node.requests[request];
@@ -117,19 +116,19 @@
         };
         let backlog = req.prompt_tokens().saturating_sub(cached);
         let lane = req.lane;
-        if fair && !has_room(node, now, key, lane, held, backlog) {
+        if fair && !has_room(node, now, key, lane, reserved, backlog) {
             continue;
         }
         let avoid = req.avoid == Some(key);
         let ahead = match fair {
             true => work_ahead(node, now, key, lane),
-            false => load_of(node, now, key),
+            false => total_load(node, now, key),
         };
-        let mut score = ahead + backlog + node.rng.random_range(0..JITTER);
+        let mut score = ahead + backlog + node.rng.random_range(0..SCORE_JITTER);
         if avoid {
             score += AVOID_PENALTY;
         }
-        if fair && !fits_now(node, now, key, held) {
+        if fair && !fits_reported_memory(node, now, key, reserved) {
             score += PREFILL_WINDOW;
         }
         if best.is_none_or(|(least, _, _)| score < least) {
@@ -137,61 +136,64 @@
         }
     }
     match best {
-        Some((_, server, backlog)) => Placement::At {
+        Some((_, server, backlog)) => Placement::Placed {
             server,
-            held,
+            reserved,
             backlog,
         },
-        None => Placement::NoRoom,
+        None => Placement::NoCapacity,
     }
 }
 
-/// The work ahead of a newcomer of a class on a server, in prompt tokens.
+/// Estimates the work ahead of a new request of a lane on a server, in prompt
+/// tokens.
 fn work_ahead(node: &mut Node, now: Instant, key: ServerKey, lane: Lane) -> Tokens {
     let id = node.servers.arena[key].id;
     let foreign = credit::home_of(node, now, id) != node.cfg.vm;
     let server = &node.servers.arena[key];
-    let running = Tokens::from(server.running) * RUNNING_WEIGHT;
-    let own = server.backlog_before(lane) + running + if foreign { FOREIGN_HOME } else { 0 };
+    let running = Tokens::from(server.running) * RUNNING_REQUEST_COST;
+    let own =
+        server.backlog_before(lane) + running + if foreign { FOREIGN_HOME_PENALTY } else { 0 };
     let Some(report) = server.fresh_report(now) else {
         return own;
     };
-    let reported = reported_before(report, lane);
+    let reported = reported_backlog_before(report, lane);
     let others = reported.saturating_sub(server.backlog_before(lane));
     let yielding = match report.backlog_tokens > reported {
-        true => PRESENT_STEP,
+        true => RUNNING_STEP_PENALTY,
         false => 0,
     };
     let running = report.running.saturating_sub(server.running) + report.waiting;
-    own + others + yielding + Tokens::from(running) * RUNNING_WEIGHT
+    own + others + yielding + Tokens::from(running) * RUNNING_REQUEST_COST
 }
 
-/// Tells whether a server's memory has room as far as its report knows.
-fn fits_now(node: &Node, now: Instant, key: ServerKey, held: Tokens) -> bool {
+/// Returns whether the request fits into a server's memory as last reported.
+fn fits_reported_memory(node: &Node, now: Instant, key: ServerKey, reserved: Tokens) -> bool {
     let server = &node.servers.arena[key];
     let report = server.fresh_report(now);
-    report.is_none_or(|r| r.used_tokens + held <= r.capacity_tokens)
+    report.is_none_or(|r| r.used_tokens + reserved <= r.capacity_tokens)
 }
 
-/// The plain baseline's view: all that is reported, and what was sent since.
-fn load_of(node: &Node, now: Instant, key: ServerKey) -> Tokens {
+/// Returns the load as the baseline estimates it: all that is reported, and
+/// what was sent since.
+fn total_load(node: &Node, now: Instant, key: ServerKey) -> Tokens {
     let server = &node.servers.arena[key];
-    let own = server.whole_backlog() + Tokens::from(server.running) * RUNNING_WEIGHT;
+    let own = server.total_backlog() + Tokens::from(server.running) * RUNNING_REQUEST_COST;
     let Some(report) = server.fresh_report(now) else {
         return own;
     };
-    let others = report.backlog_tokens.saturating_sub(server.whole_backlog());
+    let others = report.backlog_tokens.saturating_sub(server.total_backlog());
     let running = report.running.saturating_sub(server.running) + report.waiting;
-    own + others + Tokens::from(running) * RUNNING_WEIGHT
+    own + others + Tokens::from(running) * RUNNING_REQUEST_COST
 }
 
-/// Tells whether this node's share of a server has room.
+/// Returns whether this node's share of a server has room.
 fn has_room(
     node: &Node,
     now: Instant,
     key: ServerKey,
     lane: Lane,
-    held: Tokens,
+    reserved: Tokens,
     backlog: Tokens,
 ) -> bool {
     let server = &node.servers.arena[key];
@@ -203,16 +205,16 @@
     let Some(report) = server.fresh_report(now) else {
         return true;
     };
-    if !server.is_paid(now, lane) {
+    if !server.is_within_time_share(now, lane) {
         return false;
     }
     let capacity = report.capacity_tokens;
     let memory_share = credit::memory_share_of(node, now, key);
     let fits = match node.cfg.reserve {
-        ReserveMode::CheckThenAct => report.used_tokens + held <= capacity,
+        ReserveMode::CheckThenAct => report.used_tokens + reserved <= capacity,
         ReserveMode::TopUp | ReserveMode::Maximum => {
-            let within_share = server.held + held <= capacity * memory_share / 1_000;
-            let alone = server.held == 0 && report.used_tokens + held <= capacity;
+            let within_share = server.reserved + reserved <= capacity * memory_share / 1_000;
+            let alone = server.reserved == 0 && report.used_tokens + reserved <= capacity;
             within_share || alone
         }
     };
@@ -221,14 +223,14 @@
     fits && (before == 0 || before + backlog <= window)
 }
 
-/// The plain baseline: servers in turn, as many requests as slots allow.
-fn place_in_turn(node: &mut Node, now: Instant, request: RequestKey) -> Placement {
+/// Places by the baseline policy: servers in turn, up to their slots.
+fn place_round_robin(node: &mut Node, now: Instant, request: RequestKey) -> Placement {
     let candidates = candidates(node, now, request);
     if candidates.is_empty() {
         return Placement::Unserved;
     }
     let live = node.membership.live_count() as u32;
-    let start = node.schedule.next_turn();
+    let start = node.schedule.next_round_robin();
     for i in 0..candidates.len() {
         let key = candidates[(start + i) % candidates.len()];
         let server = &node.servers.arena[key];
@@ -236,11 +238,11 @@
             continue;
         }
         let backlog = node.requests[request].prompt_tokens();
-        return Placement::At {
+        return Placement::Placed {
             server: key,
-            held: hold_for(node, request),
+            reserved: tokens_to_reserve(node, request),
             backlog,
         };
     }
-    Placement::NoRoom
+    Placement::NoCapacity
 }
--- a/crates/notchwalk_decide/src/queue.rs
+++ b/crates/notchwalk_decide/src/queue.rs
@@ -1,11 +1,11 @@
 //! Weighted fair queueing over workspaces, in virtual time.
 //!
-//! A workspace's virtual time is the cost served for it over its weight. In
-//! each lane the workspace with the highest priority goes first and, within a
-//! priority, the one with the least virtual time. Every [`FLOOR_PICKS`]th pick
-//! looks at virtual time alone, so that no priority starves another for good.
-//! A workspace that becomes busy starts at the present virtual time: idleness
-//! banks nothing.
+//! A workspace's virtual time is the cost served for it divided by its weight.
+//! In each lane the workspace with the highest priority goes first and, within
+//! a priority, the one with the least virtual time. Every
+//! [`ANTI_STARVATION_INTERVAL`]th pick ignores priorities, so that none
+//! starves. A workspace that becomes busy starts at the current virtual time,
+//! so idle time earns no credit.
 
 use std::{
     cmp::Reverse,
@@ -18,37 +18,33 @@
     request::RequestKey,
 };
 
-/// Of so many picks, one disregards priorities.
-const FLOOR_PICKS: u32 = 8;
-/// How far ahead of the others a workspace that comes back may stand, in
-/// nanoseconds of engine time at weight 1.
-const MAX_LEAD: u64 = 60_000_000_000;
-/// Virtual time is kept in thousandths of a microsecond.
-const SCALE: f64 = 1_000.0;
+/// One of this many picks ignores priorities.
+const ANTI_STARVATION_INTERVAL: u32 = 8;
+/// Upper bound of the lead of a workspace that becomes busy, in nanoseconds of
+/// engine time at weight 1.
+const MAX_LEAD_NS: u64 = 60_000_000_000;
+/// Virtual time is kept in nanoseconds.
+const NS_PER_US: f64 = 1_000.0;
 
-/// Cost over weight.
+/// Cost over weight, in nanoseconds.
 type VirtualTime = u64;
-/// A higher priority sorts first.
+/// Higher priorities sort first.
 type Rank = Reverse<u8>;
 
-/// Where a request waits.
+/// The position of a queued request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Place {
-    /// The group.
+pub(crate) struct QueuePosition {
     pub group: GroupKey,
-    /// The lane.
     pub lane: Lane,
-    /// The workspace.
     pub workspace: WorkspaceSlot,
-    /// The request's priority.
     pub priority: u8,
-    /// The request's place among all of the node.
+    /// The request's sequence number on this node.
     pub seq: u64,
-    /// Its expected cost, in microseconds.
+    /// The expected cost, in microseconds.
     pub cost_us: u64,
 }
 
-impl Place {
+impl QueuePosition {
     fn lane_index(&self) -> usize {
         lane_index(self.group, self.lane)
     }
@@ -60,48 +56,48 @@
 
 /// The requests of one workspace in one lane.
 #[derive(Debug, Default)]
-struct Waiting {
+struct WorkspaceQueue {
     requests: BTreeMap<(Rank, u64), RequestKey>,
-    /// The key under which the workspace stands in the lane's orders, unless
-    /// it is parked.
-    listed: Option<(Rank, VirtualTime)>,
+    /// The key of the workspace in the lane's ordered sets; `None` while it is
+    /// parked.
+    linked: Option<(Rank, VirtualTime)>,
 }
 
 #[derive(Debug, Default)]
 struct LaneQueue {
     by_priority: BTreeSet<(Rank, VirtualTime, WorkspaceSlot)>,
     by_time: BTreeSet<(VirtualTime, WorkspaceSlot)>,
-    waiting: HashMap<WorkspaceSlot, Waiting>,
+    waiting: HashMap<WorkspaceSlot, WorkspaceQueue>,
     picks: u32,
     len: usize,
 }
 
 impl LaneQueue {
-    fn unlist(&mut self, slot: WorkspaceSlot) {
+    fn unlink(&mut self, slot: WorkspaceSlot) {
         let Some(waiting) = self.waiting.get_mut(&slot) else {
             return;
         };
-        if let Some((rank, time)) = waiting.listed.take() {
+        if let Some((rank, time)) = waiting.linked.take() {
             self.by_priority.remove(&(rank, time, slot));
             self.by_time.remove(&(time, slot));
         }
     }
 
-    fn list(&mut self, slot: WorkspaceSlot, time: VirtualTime) {
-        self.unlist(slot);
+    fn link(&mut self, slot: WorkspaceSlot, time: VirtualTime) {
+        self.unlink(slot);
         let Some(waiting) = self.waiting.get_mut(&slot) else {
             return;
         };
         let Some(((rank, _), _)) = waiting.requests.first_key_value() else {
             return;
         };
-        waiting.listed = Some((*rank, time));
+        waiting.linked = Some((*rank, time));
         self.by_priority.insert((*rank, time, slot));
         self.by_time.insert((time, slot));
     }
 
     fn first(&self) -> Option<(WorkspaceSlot, RequestKey)> {
-        let slot = if self.picks % FLOOR_PICKS == FLOOR_PICKS - 1 {
+        let slot = if self.picks % ANTI_STARVATION_INTERVAL == ANTI_STARVATION_INTERVAL - 1 {
             self.by_time.first()?.1
         } else {
             self.by_priority.first()?.2
@@ -111,11 +107,11 @@
     }
 }
 
-/// A workspace's place in virtual time.
+/// The virtual time and queued work of a workspace.
 #[derive(Clone, Debug, Default)]
 struct Account {
     time: VirtualTime,
-    /// Lanes in which it waits, by index.
+    /// Indices of the lanes in which it has requests.
     lanes: Vec<usize>,
     parked: bool,
     queued_cost_us: u64,
@@ -147,8 +143,8 @@
         }
     }
 
-    /// Brings the virtual time forward to that of the least served workspace
-    /// that waits.
+    /// Advances the virtual time to that of the least served workspace with
+    /// queued requests.
     fn advance(&mut self) {
         let firsts = self.lanes.iter().filter_map(|lane| lane.by_time.first());
         if let Some(least) = firsts.map(|(time, _)| *time).min() {
@@ -156,68 +152,68 @@
         }
     }
 
-    /// Adds a request. `weight` is its workspace's.
-    pub fn push(&mut self, place: &Place, request: RequestKey, weight: f64) {
-        let index = place.lane_index();
+    /// Adds a request of a workspace with the given weight.
+    pub fn push(&mut self, position: &QueuePosition, request: RequestKey, weight: f64) {
+        let index = position.lane_index();
         self.ensure_lanes(index);
-        if self.account(place.workspace).lanes.is_empty() {
+        if self.account(position.workspace).lanes.is_empty() {
             self.advance();
             let now = self.now;
-            let account = self.account(place.workspace);
-            account.time = account.time.clamp(now, now + MAX_LEAD);
+            let account = self.account(position.workspace);
+            account.time = account.time.clamp(now, now + MAX_LEAD_NS);
             self.active_weight += weight;
         }
-        let account = self.account(place.workspace);
-        account.queued_cost_us += place.cost_us;
+        let account = self.account(position.workspace);
+        account.queued_cost_us += position.cost_us;
         if !account.lanes.contains(&index) {
             account.lanes.push(index);
         }
         let (time, parked) = (account.time, account.parked);
-        self.queued_cost_us[index] += place.cost_us;
+        self.queued_cost_us[index] += position.cost_us;
         self.len += 1;
         let lane = &mut self.lanes[index];
         lane.len += 1;
-        let waiting = lane.waiting.entry(place.workspace).or_default();
-        let key = (Reverse(place.priority), place.seq);
+        let waiting = lane.waiting.entry(position.workspace).or_default();
+        let key = (Reverse(position.priority), position.seq);
         waiting.requests.insert(key, request);
         if !parked {
-            lane.list(place.workspace, time);
+            lane.link(position.workspace, time);
         }
     }
 
-    /// Returns the request that is next in a lane.
+    /// Returns the next request of a lane.
     pub fn first(&self, group: GroupKey, lane: Lane) -> Option<(WorkspaceSlot, RequestKey)> {
         self.lanes.get(lane_index(group, lane))?.first()
     }
 
-    /// Takes a request out; tells whether it was there.
-    pub fn remove(&mut self, place: &Place, weight: f64) -> bool {
-        let index = place.lane_index();
+    /// Removes a request. Returns whether it was queued.
+    pub fn remove(&mut self, position: &QueuePosition, weight: f64) -> bool {
+        let index = position.lane_index();
         let Some(lane) = self.lanes.get_mut(index) else {
             return false;
         };
-        let Some(waiting) = lane.waiting.get_mut(&place.workspace) else {
+        let Some(waiting) = lane.waiting.get_mut(&position.workspace) else {
             return false;
         };
-        let key = (Reverse(place.priority), place.seq);
+        let key = (Reverse(position.priority), position.seq);
         if waiting.requests.remove(&key).is_none() {
             return false;
         }
         let emptied = waiting.requests.is_empty();
         lane.len -= 1;
         self.len -= 1;
-        self.queued_cost_us[index] -= place.cost_us;
-        let account = &mut self.accounts[place.workspace.index()];
-        account.queued_cost_us -= place.cost_us;
+        self.queued_cost_us[index] -= position.cost_us;
+        let account = &mut self.accounts[position.workspace.index()];
+        account.queued_cost_us -= position.cost_us;
         let (time, parked) = (account.time, account.parked);
         if !emptied {
             if !parked {
-                lane.list(place.workspace, time);
+                lane.link(position.workspace, time);
             }
             return true;
         }
-        lane.unlist(place.workspace);
-        lane.waiting.remove(&place.workspace);
+        lane.unlink(position.workspace);
+        lane.waiting.remove(&position.workspace);
         account.lanes.retain(|i| *i != index);
         if account.lanes.is_empty() {
             self.active_weight = (self.active_weight - weight).max(0.0);
@@ -229,75 +225,74 @@
         true
     }
 
-    /// Notes that a lane's first request was taken to be served.
-    pub fn picked(&mut self, group: GroupKey, lane: Lane) {
+    /// Counts a pick from a lane.
+    pub fn record_pick(&mut self, group: GroupKey, lane: Lane) {
         if let Some(lane) = self.lanes.get_mut(lane_index(group, lane)) {
             lane.picks = lane.picks.wrapping_add(1);
         }
         self.advance();
     }
 
-    /// Charges a workspace for cost served, or gives back what was charged too
-    /// much.
+    /// Charges a workspace for cost served; a negative cost is a refund.
     pub fn charge(&mut self, slot: WorkspaceSlot, cost_us: i64, weight: f64) {
-        let change = (cost_us as f64 * SCALE / weight) as i64;
+        let change = (cost_us as f64 * NS_PER_US / weight) as i64;
         let account = self.account(slot);
         account.time = account.time.saturating_add_signed(change);
-        self.relist(slot);
+        self.relink(slot);
     }
 
-    fn relist(&mut self, slot: WorkspaceSlot) {
+    fn relink(&mut self, slot: WorkspaceSlot) {
         let account = &self.accounts[slot.index()];
         for index in &account.lanes {
             if account.parked {
-                self.lanes[*index].unlist(slot);
+                self.lanes[*index].unlink(slot);
                 continue;
             }
-            self.lanes[*index].list(slot, account.time);
+            self.lanes[*index].link(slot, account.time);
         }
     }
 
-    /// Passes a workspace over until [`Self::unpark`]: it has as much running
-    /// as it may.
+    /// Skips a workspace until [`Self::unpark`], because it has reached its
+    /// limit of running requests.
     pub fn park(&mut self, slot: WorkspaceSlot) {
         self.account(slot).parked = true;
-        self.relist(slot);
+        self.relink(slot);
     }
 
-    /// Ends a workspace's being passed over; tells whether it was.
+    /// Stops skipping a workspace. Returns whether it was parked.
     pub fn unpark(&mut self, slot: WorkspaceSlot) -> bool {
         if !self.account(slot).parked {
             return false;
         }
         self.account(slot).parked = false;
-        self.relist(slot);
+        self.relink(slot);
         true
     }
 
-    /// Returns how many requests wait in a lane.
+    /// Returns the number of requests queued in a lane.
     pub fn lane_len(&self, group: GroupKey, lane: Lane) -> usize {
         self.lanes.get(lane_index(group, lane)).map_or(0, |l| l.len)
     }
 
-    /// Returns how many requests wait in all.
+    /// Returns the number of requests queued in all lanes.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Returns the cost that waits in a group, in microseconds.
+    /// Returns the cost queued for a group, in microseconds.
     pub fn group_cost_us(&self, group: GroupKey) -> u64 {
         let lanes = LANES.iter().map(|lane| lane_index(group, *lane));
         lanes.filter_map(|i| self.queued_cost_us.get(i)).sum()
     }
 
-    /// Returns the cost that waits for a workspace, in microseconds.
+    /// Returns the cost queued for a workspace, in microseconds.
     pub fn workspace_cost_us(&self, slot: WorkspaceSlot) -> u64 {
         self.accounts
             .get(slot.index())
             .map_or(0, |a| a.queued_cost_us)
     }
 
-    /// Returns the sum of the weights of all workspaces that wait.
+    /// Returns the sum of the weights of all workspaces with queued requests.
     pub fn active_weight(&self) -> f64 {
         self.active_weight
     }
@@ -306,6 +301,6 @@
     /// weight 1.
     pub fn lead_us(&self, slot: WorkspaceSlot) -> u64 {
         let time = self.accounts.get(slot.index()).map_or(0, |a| a.time);
-        time.saturating_sub(self.now) / SCALE as u64
+        time.saturating_sub(self.now) / NS_PER_US as u64
     }
 }
--- a/crates/notchwalk_decide/src/request.rs
+++ b/crates/notchwalk_decide/src/request.rs
@@ -1,87 +1,82 @@
-//! One admitted request and where it stands.
+//! The state of one admitted request.
 
 use notchwalk_core::{Attempt, Instant, RequestId, Tokens};
 use notchwalk_quarantine::Fingerprint;
 use slotmap::new_key_type;
 
 use crate::{catalog::GroupKey, catalog::WorkspaceSlot, claim::Claim, event::Work, lane::Lane};
-use crate::{long_work::LongPlan, queue::Place, server::ServerKey};
+use crate::{long_work::LongPlan, queue::QueuePosition, server::ServerKey};
 
 new_key_type! {
-    /// Names an admitted request within a node.
+    /// Identifies an admitted request within a node.
     pub struct RequestKey;
 }
 
-/// Names a waiting caller within a driver.
+/// Identifies a waiting caller within a driver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallerKey(pub u64);
 
-/// Where a request stands.
+/// The phase of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
     /// Its claim is being written to the platform's table.
     Claiming,
     /// It waits in its lane.
     Queued,
-    /// It waits before it is queued again.
+    /// It waits for its backoff to end.
     Backoff,
-    /// It asks homes for room.
+    /// It waits for reservations from homes.
     Asking,
-    /// An attempt runs.
+    /// An attempt or a segment runs.
     Running,
 }
 
-/// The attempt that runs.
+/// The running attempt.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Running {
-    /// The server.
     pub server: ServerKey,
-    /// When the last frame came, or when it was sent.
-    pub progress: Instant,
-    /// When it was sent.
-    pub since: Instant,
-    /// Whether a token came: its prompt is computed.
-    pub answers: bool,
-    /// Tokens held on the server.
-    pub held: Tokens,
-    /// Prompt tokens counted as the server's backlog until the first token.
+    /// When the last frame arrived; the dispatch time before the first one.
+    pub last_progress: Instant,
+    /// When the attempt was dispatched.
+    pub sent_at: Instant,
+    /// Whether the first token arrived, which ends the prefill.
+    pub first_token_received: bool,
+    /// Tokens reserved on the server.
+    pub reserved: Tokens,
+    /// Prompt tokens counted in the server's backlog until the first token.
     pub backlog: Tokens,
 }
 
 /// An admitted request.
 #[derive(Clone, Debug)]
 pub(crate) struct Request {
-    /// Its id towards other processes.
+    /// The id used between processes.
     pub id: RequestId,
-    /// Its caller.
     pub caller: CallerKey,
-    /// Its workspace.
     pub workspace: WorkspaceSlot,
     /// The model or service.
     pub group: GroupKey,
-    /// What is to be done.
     pub work: Work,
-    /// Identifies its content, if its body was read.
+    /// Fingerprint of the content, if the body was read.
     pub content: Option<Fingerprint>,
-    /// Its length class.
+    /// The length class.
     pub lane: Lane,
-    /// Its place among the requests of its node.
+    /// The sequence number among the requests of this node.
     pub seq: u64,
-    /// Its priority, bounded by the bundle.
+    /// The priority, bounded by the bundle.
     pub priority: u8,
     /// When it was admitted.
     pub arrived: Instant,
-    /// When it must have ended.
+    /// When it times out.
     pub deadline: Instant,
-    /// Where it stands.
     pub phase: Phase,
-    /// The attempt that runs.
+    /// The running attempt, if there is one.
     pub running: Option<Running>,
     /// The number of the latest attempt.
     pub attempt: Attempt,
     /// Tokens delivered to the caller.
     pub delivered: u32,
-    /// Whether any byte went to a backend that did not refuse it.
+    /// Whether any byte was sent to a backend that did not refuse it.
     pub sent: bool,
     /// Failed attempts so far.
     pub failures: u16,
@@ -91,14 +86,14 @@
     pub charged_us: u64,
     /// The claim, for calls with an idempotency key.
     pub claim: Option<Claim>,
-    /// Its place in the queue while it waits there.
-    pub queued_at: Option<Place>,
-    /// Reservations for long work.
+    /// The position in the queue while it waits there.
+    pub queue_position: Option<QueuePosition>,
+    /// Reservations of a long prompt.
     pub plan: Option<LongPlan>,
 }
 
 impl Request {
-    /// Returns the generation wanted, unless it is a call.
+    /// Returns the generation, or `None` for a call.
     pub fn generate(&self) -> Option<&crate::event::GenerateWork> {
         match &self.work {
             Work::Generate(work) => Some(work),
@@ -106,7 +101,7 @@
         }
     }
 
-    /// Tells whether a failed attempt may be followed by another.
+    /// Returns whether a failed attempt may be retried.
     pub fn is_repeatable(&self) -> bool {
         match &self.work {
             Work::Generate(_) => true,
@@ -122,7 +117,7 @@
         }
     }
 
-    /// Returns the prompt's tokens, 0 for calls.
+    /// Returns the length of the prompt in tokens, 0 for calls.
     pub fn prompt_tokens(&self) -> Tokens {
         self.generate().map_or(0, |work| work.prompt_tokens)
     }
--- a/crates/notchwalk_decide/src/retry.rs
+++ b/crates/notchwalk_decide/src/retry.rs
@@ -1,40 +1,42 @@
-//! A budget for further attempts, so that retries never multiply a load that
-//! is already too high.
+//! A retry budget, so that retries do not multiply the load of an overloaded
+//! fleet.
 
-/// Attempts that may be made before any request has succeeded.
-const START: f64 = 20.0;
-/// The most that is saved up.
-const CAP: f64 = 100.0;
+/// Retries available before any request has succeeded.
+const INITIAL_RETRIES: f64 = 20.0;
+/// Upper bound of the budget.
+const MAX_RETRIES: f64 = 100.0;
 
-/// Grows by a fraction of each success and shrinks by one for each retry.
+/// Grows by a fraction of a retry with each success and shrinks by one with
+/// each retry.
 #[derive(Debug)]
 pub(crate) struct RetryBudget {
-    saved: f64,
+    available: f64,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self { saved: START }
+        Self {
+            available: INITIAL_RETRIES,
+        }
     }
 }
 
 impl RetryBudget {
-    /// Notes a success that earns `percent` hundredths of a retry.
-    pub fn succeeded(&mut self, percent: u64) {
-        self.saved = (self.saved + percent as f64 / 100.0).min(CAP);
+    /// Adds `percent` hundredths of a retry.
+    pub fn record_success(&mut self, percent: u64) {
+        self.available = (self.available + percent as f64 / 100.0).min(MAX_RETRIES);
     }
 
-    /// Takes one retry, if there is one; a `percent` of 0 allows none at all.
+    /// Takes one retry, if one is available; a `percent` of 0 disables retries.
     pub fn take(&mut self, percent: u64) -> bool {
-        if percent == 0 || self.saved < 1.0 {
+        if percent == 0 || self.available < 1.0 {
             return false;
         }
-        self.saved -= 1.0;
+        self.available -= 1.0;
         true
     }
 
-    /// Returns the retries saved up.
-    pub fn saved(&self) -> f64 {
-        self.saved
+    pub fn available(&self) -> f64 {
+        self.available
     }
 }
