--- a/crates/notchwalk_standin/src/bench/fair.rs
+++ b/crates/notchwalk_standin/src/bench/fair.rs
@@ -11,32 +11,31 @@
 
 /// Index of the workspace that floods the fleet with long prompts.
 const FLOODING_WORKSPACE: usize = 9;
-/// Callers of each other workspace.
+/// Number of callers of each workspace that does not flood the fleet.
 const CALLERS: usize = 90;
-/// Callers of the flooding workspace.
+/// Number of callers of the flooding workspace.
 const FLOOD_CALLERS: usize = 40;
-const SHORT: (u64, u64) = (1_000, 4_000);
-const LONG: (u64, u64) = (40_000, 120_000);
+const SHORT_PROMPT_TOKENS: (u64, u64) = (1_000, 4_000);
+const LONG_PROMPT_TOKENS: (u64, u64) = (40_000, 120_000);
 /// Requests served in the warm-up are not counted.
 const WARM_UP: Duration = Duration::from_secs(3);
 /// One of this many callers uses a different node than the rest of its workspace.
 const OTHER_NODE_EVERY: usize = 3;
 
-/// Runs the bench.
 pub fn run(options: &BenchOptions) -> Metrics {
     let mut metrics = Metrics::new();
     for name in policy::selected_policies(options) {
-        let without = served(options, name, false);
-        let with = served(options, name, true);
+        let without_flood = served_tokens_per_s(options, name, false);
+        let with_flood = served_tokens_per_s(options, name, true);
         let prefix = match name {
             "fair" => String::new(),
             other => format!("{other}_"),
         };
-        metrics.insert(format!("{prefix}jain"), rounded(jain_index(&with), 4));
+        metrics.insert(format!("{prefix}jain"), rounded(jain_index(&with_flood), 4));
         let victim_service = |served: &[f64]| served[..FLOODING_WORKSPACE].iter().sum::<f64>();
-        let slowdown = victim_service(&without) / victim_service(&with);
+        let slowdown = victim_service(&without_flood) / victim_service(&with_flood);
         metrics.insert(format!("{prefix}victim_slowdown"), rounded(slowdown, 3));
-        let by_weight: Vec<_> = service_per_weight(&with)
+        let by_weight: Vec<_> = service_per_weight(&with_flood)
             .iter()
             .map(|x| rounded(*x, 0))
             .collect();
@@ -56,8 +55,8 @@
             continue;
         }
         let (count, prompts) = match is_flooding {
-            true => (FLOOD_CALLERS, LONG),
-            false => (CALLERS, SHORT),
+            true => (FLOOD_CALLERS, LONG_PROMPT_TOKENS),
+            false => (CALLERS, SHORT_PROMPT_TOKENS),
         };
         for i in 0..count {
             let node_offset = if i % OTHER_NODE_EVERY == 0 { i } else { 0 };
@@ -74,7 +73,7 @@
 }
 
 /// Returns the prompt tokens per second served to each workspace.
-fn served(options: &BenchOptions, name: &str, flood: bool) -> Vec<f64> {
+fn served_tokens_per_s(options: &BenchOptions, name: &str, flood: bool) -> Vec<f64> {
     let fleet = policy::fleet(name);
     let keys = fleet.keys();
     let duration = WARM_UP + Duration::from_secs(options.seconds);
--- a/crates/notchwalk_standin/src/bench/ideal.rs
+++ b/crates/notchwalk_standin/src/bench/ideal.rs
@@ -1,5 +1,5 @@
 //! A lower bound for times to first token: shortest-remaining-time-first scheduling with
-//! complete knowledge of lengths and loads and migration at no cost.
+//! full knowledge of lengths and loads, and migration at no cost.
 
 use std::time::Duration;
 
@@ -11,8 +11,9 @@
     remaining_tokens: f64,
 }
 
-/// Returns the time to first token of each planned call, in the order of `planned`.
-pub fn first_token_times(
+/// Returns a lower bound for the time to first token of each planned call, in the order of
+/// `planned`.
+pub fn ttft_lower_bounds(
     planned: &[PlannedCall],
     engines: usize,
     tokens_per_s: f64,
@@ -42,15 +43,15 @@
             job.remaining_tokens -= (until - now) * tokens_per_s;
         }
         now = until;
-        const DONE_TOKENS: f64 = 1e-6;
+        const COMPLETION_EPSILON_TOKENS: f64 = 1e-6;
         for job in jobs
             .iter()
-            .filter(|job| job.remaining_tokens <= DONE_TOKENS)
+            .filter(|job| job.remaining_tokens <= COMPLETION_EPSILON_TOKENS)
         {
             let ttft = now - planned[job.index].at.as_secs_f64();
             times[job.index] = Duration::from_secs_f64(ttft.max(0.0));
         }
-        jobs.retain(|job| job.remaining_tokens > DONE_TOKENS);
+        jobs.retain(|job| job.remaining_tokens > COMPLETION_EPSILON_TOKENS);
         if arrival.is_some_and(|at| at <= now) {
             let index = order[next_arrival];
             let remaining_tokens = planned[index].prompt_tokens as f64;
--- a/crates/notchwalk_standin/src/bench/once.rs
+++ b/crates/notchwalk_standin/src/bench/once.rs
@@ -1,4 +1,4 @@
-//! Measures how often calls that must not repeat are executed, under lost responses and a
+//! Measures how often non-repeatable service calls are executed, under lost responses and a
 //! platform outage.
 
 use std::{
@@ -37,7 +37,6 @@
 
 type Attempts = HashMap<String, Vec<AttemptOutcome>>;
 
-/// Runs the bench.
 pub fn run(options: &BenchOptions) -> Metrics {
     let mut metrics = Metrics::new();
     let with_key = measure(options, true);
@@ -55,16 +54,20 @@
         "unknown_ratio".to_owned(),
         rounded(with_key.unknown_ratio, 4),
     );
-    metrics.insert("claims_per_s".to_owned(), rounded(with_key.per_s, 1));
+    metrics.insert(
+        "claims_per_s".to_owned(),
+        rounded(with_key.completed_per_s, 1),
+    );
     metrics.insert("calls".to_owned(), with_key.calls.into());
     metrics
 }
 
 struct Outcome {
     duplicate_runs: u64,
+    /// Calls reported as not run that a server did execute.
     false_not_run: u64,
     unknown_ratio: f64,
-    per_s: f64,
+    completed_per_s: f64,
     calls: usize,
 }
 
@@ -114,22 +117,22 @@
     let all_outcomes: Vec<AttemptOutcome> = attempts.values().flatten().copied().collect();
     let unknown = all_outcomes
         .iter()
-        .filter(|e| **e == AttemptOutcome::Failed(ExecutionOutcome::Unknown));
+        .filter(|outcome| **outcome == AttemptOutcome::Failed(ExecutionOutcome::Unknown));
     let not_run = AttemptOutcome::Failed(ExecutionOutcome::NotRun);
-    let never_run = attempts
+    let reported_not_run = attempts
         .iter()
-        .filter(|(_, outcomes)| outcomes.iter().all(|e| *e == not_run));
-    let false_not_run = never_run
+        .filter(|(_, outcomes)| outcomes.iter().all(|outcome| *outcome == not_run));
+    let false_not_run = reported_not_run
         .filter(|(call, _)| runs.contains_key(*call))
         .count();
-    let done = attempts
+    let completed = attempts
         .values()
         .filter(|outcomes| outcomes.contains(&AttemptOutcome::Completed));
     Outcome {
         duplicate_runs: runs.values().map(|n| n.saturating_sub(1)).sum(),
         false_not_run: false_not_run as u64,
         unknown_ratio: unknown.count() as f64 / all_outcomes.len().max(1) as f64,
-        per_s: done.count() as f64 / duration.as_secs_f64(),
+        completed_per_s: completed.count() as f64 / duration.as_secs_f64(),
         calls: attempts.len(),
     }
 }
--- a/crates/notchwalk_standin/src/bench/policy.rs
+++ b/crates/notchwalk_standin/src/bench/policy.rs
@@ -14,6 +14,7 @@
 pub const TIME_SCALE: f64 = 5.0;
 /// Policies by their names in the bundle.
 const POLICIES: [&str; 3] = ["fair", "fifo", "least_loaded"];
+
 /// Returns the policies to measure.
 pub fn selected_policies(options: &BenchOptions) -> Vec<&'static str> {
     let is_selected = |name: &&str| options.only.as_deref().is_none_or(|only| only == *name);
@@ -26,8 +27,8 @@
 /// Returns ten workspaces of unequal weights.
 pub fn workspaces() -> Vec<WorkspaceSpec> {
     const WEIGHTS: [f64; 10] = [4.0, 4.0, 3.0, 2.0, 2.0, 1.0, 1.0, 1.0, 1.0, 1.0];
-    let named = WEIGHTS.iter().enumerate();
-    named
+    let weights = WEIGHTS.iter().enumerate();
+    weights
         .map(|(i, weight)| WorkspaceSpec::new(&format!("w{i}"), *weight))
         .collect()
 }
@@ -57,6 +58,7 @@
 
 /// Returns the prefill capacity of a fleet, in prompt tokens per second.
 pub fn capacity_per_s(fleet: &Fleet) -> f64 {
+    // The token budget of a step divided by the duration of a full step.
     const ENGINE_TOKENS_PER_S: f64 = 512.0 / 0.028_48;
     ENGINE_TOKENS_PER_S * fleet.config.time_scale * fleet.config.engines as f64
 }
--- a/crates/notchwalk_standin/src/demo.rs
+++ b/crates/notchwalk_standin/src/demo.rs
@@ -109,11 +109,11 @@
     println!(
         "\nTime to first token by prompt length (engines run {TIME_SCALE} times faster than real ones):"
     );
-    println!("{}", report::first_token_table(&mixed));
+    println!("{}", report::ttft_table(&mixed));
     println!("{}", slowdown_table(&alone, &mixed));
-    let all: Vec<MeasuredCall> = alone.into_iter().chain(mixed).collect();
-    println!("{}", report::outcome_table(&all));
-    let all_complete = report::all_complete(&all);
+    let calls: Vec<MeasuredCall> = alone.into_iter().chain(mixed).collect();
+    println!("{}", report::outcome_table(&calls));
+    let all_complete = report::all_complete(&calls);
     let verdict = match all_complete {
         true => "Every response was complete and matched its prompt.",
         false => "NOT every response was complete.",
@@ -126,15 +126,15 @@
 }
 
 fn slowdown_table(alone: &[MeasuredCall], mixed: &[MeasuredCall]) -> comfy_table::Table {
-    let (alone, mixed) = (report::first_tokens(alone), report::first_tokens(mixed));
+    let (alone, mixed) = (report::ttft_by_class(alone), report::ttft_by_class(mixed));
     let mut table = report::table(&["short prompts", "alone", "with long prompts", "slowdown"]);
     for (name, q) in [("p50", 0.5), ("p95", 0.95)] {
-        let (before, after) = (alone[0].quantile_ms(q), mixed[0].quantile_ms(q));
+        let (alone_ms, mixed_ms) = (alone[0].quantile_ms(q), mixed[0].quantile_ms(q));
         table.add_row([
             format!("time to first token {name}"),
-            format!("{before:.0} ms"),
-            format!("{after:.0} ms"),
-            format!("{:.2} x", after / before),
+            format!("{alone_ms:.0} ms"),
+            format!("{mixed_ms:.0} ms"),
+            format!("{:.2} x", mixed_ms / alone_ms),
         ]);
     }
     table
@@ -157,7 +157,7 @@
         .iter()
         .flatten()
         .next()
-        .map(|d| d.addresses.operator.to_string());
+        .map(|node| node.addresses.operator.to_string());
     let line = json!({
         "entries": nodes, "operator": operator, "key": fleet.key(0),
         "model": fleet.config.bundle.model, "service": fleet.config.bundle.service,
--- a/crates/notchwalk_standin/src/engine/sequence.rs
+++ b/crates/notchwalk_standin/src/engine/sequence.rs
@@ -27,12 +27,12 @@
     SegmentReady,
 }
 
-/// What a sequence computes.
+/// The kind of work of a sequence.
 #[derive(Clone, Debug)]
-pub enum Goal {
+pub enum SequenceKind {
     /// A completion.
     Completion {
-        /// Seed of its tokens.
+        /// Seed of the completion.
         seed: CompletionSeed,
         /// Index of the first token to generate.
         offset: u32,
@@ -49,7 +49,7 @@
 pub struct Sequence {
     /// Id of the request.
     pub request: RequestId,
-    /// Attempt of the request.
+    /// Attempt number of the request.
     pub attempt: Attempt,
     /// Scheduling priority; higher values first.
     pub priority: u8,
@@ -69,11 +69,11 @@
     pub prefix: Vec<u64>,
     /// Completion tokens generated so far.
     pub generated_tokens: u32,
-    /// What the sequence computes.
-    pub goal: Goal,
+    /// The kind of work.
+    pub kind: SequenceKind,
     /// Whether the sequence is admitted and holds memory.
     pub running: bool,
-    /// Sender of its outputs.
+    /// Sends outputs to the connection.
     pub tx: unbounded::Tx<Output>,
 }
 
@@ -93,7 +93,9 @@
 
     /// Returns whether the sequence is a prefilled segment held in memory.
     pub fn is_held_segment(&self) -> bool {
-        matches!(self.goal, Goal::Segment) && self.running && self.remaining_prompt_tokens() == 0
+        matches!(self.kind, SequenceKind::Segment)
+            && self.running
+            && self.remaining_prompt_tokens() == 0
     }
 
     /// Returns the scheduling key: priority first, then arrival.
--- a/crates/notchwalk_standin/src/fleet.rs
+++ b/crates/notchwalk_standin/src/fleet.rs
@@ -355,7 +355,7 @@
         self.nodes
             .iter()
             .flatten()
-            .map(|d| d.addresses.caller)
+            .map(|node| node.addresses.caller)
             .collect()
     }
 
--- a/crates/notchwalk_standin/src/node.rs
+++ b/crates/notchwalk_standin/src/node.rs
@@ -1,5 +1,5 @@
 //! Nodes of a fleet. A node runs as a thread of this process or as a separate process that
-//! can be killed and paused.
+//! can be killed and suspended.
 
 use std::{
     io::{BufRead, BufReader, Write},
@@ -112,7 +112,7 @@
     }
 
     /// Suspends a process. Has no effect on a thread.
-    pub fn pause(&self) {
+    pub fn suspend(&self) {
         self.signal(Signal::STOP);
     }
 
--- a/crates/notchwalk_standin/src/platform/api.rs
+++ b/crates/notchwalk_standin/src/platform/api.rs
@@ -79,8 +79,8 @@
     objects: RefCell<HashMap<String, Bytes>>,
     vms: RefCell<VecDeque<(Instant, Vec<VmRecord>)>>,
     fault: Cell<PlatformFault>,
-    next_write: Cell<Instant>,
-    next_weight: Cell<Instant>,
+    next_write_at: Cell<Instant>,
+    next_weight_transfer_at: Cell<Instant>,
     dropped_responses: Cell<u64>,
     rng: RefCell<Pcg64Mcg>,
 }
@@ -109,8 +109,8 @@
         objects: RefCell::default(),
         vms: RefCell::new(VecDeque::from([(now, vms)])),
         fault: Cell::default(),
-        next_write: Cell::new(now),
-        next_weight: Cell::new(now),
+        next_write_at: Cell::new(now),
+        next_weight_transfer_at: Cell::new(now),
         dropped_responses: Cell::new(0),
         rng: RefCell::new(Pcg64Mcg::seed_from_u64(config.seed)),
     };
@@ -125,9 +125,9 @@
     /// Waits for the next write permitted by the write rate limit.
     async fn acquire_write(&self) {
         let now = Instant::now();
-        let at = self.next_write.get().max(now);
+        let at = self.next_write_at.get().max(now);
         let interval = Duration::from_secs_f64(1.0 / self.config.writes_per_s);
-        self.next_write.set(at + interval);
+        self.next_write_at.set(at + interval);
         if at > now {
             monoio::time::sleep(at - now).await;
         }
@@ -240,9 +240,9 @@
             return false;
         };
         let now = Instant::now();
-        let at = self.state.next_weight.get().max(now);
+        let at = self.state.next_weight_transfer_at.get().max(now);
         let duration = Duration::from_secs_f64(bytes / self.state.config.weight_bytes_per_s);
-        self.state.next_weight.set(at + duration);
+        self.state.next_weight_transfer_at.set(at + duration);
         let wait = serde_json::json!({ "wait_s": (at - now).as_secs_f64() });
         exchange.respond_json(StatusCode::OK, &wait).await;
         true
@@ -274,7 +274,7 @@
     }
 
     async fn control(&self, exchange: &mut Exchange, path: &str, body: &Bytes) {
-        let done = match path {
+        let applied = match path {
             "/standin/fault" => parse(body).map(|fault| self.state.fault.set(fault)),
             "/standin/vms" => parse::<Vec<VmRecord>>(body)
                 .map(|vms| self.state.vms.borrow_mut().push_back((Instant::now(), vms))),
@@ -285,7 +285,7 @@
             }
             _ => None,
         };
-        let status = done.map_or(StatusCode::BAD_REQUEST, |()| StatusCode::OK);
+        let status = applied.map_or(StatusCode::BAD_REQUEST, |()| StatusCode::OK);
         exchange.respond_text(status, "").await;
     }
 }
--- a/crates/notchwalk_standin/src/processes.rs
+++ b/crates/notchwalk_standin/src/processes.rs
@@ -27,7 +27,7 @@
 /// # Errors
 ///
 /// Returns an error if its address can't be bound.
-pub fn platform(deployment: Deployment) -> io::Result<()> {
+pub fn run_platform(deployment: Deployment) -> io::Result<()> {
     let listener = TcpListener::bind(deployment.platform)?;
     block_on(async move {
         let addr = serve_platform(listener, deployment.platform_config, deployment.vms)?;
@@ -42,7 +42,7 @@
 /// # Errors
 ///
 /// Returns an error if an address can't be bound.
-pub fn engines(deployment: Deployment) -> io::Result<()> {
+pub fn run_engines(deployment: Deployment) -> io::Result<()> {
     block_on(async move {
         for engine in deployment.engines {
             let listener = TcpListener::bind(engine.addr)?;
@@ -60,7 +60,7 @@
 /// # Errors
 ///
 /// Returns an error if an address can't be bound.
-pub fn services(deployment: Deployment) -> io::Result<()> {
+pub fn run_services(deployment: Deployment) -> io::Result<()> {
     block_on(async move {
         for service in deployment.services {
             let listener = TcpListener::bind(service.addr)?;
@@ -91,14 +91,14 @@
 
 /// Sends the load and prints its latencies and outcomes. Returns whether every completion was
 /// complete.
-pub fn load(options: &LoadOptions) -> bool {
+pub fn run_load(options: &LoadOptions) -> bool {
     let nodes = options.nodes.len();
     let planned = options
         .traffic
         .plan(options.seed, options.duration, &[0], nodes);
     let keys = [options.key.clone()];
     let measured = workload::run_open_loop(&options.nodes, &keys, &options.model, planned);
-    println!("{}", report::first_token_table(&measured));
+    println!("{}", report::ttft_table(&measured));
     println!("{}", report::outcome_table(&measured));
     report::all_complete(&measured)
 }
--- a/crates/notchwalk_standin/src/routed/limits_plan.rs
+++ b/crates/notchwalk_standin/src/routed/limits_plan.rs
@@ -18,7 +18,7 @@
 pub enum NodeFault {
     /// The process crashes and restarts after this time, without its state.
     Crash(Duration),
-    /// The machine is suspended for this time.
+    /// The process is suspended for this time.
     Suspend(Duration),
     /// The node is partitioned from its peers for this time, but not from servers.
     Isolate(Duration),
@@ -90,8 +90,8 @@
     pub messages: u64,
 }
 
-/// Time after a restart in which the requests of a node don't count: it may not have received
-/// a limit yet, from peers or with its own first responses.
+/// Time after a restart during which a node's requests are not counted, because it may not have
+/// received the limits yet.
 const RESTART_GRACE_PERIOD: Duration = Duration::from_secs(1);
 
 impl LimitsOutcome {
@@ -106,14 +106,14 @@
         };
         let requests = self.requests[server].iter();
         let counted = requests.filter(|&&(at, node)| at >= since && !in_grace_period(node, at));
-        let at: Vec<Instant> = counted.map(|(at, _)| *at).collect();
-        let within = |(first, from): (usize, &Instant)| {
-            at[first..]
+        let times: Vec<Instant> = counted.map(|(at, _)| *at).collect();
+        let count_from = |(first, from): (usize, &Instant)| {
+            times[first..]
                 .iter()
                 .take_while(|at| **at < from.after(window))
                 .count()
         };
-        at.iter().enumerate().map(within).max().unwrap_or(0)
+        times.iter().enumerate().map(count_from).max().unwrap_or(0)
     }
 
     /// Returns the rate of requests that reached a server between two times, per second.
--- a/crates/notchwalk_standin/src/routed/policy.rs
+++ b/crates/notchwalk_standin/src/routed/policy.rs
@@ -120,7 +120,7 @@
 }
 
 /// Returns the registration of an engine.
-pub(crate) fn record(engine: usize) -> ServerRecord {
+pub(crate) fn server_record(engine: usize) -> ServerRecord {
     ServerRecord {
         instance: format!("engine-{engine}"),
         started_ms: None,
--- a/crates/notchwalk_standin/src/routed/report.rs
+++ b/crates/notchwalk_standin/src/routed/report.rs
@@ -9,18 +9,18 @@
     traffic::{Arrival, KINDS, WAVES},
 };
 
-/// Share of its value that a late answer earns.
+/// Share of its value that a late response earns.
 const LATE_VALUE_SHARE: f64 = 0.25;
 
 /// Total value of a group of arrivals.
 #[derive(Clone, Copy, Debug, Default)]
-struct Sum {
+struct ValueSum {
     /// Value if all arrivals meet their objectives.
     offered: f64,
     earned: f64,
 }
 
-impl Sum {
+impl ValueSum {
     fn share(self) -> f64 {
         match self.offered > 0.0 {
             true => self.earned / self.offered,
@@ -35,7 +35,7 @@
     /// Name of the policy.
     pub name: &'static str,
     /// Totals by kind and wave.
-    groups: HashMap<(usize, usize), Sum>,
+    groups: HashMap<(usize, usize), ValueSum>,
     losses: HashMap<Outcome, f64>,
     offered: f64,
 }
@@ -69,7 +69,7 @@
     }
 
     /// Adds arrivals with the share of its value that each earned in time. The rest earns
-    /// the value of a late answer.
+    /// the value of a late response.
     pub fn add_shares<'a>(&mut self, run: impl Iterator<Item = (&'a Arrival, f64)>) {
         for (arrival, share) in run {
             let value = arrival.value();
@@ -89,16 +89,16 @@
 
     /// Returns the earned share of the value of a kind, by index in [`KINDS`].
     pub fn value_share_of_kind(&self, kind: usize) -> f64 {
-        self.share_of(|of, _| of == kind)
+        self.share_of(|group_kind, _| group_kind == kind)
     }
 
     /// Returns the earned share of the value of a wave, by index in [`WAVES`].
     pub fn value_share_of_wave(&self, wave: usize) -> f64 {
-        self.share_of(|_, of| of == wave)
+        self.share_of(|_, group_wave| group_wave == wave)
     }
 
     fn share_of(&self, includes: impl Fn(usize, usize) -> bool) -> f64 {
-        let mut total = Sum::default();
+        let mut total = ValueSum::default();
         for (&(kind, wave), sum) in &self.groups {
             if includes(kind, wave) {
                 total.offered += sum.offered;
@@ -117,13 +117,13 @@
 /// Returns the reports as a table with one row per policy.
 pub fn table(reports: &[Report]) -> comfy_table::Table {
     const LOSSES: [(&str, Outcome); 4] = [
-        ("first late", Outcome::LateFirstEvent),
-        ("paused", Outcome::LongGap),
+        ("late first event", Outcome::LateFirstEvent),
+        ("long gap", Outcome::LongGap),
         ("refused", Outcome::Refused),
-        ("left", Outcome::Abandoned),
+        ("abandoned", Outcome::Abandoned),
     ];
     let mut table = comfy_table::Table::new();
-    let mut header = vec!["policy".to_owned(), "worth".to_owned()];
+    let mut header = vec!["policy".to_owned(), "value".to_owned()];
     header.extend(KINDS.iter().map(|kind| kind.name.to_owned()));
     header.extend(WAVES.iter().map(|wave| format!("in {}", wave.name)));
     header.extend(LOSSES.iter().map(|(name, _)| format!("lost: {name}")));
@@ -154,13 +154,13 @@
     const BARS: usize = KINDS.len() + 1;
     let root = SVGBackend::new(path, SIZE).into_drawing_area();
     root.fill(&WHITE)?;
-    let groups = reports.len() as f64;
+    let report_count = reports.len() as f64;
     let mut chart = ChartBuilder::on(&root)
-        .caption("share of worth earned", ("sans-serif", 18))
+        .caption("share of value earned", ("sans-serif", 18))
         .margin(10)
         .x_label_area_size(30)
         .y_label_area_size(40)
-        .build_cartesian_2d(0.0..groups, 0.0..1.0)?;
+        .build_cartesian_2d(0.0..report_count, 0.0..1.0)?;
     let name = |x: &f64| {
         let report = reports.get(*x as usize);
         report.map_or(String::new(), |report| report.name.to_owned())
--- a/crates/notchwalk_standin/src/routed/simulation.rs
+++ b/crates/notchwalk_standin/src/routed/simulation.rs
@@ -17,14 +17,14 @@
 
 use super::{
     engine::{Progress, RequestIndex, Segment, SimulatedEngine},
-    policy::{parameters, record, site, Policy, ENGINES, NETWORK_LATENCY},
+    policy::{parameters, server_record, site, Policy, ENGINES, NETWORK_LATENCY},
     traffic::{Arrival, KINDS, TOKENS_PER_EVENT},
 };
 
 /// One-way latency between a caller and a node.
 const CALLER_LATENCY: Duration = Duration::from_millis(3);
-/// Interval of a router's ticks, as in the daemon.
-const TICK: Duration = Duration::from_millis(15);
+/// Interval of a router's ticks, as in a real node.
+const TICK_INTERVAL: Duration = Duration::from_millis(15);
 /// Ticks of all nodes between two full updates to peers. With six nodes, each publishes one
 /// about every second.
 const FULL_UPDATE_TICKS: u64 = 67;
@@ -59,7 +59,7 @@
         work: Vec<PeerWork>,
     },
     RequestReachesEngine(RequestIndex, Box<Assignment>),
-    ReservationsAnswered(RequestIndex, Vec<FailedReservation>),
+    ReservationResponse(RequestIndex, Vec<FailedReservation>),
     StepEnds(usize),
     CallerTimeout(RequestIndex),
 }
@@ -70,7 +70,7 @@
     node: usize,
     key: RequestKey,
     has_retried: bool,
-    /// Engines that hold the request. Once assigned, the first one is the decoding engine.
+    /// Engines that work on the request; after its assignment, the decoding engine is first.
     engines: Vec<usize>,
     /// Whether memory is reserved on all its engines.
     reserved: bool,
@@ -106,8 +106,8 @@
     ///
     /// Panics if a route of the site configuration is not found.
     pub fn new(policy: Policy, arrivals: Vec<Arrival>) -> Self {
-        /// Time from the start of the routers to the first event, after which they treat the
-        /// updates of their peers as complete.
+        /// Time from the start of the routers to the first event. After this time they treat
+        /// the updates of their peers as complete.
         const ROUTER_UPTIME: Duration = Duration::from_secs(5);
         let start = Instant::from_millis(10_000);
         let routers = (0..policy.nodes).map(|node| {
@@ -122,8 +122,8 @@
             let mut out = Vec::new();
             let router_start = start.before(ROUTER_UPTIME);
             router.step(router_start, Event::Configured(site()), &mut out);
-            let all = (0..ENGINES).map(record).collect();
-            let change = Event::Servers(ServerChange::All(all));
+            let servers = (0..ENGINES).map(server_record).collect();
+            let change = Event::Servers(ServerChange::All(servers));
             router.step(router_start, change, &mut out);
             router
         });
@@ -137,7 +137,7 @@
         };
         let routes = KINDS.iter().map(route).collect();
         let engines = (0..ENGINES).map(|_| SimulatedEngine::new(parameters()));
-        let by_addr = (0..ENGINES).map(|engine| (record(engine).addr, engine));
+        let by_addr = (0..ENGINES).map(|engine| (server_record(engine).addr, engine));
         let mut simulation = Self {
             requests: (0..arrivals.len()).map(|_| Request::default()).collect(),
             engines: engines.collect(),
@@ -158,7 +158,7 @@
             simulation.schedule(at, Scheduled::RequestArrives(index));
         }
         for node in 0..policy.nodes {
-            let offset = TICK / policy.nodes as u32 * node as u32;
+            let offset = TICK_INTERVAL / policy.nodes as u32 * node as u32;
             simulation.schedule(offset, Scheduled::Tick(node));
         }
         simulation
@@ -218,7 +218,7 @@
                 self.step(to, event);
             }
             Scheduled::RequestReachesEngine(index, to) => self.handle_assignment(index, &to),
-            Scheduled::ReservationsAnswered(index, failed) => {
+            Scheduled::ReservationResponse(index, failed) => {
                 let request = &self.requests[index];
                 let (node, key) = (request.node, request.key);
                 let event = Event::Reserved {
@@ -272,7 +272,7 @@
             _ => self.routers[node].take_changed_work(self.now),
         };
         self.publish(node, work);
-        self.schedule(TICK, Scheduled::Tick(node));
+        self.schedule(TICK_INTERVAL, Scheduled::Tick(node));
     }
 
     fn publish(&mut self, node: usize, (servers, work): (Vec<u32>, Vec<PeerWork>)) {
@@ -344,7 +344,7 @@
                 }
                 self.schedule(
                     NETWORK_LATENCY * 2,
-                    Scheduled::ReservationsAnswered(index, failed),
+                    Scheduled::ReservationResponse(index, failed),
                 );
             }
             // `drop_request` releases the memory.
@@ -384,7 +384,7 @@
         let segments = workers.len() + 1;
         let segment = Segment {
             request: index,
-            tokens: arrival.prompt / segments as f64,
+            remaining_tokens: arrival.prompt / segments as f64,
             prompt_tokens: arrival.prompt,
             is_remote: false,
         };
--- a/crates/notchwalk_standin/src/routed/traffic.rs
+++ b/crates/notchwalk_standin/src/routed/traffic.rs
@@ -16,7 +16,7 @@
     pub per_s: f64,
     /// Tokens of a prompt: mean, coefficient of variation, maximum.
     pub prompt: (f64, f64, f64),
-    /// Events of an answer: mean, coefficient of variation, maximum.
+    /// Events of a response: mean, coefficient of variation, maximum.
     pub events: (f64, f64, f64),
     /// Latency objective for the first event.
     pub objective: Duration,
@@ -69,7 +69,7 @@
 /// Tokens per event.
 pub const TOKENS_PER_EVENT: f64 = 51.0;
 
-/// A span of time with its own arrival rates.
+/// A time span with its own arrival rates.
 #[derive(Clone, Copy, Debug)]
 pub struct Wave {
     /// Name of the wave.
@@ -115,7 +115,7 @@
     pub wave: usize,
     /// Tokens of the prompt.
     pub prompt: f64,
-    /// Events of the answer.
+    /// Events of the response.
     pub events: u32,
 }
 
@@ -125,9 +125,9 @@
     pub fn value(&self) -> f64 {
         let kind = &KINDS[self.kind];
         let size = |prompt: f64, events: f64| prompt + 10.0 * TOKENS_PER_EVENT * events;
-        let own = size(self.prompt, f64::from(self.events));
-        let mean = size(kind.prompt.0, kind.events.0);
-        kind.value * (0.3 + 0.7 * own / mean).min(4.0)
+        let actual_size = size(self.prompt, f64::from(self.events));
+        let mean_size = size(kind.prompt.0, kind.events.0);
+        kind.value * (0.3 + 0.7 * actual_size / mean_size).min(4.0)
     }
 }
 
@@ -143,7 +143,7 @@
 ///
 /// Panics if the rate or mean size of a kind is not positive.
 pub fn arrivals(rng: &mut Pcg64Mcg, load: f64) -> Vec<Arrival> {
-    let mut all = Vec::new();
+    let mut arrivals = Vec::new();
     for (kind, spec) in KINDS.iter().enumerate() {
         let mut at_s = 0.0;
         for (wave, span) in WAVES.iter().enumerate() {
@@ -157,7 +157,7 @@
                     break;
                 }
                 at_s = next;
-                all.push(Arrival {
+                arrivals.push(Arrival {
                     at: Instant::from_micros((at_s * 1e6) as u64 + rng.random_range(0..10)),
                     kind,
                     wave,
@@ -167,6 +167,6 @@
             }
         }
     }
-    all.sort_by_key(|arrival| arrival.at);
-    all
+    arrivals.sort_by_key(|arrival| arrival.at);
+    arrivals
 }
--- a/crates/notchwalk_standin/src/soak/mod.rs
+++ b/crates/notchwalk_standin/src/soak/mod.rs
@@ -1,8 +1,8 @@
 //! Randomised fault simulation in virtual time: several nodes run against fake
 //! engines, services, a claim table and a network.
 //!
-//! Faults include message loss, delay, reordering and duplication, pauses,
-//! crashes and lost responses. Invariants are checked at the fakes, in addition
+//! Faults include message loss, delay, reordering and duplication, suspended
+//! nodes, crashes and lost responses. Invariants are checked at the fakes, in addition
 //! to the reducer's own assertions.
 
 mod arrivals;
--- a/crates/notchwalk_standin/src/thread.rs
+++ b/crates/notchwalk_standin/src/thread.rs
@@ -78,14 +78,14 @@
     }
 
     /// Requests the thread to stop. Its tasks are aborted.
-    pub fn kill(&self) {
+    pub fn request_stop(&self) {
         self.stop.store(true, Ordering::Relaxed);
     }
 }
 
 impl Drop for ServingThread {
     fn drop(&mut self) {
-        self.kill();
+        self.request_stop();
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
--- a/crates/notchwalk_standin/src/workload.rs
+++ b/crates/notchwalk_standin/src/workload.rs
@@ -33,7 +33,7 @@
     pub prompt_tokens: u64,
     /// Completion length, in tokens.
     pub max_tokens: u32,
-    /// Requested timeout.
+    /// Timeout that the caller requests.
     pub timeout: Duration,
     /// Makes the prompt unique.
     pub salt: u64,
@@ -81,7 +81,7 @@
     pub min_completion: u32,
     /// Maximum completion length, in tokens.
     pub max_completion: u32,
-    /// Requested timeout.
+    /// Timeout that the callers request.
     pub timeout: Duration,
 }
 
